--- a/crates/zinniastall-entry/src/callers/accept.rs
+++ b/crates/zinniastall-entry/src/callers/accept.rs
@@ -23,26 +23,26 @@
     residency,
 };
 
-use super::parcel::{Parcel, passes};
+use super::call::{Call, is_forwarded};
 use crate::{settings::Limits, view::View};
 
 /// Class of a request that names none.
 pub const DEFAULT_CLASS: &str = "interactive";
 /// Longest class or request id.
-const NAME_LIMIT: usize = 64;
+const MAX_NAME_BYTES: usize = 64;
 /// Longest deadline that a caller may ask for, in milliseconds.
-const DEADLINE_LIMIT: u64 = 3_600_000;
+const MAX_DEADLINE_MS: u64 = 3_600_000;
 
 /// What the path needs to know of a body in the form of chat completions.
 #[derive(Debug, Deserialize)]
-struct Chat {
+struct ChatRequest {
     model: String,
     #[serde(default)]
-    messages: Vec<Turn>,
+    messages: Vec<ChatMessage>,
 }
 
 #[derive(Debug, Deserialize)]
-struct Turn {
+struct ChatMessage {
     #[serde(default)]
     content: serde_json::Value,
 }
@@ -75,13 +75,13 @@
 /// # Errors
 ///
 /// Every fault of the caller, and a rule that permits no region.
-pub fn parcel(
+pub fn build_call(
     http: &HttpRequest,
     body: Bytes,
     view: &View,
     index: &Index,
     limits: &Limits,
-) -> Result<Parcel, Refusal> {
+) -> Result<Call, Refusal> {
     identify(http, body, view, index, limits).map_err(Refusal::not_run)
 }
 
@@ -91,14 +91,14 @@
     view: &View,
     index: &Index,
     limits: &Limits,
-) -> Result<Parcel, Reason> {
-    let client = index.by_key(key(http)?)?;
-    let named = index.needs_model(http.path()).then(|| parse(&body));
-    let chat = named.transpose()?;
+) -> Result<Call, Reason> {
+    let client = index.by_key(bearer_key(http)?)?;
+    let chat = index.needs_model(http.path()).then(|| parse(&body));
+    let chat = chat.transpose()?;
     let route = index.route(http.path(), chat.as_ref().map(|chat| chat.model.as_str()))?;
     let regions = residency::permitted(index.rules(&client.id), &route.subject, &view.place);
     residency::check(&regions)?;
-    let ticket = text(http, TICKET)?.map(ToOwned::to_owned);
+    let ticket = header_text(http, TICKET)?.map(ToOwned::to_owned);
     let idempotent = flag(http, IDEMPOTENT)?.unwrap_or(route.idempotent);
     let request = Request {
         id: request_id(http)?,
@@ -117,7 +117,7 @@
         hops: vec![view.place.clone()],
         revision: index.revision(),
     };
-    Ok(Parcel {
+    Ok(Call {
         request,
         method: http.method().to_string(),
         path: path(http),
@@ -131,7 +131,7 @@
 /// # Errors
 ///
 /// [`Reason::NoKey`].
-pub fn key(http: &HttpRequest) -> Result<&str, Reason> {
+pub fn bearer_key(http: &HttpRequest) -> Result<&str, Reason> {
     let value = http.headers().get(http::AUTHORIZATION);
     let value = value.and_then(|value| value.to_str().ok());
     let key = value.and_then(|value| value.strip_prefix("Bearer "));
@@ -143,7 +143,10 @@
 /// # Errors
 ///
 /// [`Reason::Header`] when it is not plain text.
-pub fn text<'a>(http: &'a HttpRequest, name: &'static str) -> Result<Option<&'a str>, Reason> {
+pub fn header_text<'a>(
+    http: &'a HttpRequest,
+    name: &'static str,
+) -> Result<Option<&'a str>, Reason> {
     let Some(value) = http.headers().get(name) else {
         return Ok(None);
     };
@@ -157,14 +160,14 @@
 ///
 /// [`Reason::Header`].
 pub fn request_id(http: &HttpRequest) -> Result<String, Reason> {
-    match text(http, REQUEST)? {
-        Some(id) if is_name(id) => Ok(id.to_owned()),
+    match header_text(http, REQUEST)? {
+        Some(id) if is_valid_name(id) => Ok(id.to_owned()),
         Some(_) => Err(Reason::Header(REQUEST)),
         None => Ok(format!("{:016x}", rand::random::<u64>())),
     }
 }
 
-fn parse(body: &[u8]) -> Result<Chat, Reason> {
+fn parse(body: &[u8]) -> Result<ChatRequest, Reason> {
     serde_json::from_slice(body).map_err(|error| Reason::Body(error.to_string()))
 }
 
@@ -179,35 +182,35 @@
         .unwrap_or_default()
 }
 
-fn prompt_prefixes(chat: &Chat) -> Vec<u64> {
+fn prompt_prefixes(chat: &ChatRequest) -> Vec<u64> {
     let texts: Vec<&str> = chat
         .messages
         .iter()
-        .filter_map(|turn| turn.content.as_str())
+        .filter_map(|message| message.content.as_str())
         .collect();
     prefix::chain(&texts.join("\n"))
 }
 
 fn class(http: &HttpRequest) -> Result<id::Class, Reason> {
-    match text(http, CLASS)? {
-        Some(class) if is_name(class) => Ok(class.to_owned()),
+    match header_text(http, CLASS)? {
+        Some(class) if is_valid_name(class) => Ok(class.to_owned()),
         Some(_) => Err(Reason::Header(CLASS)),
         None => Ok(DEFAULT_CLASS.to_owned()),
     }
 }
 
 fn deadline(http: &HttpRequest, limits: &Limits) -> Result<Duration, Reason> {
-    let Some(value) = text(http, DEADLINE)? else {
+    let Some(value) = header_text(http, DEADLINE)? else {
         return Ok(limits.deadline);
     };
     match value.parse() {
-        Ok(millis @ 1..=DEADLINE_LIMIT) => Ok(Duration::from_millis(millis)),
+        Ok(millis @ 1..=MAX_DEADLINE_MS) => Ok(Duration::from_millis(millis)),
         _ => Err(Reason::Header(DEADLINE)),
     }
 }
 
 fn flag(http: &HttpRequest, name: &'static str) -> Result<Option<bool>, Reason> {
-    match text(http, name)? {
+    match header_text(http, name)? {
         None => Ok(None),
         Some("true") => Ok(Some(true)),
         Some("false") => Ok(Some(false)),
@@ -224,14 +227,14 @@
 fn headers(http: &HttpRequest) -> Vec<(String, String)> {
     let pairs = http.headers().iter().filter_map(|(name, value)| {
         let value = value.to_str().ok()?;
-        passes(name.as_str()).then(|| (name.as_str().to_owned(), value.to_owned()))
+        is_forwarded(name.as_str()).then(|| (name.as_str().to_owned(), value.to_owned()))
     });
     pairs.collect()
 }
 
-fn is_name(text: &str) -> bool {
+fn is_valid_name(text: &str) -> bool {
     let permitted = |c: char| c.is_ascii_alphanumeric() || "._-".contains(c);
-    (1..=NAME_LIMIT).contains(&text.len()) && text.chars().all(permitted)
+    (1..=MAX_NAME_BYTES).contains(&text.len()) && text.chars().all(permitted)
 }
 
 /// Returns the configuration that requests are judged by.
--- a/crates/zinniastall-entry/src/callers/admission/candidates.rs
+++ b/crates/zinniastall-entry/src/callers/admission/candidates.rs
@@ -15,20 +15,20 @@
 };
 use zinniastall_wire::gossip;
 
-use super::sent::Sent;
+use super::outstanding::Outstanding;
 use crate::view::{Digest, Target, View};
 
 /// Role of targets that only prepare work for others.
-const PREFILL: &str = "prefill";
+const PREFILL_ROLE: &str = "prefill";
 /// Age from which a digest says nothing any more.
-const STALE: Duration = Duration::from_secs(5);
+const MAX_DIGEST_AGE: Duration = Duration::from_secs(5);
 
 /// Targets of this zone that can serve a request, ejected ones left out.
 #[derive(Debug)]
 pub(super) struct Candidates<'a> {
     all: Vec<Candidate<'a>>,
     /// Whether any target serves, also those that have failed the request.
-    any: bool,
+    any_serving: bool,
 }
 
 impl<'a> Candidates<'a> {
@@ -42,12 +42,12 @@
         now: Instant,
     ) -> Self {
         let mut all = serving(view, &request.subject, table, now);
-        let any = !all.is_empty();
+        let any_serving = !all.is_empty();
         all.retain(|candidate| !tried.iter().any(|target| target == candidate.target));
         prefer_version(view, request, &mut all);
         Self {
             all: without_ejected(all, policy, now),
-            any,
+            any_serving,
         }
     }
 
@@ -68,7 +68,7 @@
     }
 
     /// Returns the mean time of a request.
-    pub(super) fn service(&self) -> Duration {
+    pub(super) fn mean_service_time(&self) -> Duration {
         let sum: Duration = self
             .all
             .iter()
@@ -79,13 +79,13 @@
     }
 
     /// Returns the mean time from one start to the next while all are at their limits.
-    pub(super) fn pace(&self) -> Duration {
+    pub(super) fn mean_start_interval(&self) -> Duration {
         let limits: u32 = self
             .all
             .iter()
             .map(|candidate| candidate.load.limit())
             .sum();
-        self.service() / limits.max(1)
+        self.mean_service_time() / limits.max(1)
     }
 
     /// Returns what the queue needs to know of a request; its number is given there.
@@ -98,7 +98,7 @@
             rank: policy.rank(&request.class),
             deadline: request.deadline,
             // A stream may go on after its deadline, so its length alone refuses nothing.
-            service: self.service().min(left / 2),
+            service: self.mean_service_time().min(left / 2),
         }
     }
 
@@ -108,7 +108,7 @@
         let costs = costs.map(|candidate| choose::cost(policy, prefixes, candidate.load, now));
         match costs.min_by(f64::total_cmp) {
             Some(cost) => Local::Cost(cost),
-            None if self.any => Local::Tried,
+            None if self.any_serving => Local::Tried,
             None => Local::None,
         }
     }
@@ -117,7 +117,7 @@
 /// Returns the zone's slots, at least 1: an instance shares them and can use all. Were its load told
 /// as a share of its part alone, a zone's callers would swing between its instances, since the
 /// weights by which locate spreads them would double with every sixth request.
-pub(super) fn capacity(view: &View) -> u32 {
+pub(super) fn zone_slots(view: &View) -> u32 {
     let slots: u32 = view
         .targets
         .values()
@@ -127,7 +127,7 @@
 }
 
 /// Returns whether any target of a subject has room.
-pub(super) fn any_room(
+pub(super) fn any_has_room(
     view: &View,
     subject: &Subject,
     policy: &Policy,
@@ -157,20 +157,20 @@
 pub(super) fn remotes(
     view: &View,
     subject: &Subject,
-    away: &mut IndexMap<Place, Sent>,
+    forwarded: &mut IndexMap<Place, Outstanding>,
     now: Instant,
 ) -> Vec<Remote> {
-    let fits = |report: &gossip::Digest| report.subject == *subject && report.role != PREFILL;
+    let fits = |report: &gossip::Digest| report.subject == *subject && report.role != PREFILL_ROLE;
     let fresh = view.digests.iter().filter(|digest| {
-        now.saturating_duration_since(digest.made) < STALE && fits(&digest.report)
+        now.saturating_duration_since(digest.made) < MAX_DIGEST_AGE && fits(&digest.report)
     });
     let remote = |digest: &Digest| {
         let report = &digest.report;
-        let sent = away.entry(report.place.clone()).or_default();
-        sent.heard(digest.made);
+        let outstanding = forwarded.entry(report.place.clone()).or_default();
+        outstanding.observe_digest(digest.made);
         Remote {
             place: report.place.clone(),
-            free: sent.left(report.free),
+            free: outstanding.free_slots(report.free),
             wait: Duration::from_millis(report.wait_ms),
             price: report.price,
         }
@@ -192,7 +192,7 @@
     };
     let live = view.targets.iter().filter(|(_, target)| {
         let report = &target.report;
-        !report.leaving && target.until > now && report.role != PREFILL && serves(report)
+        !report.leaving && target.until > now && report.role != PREFILL_ROLE && serves(report)
     });
     let known = live.filter_map(|(name, _)| {
         let load = table.get(name)?;
--- a/crates/zinniastall-entry/src/callers/admission/flight.rs
+++ b/crates/zinniastall-entry/src/callers/admission/in_flight.rs
@@ -13,27 +13,27 @@
 
 /// One request at one target; dropping it ends the count and lets the next one start.
 #[derive(Debug)]
-pub struct Flight {
+pub struct InFlight {
     admission: Admission,
     target: id::Target,
-    run: id::Incarnation,
+    incarnation: id::Incarnation,
     report: Option<gossip::Target>,
     started: Instant,
     end: End,
 }
 
-impl Flight {
+impl InFlight {
     pub(super) fn new(
         admission: Admission,
         target: &str,
-        run: id::Incarnation,
+        incarnation: id::Incarnation,
         report: Option<gossip::Target>,
         started: Instant,
     ) -> Self {
         Self {
             admission,
             target: target.to_owned(),
-            run,
+            incarnation,
             report,
             started,
             end: End::Cancelled,
@@ -75,22 +75,22 @@
     }
 }
 
-impl Drop for Flight {
+impl Drop for InFlight {
     fn drop(&mut self) {
-        self.admission.end(&self.target, self.run, self.end);
+        self.admission.end(&self.target, self.incarnation, self.end);
     }
 }
 
 /// One request that was sent to another place; dropping it ends the count.
 #[derive(Debug)]
-pub struct Away {
+pub struct Forwarded {
     admission: Admission,
     place: Place,
     hops: Vec<Place>,
     lost: bool,
 }
 
-impl Away {
+impl Forwarded {
     pub(super) const fn new(admission: Admission, place: Place, hops: Vec<Place>) -> Self {
         Self {
             admission,
@@ -116,9 +116,9 @@
     }
 }
 
-impl Drop for Away {
+impl Drop for Forwarded {
     fn drop(&mut self) {
-        let mut inner = self.admission.lock();
-        inner.queues.back(&self.place, self.lost);
+        let mut state = self.admission.lock();
+        state.queues.forwarded_ended(&self.place, self.lost);
     }
 }
--- a/crates/zinniastall-entry/src/callers/admission/mod.rs
+++ b/crates/zinniastall-entry/src/callers/admission/mod.rs
@@ -4,12 +4,12 @@
 //! No control work takes this lock; grants to waiting requests are sent after it is released.
 
 mod candidates;
-mod flight;
-mod line;
+mod in_flight;
+mod outstanding;
+mod queued;
 mod queues;
-mod sent;
 mod state;
-mod waiting;
+mod subject_queue;
 
 use std::{
     sync::{Arc, Mutex, MutexGuard, PoisonError},
@@ -27,25 +27,25 @@
 
 use crate::view::Board;
 
-pub use flight::{Away, Flight};
-pub use waiting::Waiting;
+pub use in_flight::{Forwarded, InFlight};
+pub use queued::Queued;
 
 use candidates::Candidates;
-use line::Grant;
 use state::State;
+use subject_queue::Grant;
 
 /// When to come back if nothing serves a subject: targets renew their leases about this often.
-const ABSENT: Duration = Duration::from_secs(1);
+const NO_TARGET_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 /// Where a request goes.
 #[derive(Debug)]
-pub enum Verdict {
+pub enum Decision {
     /// To a target of this zone.
-    Here(Box<Flight>),
+    Local(Box<InFlight>),
     /// To another zone or region.
-    Away(Away),
+    Forwarded(Forwarded),
     /// It waits for its turn.
-    Wait(Waiting),
+    Queued(Queued),
 }
 
 /// Admission and choice over all traffic threads of an instance.
@@ -71,7 +71,7 @@
     /// # Errors
     ///
     /// A refusal of a request that has not run and cannot start in time.
-    pub fn admit(&self, request: &Request, tried: &[id::Target]) -> Result<Verdict, Refusal> {
+    pub fn admit(&self, request: &Request, tried: &[id::Target]) -> Result<Decision, Refusal> {
         let (view, now) = (self.board.view(), Instant::now());
         let mut guard = self.lock();
         let state = &mut *guard;
@@ -80,26 +80,31 @@
             state.budget.request();
         }
         let found = Candidates::find(&view, request, tried, &self.policy, &state.table, now);
-        let direct = found.have_room() && !state.queues.anyone_waits(&request.subject);
+        let starts_now = found.have_room() && !state.queues.has_waiting(&request.subject);
         let queues = &mut state.queues;
-        if let Some((place, hops)) = queues.spill(&self.policy, &view, request, &found, direct, now)
+        if let Some((place, hops)) =
+            queues.spill(&self.policy, &view, request, &found, starts_now, now)
         {
-            return Ok(Verdict::Away(Away::new(self.clone(), place, hops)));
+            return Ok(Decision::Forwarded(Forwarded::new(
+                self.clone(),
+                place,
+                hops,
+            )));
         }
         if found.is_empty() {
             let subject = request.subject.name().to_owned();
-            return Err(Refusal::not_run(Reason::NoTarget(subject)).retry(ABSENT));
+            return Err(Refusal::not_run(Reason::NoTarget(subject)).retry(NO_TARGET_RETRY_AFTER));
         }
-        if direct && let Some(target) = self.choose(&mut state.chooser, request, &found, now) {
-            return Ok(Verdict::Here(Box::new(
+        if starts_now && let Some(target) = self.choose(&mut state.chooser, request, &found, now) {
+            return Ok(Decision::Local(Box::new(
                 state.start(self, request, &target, now),
             )));
         }
         let waiter = found.waiter(&self.policy, request, now);
-        let (id, receiver) = queues.wait(&self.policy, waiter, request, tried, &found, now)?;
+        let (id, receiver) = queues.enqueue(&self.policy, waiter, request, tried, &found, now)?;
         let subject = request.subject.clone();
-        let waiting = Waiting::new(self.clone(), subject, id, receiver);
-        Ok(Verdict::Wait(waiting))
+        let queued = Queued::new(self.clone(), subject, id, receiver);
+        Ok(Decision::Queued(queued))
     }
 
     /// Takes one retry out of the budget.
@@ -120,20 +125,20 @@
     }
 
     /// Ends a request at a target and grants the room to whoever waits.
-    fn end(&self, target: &str, run: id::Incarnation, end: End) {
+    fn end(&self, target: &str, incarnation: id::Incarnation, end: End) {
         let grants = {
             let now = Instant::now();
             let mut state = self.lock();
-            state.end(&self.board, (target, run), end, now);
+            state.end(&self.board, (target, incarnation), end, now);
             state.grant(self, now)
         };
-        send(grants);
+        send_grants(grants);
     }
 
     /// Looks again whether waiting requests can start, since targets may have come.
-    fn look(&self) {
+    fn grant_waiting(&self) {
         let grants = self.lock().grant(self, Instant::now());
-        send(grants);
+        send_grants(grants);
     }
 
     fn lock(&self) -> MutexGuard<'_, State> {
@@ -143,8 +148,8 @@
 }
 
 /// Sends grants outside the lock: one that finds its request gone ends its flight, which locks.
-fn send(grants: Vec<Grant>) {
+fn send_grants(grants: Vec<Grant>) {
     for grant in grants {
-        drop(grant.sender.send(grant.flight));
+        drop(grant.sender.send(grant.in_flight));
     }
 }
--- a/crates/zinniastall-entry/src/callers/admission/sent.rs
+++ b/crates/zinniastall-entry/src/callers/admission/outstanding.rs
@@ -8,13 +8,13 @@
 /// again would leave a place that is half idle with a third of the requests that it has room for,
 /// while callers here are refused for lack of time.
 #[derive(Debug, Default)]
-pub(super) struct Sent {
+pub(super) struct Outstanding {
     requests: u32,
-    known: u32,
-    made: Option<Instant>,
+    included: u32,
+    digest_made: Option<Instant>,
 }
 
-impl Sent {
+impl Outstanding {
     /// Counts one more.
     pub(super) const fn start(&mut self) {
         self.requests += 1;
@@ -26,15 +26,15 @@
     }
 
     /// Takes note of when the place's digest was made.
-    pub(super) fn heard(&mut self, made: Instant) {
-        if self.made != Some(made) {
-            self.made = Some(made);
-            self.known = self.requests;
+    pub(super) fn observe_digest(&mut self, digest_made: Instant) {
+        if self.digest_made != Some(digest_made) {
+            self.digest_made = Some(digest_made);
+            self.included = self.requests;
         }
     }
 
     /// Returns the slots that are free there now, of those that the digest names.
-    pub(super) const fn left(&self, free: u32) -> u32 {
-        (free + self.known).saturating_sub(self.requests)
+    pub(super) const fn free_slots(&self, free: u32) -> u32 {
+        (free + self.included).saturating_sub(self.requests)
     }
 }
--- a/crates/zinniastall-entry/src/callers/admission/waiting.rs
+++ b/crates/zinniastall-entry/src/callers/admission/queued.rs
@@ -9,26 +9,26 @@
     outcome::{Reason, Refusal},
 };
 
-use super::{Admission, Flight};
+use super::{Admission, InFlight};
 
 /// How often a waiting request looks whether it still has a chance.
-const LOOK: Duration = Duration::from_millis(50);
+const RECHECK_INTERVAL: Duration = Duration::from_millis(50);
 
 /// A request that waits for its turn; dropping it gives its place up.
 #[derive(Debug)]
-pub struct Waiting {
+pub struct Queued {
     admission: Admission,
     subject: Subject,
     id: Id,
-    receiver: oneshot::Receiver<Flight>,
+    receiver: oneshot::Receiver<InFlight>,
 }
 
-impl Waiting {
+impl Queued {
     pub(super) const fn new(
         admission: Admission,
         subject: Subject,
         id: Id,
-        receiver: oneshot::Receiver<Flight>,
+        receiver: oneshot::Receiver<InFlight>,
     ) -> Self {
         Self {
             admission,
@@ -44,32 +44,32 @@
     ///
     /// A refusal as soon as it is clear that the turn will come too late: a caller who is told at
     /// once can still try elsewhere.
-    pub async fn turn(mut self) -> Result<Flight, Refusal> {
+    pub async fn granted(mut self) -> Result<InFlight, Refusal> {
         loop {
-            let turn = tokio::time::timeout(LOOK, &mut self.receiver).await;
-            match turn {
-                Ok(Ok(flight)) => return Ok(flight),
+            let granted = tokio::time::timeout(RECHECK_INTERVAL, &mut self.receiver).await;
+            match granted {
+                Ok(Ok(in_flight)) => return Ok(in_flight),
                 Ok(Err(_)) => return Err(Refusal::not_run(Reason::Full)),
-                Err(_) => self.look()?,
+                Err(_) => self.recheck()?,
             }
         }
     }
 
-    fn look(&self) -> Result<(), Refusal> {
-        self.admission.look();
-        let mut inner = self.admission.lock();
-        match inner.hopeless(&self.admission, &self.subject, self.id) {
+    fn recheck(&self) -> Result<(), Refusal> {
+        self.admission.grant_waiting();
+        let mut state = self.admission.lock();
+        match state.check_feasible(&self.admission, &self.subject, self.id) {
             Some(refusal) => Err(refusal),
             None => Ok(()),
         }
     }
 }
 
-impl Drop for Waiting {
+impl Drop for Queued {
     fn drop(&mut self) {
-        let mut inner = self.admission.lock();
-        if let Some(line) = inner.queues.lines.get_mut(&self.subject) {
-            line.remove(self.id);
+        let mut state = self.admission.lock();
+        if let Some(queue) = state.queues.by_subject.get_mut(&self.subject) {
+            queue.remove(self.id);
         }
     }
 }
--- a/crates/zinniastall-entry/src/callers/admission/state.rs
+++ b/crates/zinniastall-entry/src/callers/admission/state.rs
@@ -14,10 +14,10 @@
 };
 
 use super::{
-    ABSENT, Admission, Flight,
+    Admission, InFlight, NO_TARGET_RETRY_AFTER,
     candidates::{self, Candidates},
-    line::Grant,
     queues::Queues,
+    subject_queue::Grant,
 };
 use crate::view::{self, Board, View};
 
@@ -29,10 +29,10 @@
     pub(super) budget: Budget,
     pub(super) queues: Queues,
     /// Requests of this instance in progress at targets.
-    running: u32,
+    in_flight: u32,
     /// Requests that this instance can keep at targets: the slots of its zone.
     capacity: u32,
-    seen: Arc<IndexMap<id::Target, view::Target>>,
+    last_targets: Arc<IndexMap<id::Target, view::Target>>,
 }
 
 impl State {
@@ -43,9 +43,9 @@
             chooser: Chooser::default(),
             budget: Budget::new(retries),
             queues: Queues::default(),
-            running: 0,
+            in_flight: 0,
             capacity: 1,
-            seen: Arc::default(),
+            last_targets: Arc::default(),
         }
     }
 
@@ -53,32 +53,32 @@
     pub(super) fn end(
         &mut self,
         board: &Board,
-        flight: (&str, id::Incarnation),
+        in_flight: (&str, id::Incarnation),
         end: End,
         now: Instant,
     ) {
-        let (target, run) = flight;
-        self.table.end(target, run, end, now);
-        self.running = self.running.saturating_sub(1);
-        self.tell_load(board);
+        let (target, incarnation) = in_flight;
+        self.table.end(target, incarnation, end, now);
+        self.in_flight = self.in_flight.saturating_sub(1);
+        self.publish_load(board);
     }
 
     /// Takes in what changed in the view.
     pub(super) fn refresh(&mut self, view: &View, now: Instant) {
-        if Arc::ptr_eq(&self.seen, &view.targets) {
+        if Arc::ptr_eq(&self.last_targets, &view.targets) {
             return;
         }
-        self.seen = Arc::clone(&view.targets);
+        self.last_targets = Arc::clone(&view.targets);
         for (name, target) in &*view.targets {
             self.table.observe(name, &candidates::report(target), now);
         }
         self.table.retain(|name| view.targets.contains_key(name));
-        self.capacity = candidates::capacity(view);
+        self.capacity = candidates::zone_slots(view);
     }
 
     /// Tells callers' directory and other zones how busy this instance is.
-    fn tell_load(&self, board: &Board) {
-        let load = u64::from(self.running) * 1000 / u64::from(self.capacity);
+    fn publish_load(&self, board: &Board) {
+        let load = u64::from(self.in_flight) * 1000 / u64::from(self.capacity);
         board.set_load(u32::try_from(load).unwrap_or(u32::MAX));
     }
 
@@ -88,12 +88,15 @@
         request: &Request,
         target: &str,
         now: Instant,
-    ) -> Flight {
-        let run = self.table.start(target, &request.prefixes, now);
-        self.running += 1;
-        self.tell_load(&admission.board);
-        let report = self.seen.get(target).map(|target| target.report.clone());
-        Flight::new(admission.clone(), target, run, report, now)
+    ) -> InFlight {
+        let incarnation = self.table.start(target, &request.prefixes, now);
+        self.in_flight += 1;
+        self.publish_load(&admission.board);
+        let report = self
+            .last_targets
+            .get(target)
+            .map(|target| target.report.clone());
+        InFlight::new(admission.clone(), target, incarnation, report, now)
     }
 
     /// Starts waiting requests as far as there is room, and returns what to send to them.
@@ -101,7 +104,7 @@
         let view = admission.board.view();
         self.refresh(&view, now);
         let mut grants = Vec::new();
-        for subject in self.queues.waiting() {
+        for subject in self.queues.waiting_subjects() {
             while let Some(grant) = self.grant_one(admission, &view, &subject, now) {
                 grants.push(grant);
             }
@@ -117,13 +120,13 @@
         now: Instant,
     ) -> Option<Grant> {
         let policy = &admission.policy;
-        let line = self.queues.lines.get_mut(subject)?;
-        if !candidates::any_room(view, subject, policy, &self.table, now) {
+        let queue = self.queues.by_subject.get_mut(subject)?;
+        if !candidates::any_has_room(view, subject, policy, &self.table, now) {
             return None;
         }
         let mut best: Option<(f64, admit::Id, id::Target)> = None;
-        for (id, turn) in line.first(policy.window()) {
-            let (request, tried) = (&turn.request, &turn.tried);
+        for (id, entry) in queue.next_entries(policy.window()) {
+            let (request, tried) = (&entry.request, &entry.tried);
             let found = Candidates::find(view, request, tried, policy, &self.table, now);
             let target = admission.choose(&mut self.chooser, request, &found, now);
             let Some((target, load)) = target.and_then(|name| {
@@ -138,16 +141,16 @@
             }
         }
         let (_, id, target) = best?;
-        let turn = line.take(id, now)?;
-        let flight = self.start(admission, &turn.request, &target, now);
+        let entry = queue.take(id, now)?;
+        let in_flight = self.start(admission, &entry.request, &target, now);
         Some(Grant {
-            sender: turn.sender,
-            flight,
+            sender: entry.sender,
+            in_flight,
         })
     }
 
     /// Returns whether a waiting request can no longer be served in time, and why.
-    pub(super) fn hopeless(
+    pub(super) fn check_feasible(
         &mut self,
         admission: &Admission,
         subject: &Subject,
@@ -155,23 +158,23 @@
     ) -> Option<Refusal> {
         let (view, now) = (admission.board.view(), Instant::now());
         self.refresh(&view, now);
-        let line = self.queues.lines.get(subject)?;
-        let turn = line.turn(id)?;
+        let queue = self.queues.by_subject.get(subject)?;
+        let entry = queue.get(id)?;
         let found = Candidates::find(
             &view,
-            &turn.request,
-            &turn.tried,
+            &entry.request,
+            &entry.tried,
             &admission.policy,
             &self.table,
             now,
         );
         if found.is_empty() {
             let reason = Reason::NoTarget(subject.name().to_owned());
-            return Some(Refusal::not_run(reason).retry(ABSENT));
+            return Some(Refusal::not_run(reason).retry(NO_TARGET_RETRY_AFTER));
         }
-        let pace = line.pace(found.pace());
-        let wait = pace.saturating_mul(line.ahead(id));
-        let late = now + wait + turn.service() > turn.request.deadline;
-        late.then(|| Refusal::not_run(Reason::Late).retry(wait.max(pace)))
+        let start_interval = queue.start_interval(found.mean_start_interval());
+        let wait = start_interval.saturating_mul(queue.ahead(id));
+        let late = now + wait + entry.service() > entry.request.deadline;
+        late.then(|| Refusal::not_run(Reason::Late).retry(wait.max(start_interval)))
     }
 }
--- a/crates/zinniastall-entry/src/callers/admission/line.rs
+++ b/crates/zinniastall-entry/src/callers/admission/subject_queue.rs
@@ -13,41 +13,41 @@
     spill::Gate,
 };
 
-use super::Flight;
+use super::InFlight;
 
 /// Times that a request may be passed over for one that a target has cached.
-const PASSED: u32 = 8;
+const MAX_SKIPS: u32 = 8;
 /// Weight of the newest value in the mean time from start to start.
-const NEWEST: f64 = 0.05;
+const START_INTERVAL_WEIGHT: f64 = 0.05;
 
 /// Waiting requests of one model or service.
 #[derive(Debug, Default)]
-pub(super) struct Line {
+pub(super) struct SubjectQueue {
     /// Share of requests that goes elsewhere.
     pub(super) gate: Gate,
     queue: Option<Queue>,
-    turns: IndexMap<Id, Turn>,
+    entries: IndexMap<Id, Entry>,
     /// Last start out of the queue, while it is not empty.
     started: Option<Instant>,
     /// Mean time from start to start, in seconds.
-    pace: Option<f64>,
+    start_interval: Option<f64>,
 }
 
 /// A waiting request.
 #[derive(Debug)]
-pub(super) struct Turn {
+pub(super) struct Entry {
     waiter: Waiter,
     /// How often another one went in its turn.
-    passed: u32,
+    skipped: u32,
     /// The request.
     pub(super) request: Request,
     /// Targets that have failed it already.
     pub(super) tried: Vec<id::Target>,
     /// Where its grant goes.
-    pub(super) sender: oneshot::Sender<Flight>,
+    pub(super) sender: oneshot::Sender<InFlight>,
 }
 
-impl Turn {
+impl Entry {
     /// Returns the time that the request will take once it starts.
     pub(super) const fn service(&self) -> Duration {
         self.waiter.service
@@ -58,19 +58,20 @@
 #[derive(Debug)]
 pub(super) struct Grant {
     /// Where it goes.
-    pub(super) sender: oneshot::Sender<Flight>,
+    pub(super) sender: oneshot::Sender<InFlight>,
     /// The start.
-    pub(super) flight: Flight,
+    pub(super) in_flight: InFlight,
 }
 
-impl Line {
+impl SubjectQueue {
     pub(super) fn is_empty(&self) -> bool {
-        self.turns.is_empty()
+        self.entries.is_empty()
     }
 
     /// Returns the expected wait of a further request.
-    pub(super) fn wait(&self, expected: Duration) -> Duration {
-        self.pace(expected).saturating_mul(count(self.turns.len()))
+    pub(super) fn expected_wait(&self, expected: Duration) -> Duration {
+        self.start_interval(expected)
+            .saturating_mul(count(self.entries.len()))
     }
 
     /// Lets a request wait.
@@ -78,7 +79,7 @@
     /// # Errors
     ///
     /// See [`Queue::arrive`].
-    pub(super) fn arrive(
+    pub(super) fn enqueue(
         &mut self,
         policy: &Policy,
         waiter: Waiter,
@@ -86,61 +87,65 @@
         tried: &[id::Target],
         expected: Duration,
         now: Instant,
-    ) -> Result<oneshot::Receiver<Flight>, Refusal> {
-        let pace = self.pace(expected);
+    ) -> Result<oneshot::Receiver<InFlight>, Refusal> {
+        let start_interval = self.start_interval(expected);
         let queue = self
             .queue
             .get_or_insert_with(|| Queue::new(policy.longest_queue()));
-        queue.arrive(&waiter, pace, now)?;
+        queue.arrive(&waiter, start_interval, now)?;
         let (sender, receiver) = oneshot::channel();
-        let turn = Turn {
+        let entry = Entry {
             waiter,
-            passed: 0,
+            skipped: 0,
             request: request.clone(),
             tried: tried.to_vec(),
             sender,
         };
-        self.turns.insert(turn.waiter.id, turn);
+        self.entries.insert(entry.waiter.id, entry);
         Ok(receiver)
     }
 
     /// Returns requests that may go next, the one whose turn it is first; only that one if it has
     /// been passed over often enough.
-    pub(super) fn first(&self, count: usize) -> Vec<(Id, &Turn)> {
+    pub(super) fn next_entries(&self, count: usize) -> Vec<(Id, &Entry)> {
         let first = self.queue.as_ref().map(|queue| queue.first(count));
         let first = first.unwrap_or_default().into_iter();
         let mut first: Vec<_> = first
-            .filter_map(|id| Some((id, self.turns.get(&id)?)))
+            .filter_map(|id| Some((id, self.entries.get(&id)?)))
             .collect();
-        if first.first().is_some_and(|(_, turn)| turn.passed >= PASSED) {
+        if first
+            .first()
+            .is_some_and(|(_, entry)| entry.skipped >= MAX_SKIPS)
+        {
             first.truncate(1);
         }
         first
     }
 
     /// Takes out a request that goes now.
-    pub(super) fn take(&mut self, id: Id, now: Instant) -> Option<Turn> {
+    pub(super) fn take(&mut self, id: Id, now: Instant) -> Option<Entry> {
         let queue = self.queue.as_mut()?;
         let head = queue.first(1).first().copied();
-        if let Some(passed) = head.filter(|head| *head != id) {
-            self.turns[&passed].passed += 1;
+        if let Some(skipped) = head.filter(|head| *head != id) {
+            self.entries[&skipped].skipped += 1;
         }
         queue.take(id);
-        let turn = self.turns.swap_remove(&id)?;
+        let entry = self.entries.swap_remove(&id)?;
         if let Some(started) = self.started {
-            let took = now.saturating_duration_since(started).as_secs_f64();
-            let mean = self.pace.unwrap_or(took);
-            self.pace = Some(mean + (took - mean) * NEWEST);
+            let interval = now.saturating_duration_since(started).as_secs_f64();
+            let mean = self.start_interval.unwrap_or(interval);
+            self.start_interval = Some(mean + (interval - mean) * START_INTERVAL_WEIGHT);
         }
-        self.started = (!self.turns.is_empty()).then_some(now);
-        Some(turn)
+        self.started = (!self.entries.is_empty()).then_some(now);
+        Some(entry)
     }
 
     /// Returns the time from start to start as it was seen, or else as it is expected. Other
     /// instances use the same targets, so what was seen counts.
-    pub(super) fn pace(&self, expected: Duration) -> Duration {
-        self.pace
-            .map_or(expected, |pace| Duration::from_secs_f64(pace).max(expected))
+    pub(super) fn start_interval(&self, expected: Duration) -> Duration {
+        self.start_interval.map_or(expected, |start_interval| {
+            Duration::from_secs_f64(start_interval).max(expected)
+        })
     }
 
     /// Takes out a request that does not want to wait any longer.
@@ -148,17 +153,17 @@
         if let Some(queue) = &mut self.queue {
             queue.remove(id);
         }
-        self.turns.swap_remove(&id);
+        self.entries.swap_remove(&id);
     }
 
     /// Returns a waiting request.
-    pub(super) fn turn(&self, id: Id) -> Option<&Turn> {
-        self.turns.get(&id)
+    pub(super) fn get(&self, id: Id) -> Option<&Entry> {
+        self.entries.get(&id)
     }
 
     /// Returns how many waiting requests go before one.
     pub(super) fn ahead(&self, id: Id) -> u32 {
-        let waiter = self.turns.get(&id).map(|turn| &turn.waiter);
+        let waiter = self.entries.get(&id).map(|entry| &entry.waiter);
         let ahead = self.queue.as_ref().zip(waiter);
         count(ahead.map_or(0, |(queue, waiter)| queue.ahead_of(waiter)))
     }
--- a/crates/zinniastall-entry/src/callers/attempts.rs
+++ b/crates/zinniastall-entry/src/callers/attempts.rs
@@ -10,10 +10,10 @@
 };
 
 use super::{
-    admission::{Away, Flight, Verdict},
+    admission::{Decision, Forwarded, InFlight},
+    call::Call,
     forward,
-    parcel::Parcel,
-    path::{Answer, UNREACHABLE},
+    pipeline::{Answer, UNREACHABLE_RETRY_AFTER},
     relay,
     reply::Body,
     target,
@@ -23,43 +23,43 @@
 /// Tries targets until one answers or the request has to end.
 pub(super) fn dispatch<'a>(
     worker: &'a Rc<Worker>,
-    parcel: &'a Rc<Parcel>,
+    call: &'a Rc<Call>,
 ) -> LocalBoxFuture<'a, Result<Answer, Refusal>> {
-    attempts(worker, parcel).boxed_local()
+    attempts(worker, call).boxed_local()
 }
 
-async fn attempts(worker: &Rc<Worker>, parcel: &Rc<Parcel>) -> Result<Answer, Refusal> {
-    let request = &parcel.request;
+async fn attempts(worker: &Rc<Worker>, call: &Rc<Call>) -> Result<Answer, Refusal> {
+    let request = &call.request;
     let admission = &worker.service.admission;
     let mut earlier: Option<Refusal> = None;
     let mut tried: Vec<id::Target> = Vec::new();
-    let mut made = 0;
+    let mut attempts_made = 0;
     loop {
-        let verdict = match admission.admit(request, &tried) {
-            Ok(verdict) => verdict,
+        let decision = match admission.admit(request, &tried) {
+            Ok(decision) => decision,
             // The budget has paid for one more attempt. Where no other target is left, the one that
             // lost a connection may have lost just that.
-            Err(refusal) if nobody_else(&refusal, earlier.as_ref(), &tried) => {
+            Err(refusal) if only_tried_left(&refusal, earlier.as_ref(), &tried) => {
                 tried.clear();
                 continue;
             }
-            Err(refusal) => return Err(last(earlier, refusal)),
+            Err(refusal) => return Err(merge_last(earlier, refusal)),
         };
-        let attempt = match verdict {
-            Verdict::Here(flight) => attempt(worker, parcel, *flight, &mut tried).await,
-            Verdict::Away(away) => send_away(worker, parcel, away).await,
-            Verdict::Wait(waiting) => match waiting.turn().await {
-                Ok(flight) => attempt(worker, parcel, flight, &mut tried).await,
-                Err(refusal) => return Err(last(earlier, refusal)),
+        let attempt = match decision {
+            Decision::Local(in_flight) => attempt_local(worker, call, *in_flight, &mut tried).await,
+            Decision::Forwarded(forwarded) => attempt_forwarded(worker, call, forwarded).await,
+            Decision::Queued(queued) => match queued.granted().await {
+                Ok(in_flight) => attempt_local(worker, call, in_flight, &mut tried).await,
+                Err(refusal) => return Err(merge_last(earlier, refusal)),
             },
         };
         let refusal = match attempt {
             Ok(answer) => return Ok(answer),
             Err(refusal) => refusal,
         };
-        made += 1;
+        attempts_made += 1;
         let progress = Progress {
-            attempts: made,
+            attempts: attempts_made,
             relayed: false,
             budget: true,
         };
@@ -73,13 +73,13 @@
 }
 
 /// Returns whether only targets are left that have lost this request already.
-fn nobody_else(refusal: &Refusal, earlier: Option<&Refusal>, tried: &[id::Target]) -> bool {
+fn only_tried_left(refusal: &Refusal, earlier: Option<&Refusal>, tried: &[id::Target]) -> bool {
     let lost = earlier.is_some_and(|earlier| earlier.outcome == Outcome::Unknown);
     lost && !tried.is_empty() && matches!(refusal.reason, Reason::NoTarget(_))
 }
 
 /// Merges the end of a request that found nowhere else to go with that of its attempts.
-fn last(earlier: Option<Refusal>, refusal: Refusal) -> Refusal {
+fn merge_last(earlier: Option<Refusal>, refusal: Refusal) -> Refusal {
     let retry = refusal.retry;
     match earlier {
         Some(earlier) => Refusal {
@@ -90,93 +90,93 @@
     }
 }
 
-async fn attempt(
+async fn attempt_local(
     worker: &Rc<Worker>,
-    parcel: &Rc<Parcel>,
-    flight: Flight,
+    call: &Rc<Call>,
+    in_flight: InFlight,
     tried: &mut Vec<id::Target>,
 ) -> Result<Answer, Refusal> {
-    tried.push(flight.target().clone());
+    tried.push(in_flight.target().clone());
     let here = worker.view().place.clone();
     worker
-        .check_again(&parcel.request, &here)
+        .check_again(&call.request, &here)
         .map_err(Refusal::not_run)?;
-    let report = flight.report()?;
-    let flight = Rc::new(RefCell::new(flight));
+    let report = in_flight.report()?;
+    let in_flight = Rc::new(RefCell::new(in_flight));
     let failed = |refusal: Refusal| {
-        flight.borrow_mut().failed(&refusal);
+        in_flight.borrow_mut().failed(&refusal);
         refusal
     };
-    let mut reply = target::send(&worker.client, &report, parcel, 0)
+    let mut reply = target::send(&worker.client, &report, call, 0)
         .await
         .map_err(failed)?;
     let (events, fault) = (reply.events, reply.status >= 500);
-    let stall = worker.service.stall;
-    reply.body = relay::bounded(reply.body, events, parcel.request.deadline, stall);
-    if events && parcel.request.events {
-        reply.body = relay::events(worker, parcel, &flight, reply.body);
+    let stall_timeout = worker.service.stall_timeout;
+    reply.body = relay::with_timeouts(reply.body, events, call.request.deadline, stall_timeout);
+    if events && call.request.events {
+        reply.body = relay::resumable_events(worker, call, &in_flight, reply.body);
     }
-    reply.body = holding(reply.body, &flight, fault);
+    reply.body = track_in_flight(reply.body, &in_flight, fault);
     if events {
-        relay::first(&mut reply).await?;
+        relay::await_first_part(&mut reply).await?;
     }
-    let whole = relay::gather(&mut reply).await?;
-    Ok((reply, whole))
+    let buffered = relay::buffer(&mut reply).await?;
+    Ok((reply, buffered))
 }
 
-async fn send_away(
+async fn attempt_forwarded(
     worker: &Rc<Worker>,
-    parcel: &Parcel,
-    mut away: Away,
+    call: &Call,
+    mut forwarded: Forwarded,
 ) -> Result<Answer, Refusal> {
-    let refused = |reason| Err(Refusal::not_run(reason).retry(UNREACHABLE));
+    let refused = |reason| Err(Refusal::not_run(reason).retry(UNREACHABLE_RETRY_AFTER));
     worker
-        .check_again(&parcel.request, away.place())
+        .check_again(&call.request, forwarded.place())
         .map_err(Refusal::not_run)?;
     let view = worker.view();
-    let Some(peer) = forward::peer_of(&view, away.place()) else {
+    let Some(peer) = forward::choose_peer(&view, forwarded.place()) else {
         return refused(Reason::Unreachable);
     };
-    let hops = away.hops().to_vec();
-    let sent = forward::send(worker, parcel, peer, hops).await;
-    let mut reply = sent.inspect_err(|refusal| away.failed(refusal))?;
-    let stall = worker.service.stall;
+    let hops = forwarded.hops().to_vec();
+    let sent = forward::send(worker, call, peer, hops).await;
+    let mut reply = sent.inspect_err(|refusal| forwarded.failed(refusal))?;
+    let stall_timeout = worker.service.stall_timeout;
     let events = reply.events;
-    reply.body = relay::bounded(reply.body, events, parcel.request.deadline, stall);
-    reply.body = keeping(reply.body, away);
+    reply.body = relay::with_timeouts(reply.body, events, call.request.deadline, stall_timeout);
+    reply.body = track_forwarded(reply.body, forwarded);
     if events {
-        relay::first(&mut reply).await?;
+        relay::await_first_part(&mut reply).await?;
     }
-    let whole = relay::gather(&mut reply).await?;
-    Ok((reply, whole))
+    let buffered = relay::buffer(&mut reply).await?;
+    Ok((reply, buffered))
 }
 
 /// Keeps a request counted until its body has ended or is dropped.
-fn holding(body: Body, flight: &Rc<RefCell<Flight>>, fault: bool) -> Body {
-    let state = (body, Rc::clone(flight));
-    let next = move |(mut body, flight): (Body, Rc<RefCell<Flight>>)| async move {
+fn track_in_flight(body: Body, in_flight: &Rc<RefCell<InFlight>>, fault: bool) -> Body {
+    let state = (body, Rc::clone(in_flight));
+    let next = move |(mut body, in_flight): (Body, Rc<RefCell<InFlight>>)| async move {
         let part = body.next().await;
         match &part {
-            None if !fault => flight.borrow_mut().answered(),
-            None => flight
+            None if !fault => in_flight.borrow_mut().answered(),
+            None => in_flight
                 .borrow_mut()
                 .failed(&Refusal::unknown(Reason::Broken)),
-            Some(Err(refusal)) => flight.borrow_mut().failed(refusal),
+            Some(Err(refusal)) => in_flight.borrow_mut().failed(refusal),
             Some(Ok(_)) => {}
         }
-        Some((part?, (body, flight)))
+        Some((part?, (body, in_flight)))
     };
     stream::unfold(state, next).boxed_local()
 }
 
 /// Keeps a request counted at its place until its body has ended or is dropped.
-fn keeping(body: Body, away: Away) -> Body {
-    let next = |(mut body, mut away): (Body, Away)| async move {
+fn track_forwarded(body: Body, forwarded: Forwarded) -> Body {
+    let next = |(mut body, mut forwarded): (Body, Forwarded)| async move {
         let part = body.next().await?;
         if let Err(refusal) = &part {
-            away.failed(refusal);
+            forwarded.failed(refusal);
         }
-        Some((part, (body, away)))
+        Some((part, (body, forwarded)))
     };
-    stream::unfold((body, away), next).boxed_local()
+    stream::unfold((body, forwarded), next).boxed_local()
 }
--- a/crates/zinniastall-entry/src/callers/parcel.rs
+++ b/crates/zinniastall-entry/src/callers/call.rs
@@ -6,7 +6,7 @@
 
 /// A request with its payload.
 #[derive(Debug, Clone)]
-pub struct Parcel {
+pub struct Call {
     /// What the filters know of it.
     pub request: Request,
     /// HTTP method.
@@ -21,7 +21,7 @@
 
 /// Headers that belong to one connection or that each hop sets anew. The key stays at the instance
 /// that received it: a target that saw it could act as the client.
-const OWN: [&str; 13] = [
+const NOT_FORWARDED: [&str; 13] = [
     "authorization",
     "connection",
     "content-length",
@@ -39,14 +39,14 @@
 
 /// Prefix of the system's own headers. They are never passed on from outside: a forged one would
 /// be taken for the system's word.
-const SYSTEM: &str = "x-zinniastall-";
+const SYSTEM_PREFIX: &str = "x-zinniastall-";
 
 /// Returns whether a header passes from one connection to the next. Names are in lower case.
-pub fn passes(name: &str) -> bool {
-    !name.starts_with(SYSTEM) && !OWN.contains(&name)
+pub fn is_forwarded(name: &str) -> bool {
+    !name.starts_with(SYSTEM_PREFIX) && !NOT_FORWARDED.contains(&name)
 }
 
-impl Parcel {
+impl Call {
     /// Returns the system's own headers for a target.
     pub fn system_headers(&self, left_ms: u64, offset: u64) -> Vec<(&'static str, String)> {
         let mut headers = vec![
--- a/crates/zinniastall-entry/src/callers/settle.rs
+++ b/crates/zinniastall-entry/src/callers/completion.rs
@@ -12,7 +12,7 @@
 
 /// Records how one request ends; dropping it unsettled records that the caller went away.
 #[derive(Debug)]
-pub struct Settle {
+pub struct Completion {
     recorder: Recorder,
     request: String,
     client: String,
@@ -26,17 +26,17 @@
     first: Option<Duration>,
     /// Instance that sent the request; empty for one that came from a caller.
     sender: String,
-    settled: bool,
+    recorded: bool,
     progress: Option<Started>,
 }
 
-impl Settle {
+impl Completion {
     /// Starts the clock of a caller's request that is not identified yet.
     pub fn new(recorder: Recorder, progress: Started, request: String) -> Self {
-        let mut settle = Self::forwarded(recorder, "");
-        settle.request = request;
-        settle.progress = Some(progress);
-        settle
+        let mut completion = Self::forwarded(recorder, "");
+        completion.request = request;
+        completion.progress = Some(progress);
+        completion
     }
 
     /// Starts the clock of a request that another instance sent. Its caller's instance records the
@@ -54,7 +54,7 @@
             started: Instant::now(),
             first: None,
             sender: sender.to_owned(),
-            settled: false,
+            recorded: false,
             progress: None,
         }
     }
@@ -88,11 +88,11 @@
     }
 
     /// Notes the first part of the answer.
-    pub fn first(&mut self) {
+    pub fn first_part(&mut self) {
         if self.first.is_none() {
             let first = self.started.elapsed();
             self.first = Some(first);
-            let name = self.name("request.first", "forwarded.first");
+            let name = self.metric_name("request.first", "forwarded.first");
             self.recorder.time(name, &self.client, &self.class, first);
         }
     }
@@ -104,15 +104,15 @@
 
     /// Records a whole answer.
     pub fn answered(&mut self) {
-        self.first();
-        let whole = self.started.elapsed();
-        let name = self.name("request.whole", "forwarded.whole");
-        self.recorder.time(name, &self.client, &self.class, whole);
+        self.first_part();
+        let total = self.started.elapsed();
+        let name = self.metric_name("request.whole", "forwarded.whole");
+        self.recorder.time(name, &self.client, &self.class, total);
         self.end(Outcome::Answered, "");
     }
 
     /// Chooses between the names for callers' and for other instances' requests.
-    const fn name(&self, caller: &'static str, sender: &'static str) -> &'static str {
+    const fn metric_name(&self, caller: &'static str, sender: &'static str) -> &'static str {
         if self.sender.is_empty() {
             caller
         } else {
@@ -121,19 +121,19 @@
     }
 
     fn end(&mut self, outcome: Outcome, reason: &str) {
-        if std::mem::replace(&mut self.settled, true) {
+        if std::mem::replace(&mut self.recorded, true) {
             return;
         }
         let took = self.started.elapsed();
         if outcome != Outcome::Answered {
             let name = match outcome {
-                Outcome::NotRun => self.name("request.not_run", "forwarded.not_run"),
-                _ => self.name("request.unknown", "forwarded.unknown"),
+                Outcome::NotRun => self.metric_name("request.not_run", "forwarded.not_run"),
+                _ => self.metric_name("request.unknown", "forwarded.unknown"),
             };
             self.recorder.time(name, &self.client, &self.class, took);
         }
         tracing::info!(
-            event = self.name("request", "forwarded"),
+            event = self.metric_name("request", "forwarded"),
             request = self.request,
             outcome = outcome.as_str(),
             reason,
@@ -150,19 +150,19 @@
     }
 
     /// Settles a request when its relayed body ends.
-    pub fn follow(self, body: Body) -> Body {
-        let next = |(mut body, mut settle): (Body, Self)| async move {
+    pub fn track_body(self, body: Body) -> Body {
+        let next = |(mut body, mut completion): (Body, Self)| async move {
             match body.next().await {
                 Some(Ok(bytes)) => {
-                    settle.first();
-                    Some((Ok(bytes), (body, settle)))
+                    completion.first_part();
+                    Some((Ok(bytes), (body, completion)))
                 }
                 Some(Err(refusal)) => {
-                    settle.refused(&refusal);
-                    Some((Err(refusal), (body, settle)))
+                    completion.refused(&refusal);
+                    Some((Err(refusal), (body, completion)))
                 }
                 None => {
-                    settle.answered();
+                    completion.answered();
                     None
                 }
             }
@@ -171,7 +171,7 @@
     }
 }
 
-impl Drop for Settle {
+impl Drop for Completion {
     fn drop(&mut self) {
         self.end(Outcome::Unknown, "caller-gone");
     }
--- a/crates/zinniastall-entry/src/callers/connection.rs
+++ b/crates/zinniastall-entry/src/callers/connection.rs
@@ -23,41 +23,41 @@
 use zinniastall_model::{header::INSTANCE, header::OUTCOME, id};
 use zinniastall_route::outcome::{Reason, Refusal};
 
-use super::answer::error_json;
+use super::response::error_json;
 
 /// How the library announces an answer without a body.
-const EMPTY: &str = "\r\ncontent-length: 0\r\n";
+const EMPTY_BODY_HEADER: &str = "\r\ncontent-length: 0\r\n";
 /// Longest bare answer of the library; its status line, length, connection and date.
-const BARE: usize = 256;
+const MAX_BARE_RESPONSE_BYTES: usize = 256;
 
 /// Answers of the application on one connection.
 #[derive(Debug, Clone, Default)]
-pub struct Answers(Rc<Written>);
+pub struct Responses(Rc<ResponseState>);
 
 #[derive(Debug, Default)]
-struct Written {
+struct ResponseState {
     open: Cell<usize>,
     /// An answer has ended and may not have been flushed.
     ended: Cell<bool>,
 }
 
-impl Answers {
+impl Responses {
     /// Marks the start of an answer.
-    pub fn start(&self) -> Answering {
+    pub fn start(&self) -> ResponseGuard {
         self.0.open.set(self.0.open.get() + 1);
-        Answering(Rc::clone(&self.0))
+        ResponseGuard(Rc::clone(&self.0))
     }
 
-    fn none(&self) -> bool {
+    fn is_idle(&self) -> bool {
         self.0.open.get() == 0 && !self.0.ended.get()
     }
 }
 
 /// An answer that the application has started; dropping it ends the answer.
 #[derive(Debug)]
-pub struct Answering(Rc<Written>);
+pub struct ResponseGuard(Rc<ResponseState>);
 
-impl Drop for Answering {
+impl Drop for ResponseGuard {
     fn drop(&mut self) {
         self.0.open.set(self.0.open.get() - 1);
         self.0.ended.set(true);
@@ -66,22 +66,22 @@
 
 /// The body of an answer, which is open for as long as its body is held.
 #[derive(Debug)]
-pub struct Held<B> {
+pub struct GuardedBody<B> {
     body: B,
-    _answering: Answering,
+    _guard: ResponseGuard,
 }
 
-impl<B> Held<B> {
+impl<B> GuardedBody<B> {
     /// Holds an answer open until its body has been written.
-    pub const fn new(body: B, answering: Answering) -> Self {
+    pub const fn new(body: B, guard: ResponseGuard) -> Self {
         Self {
             body,
-            _answering: answering,
+            _guard: guard,
         }
     }
 }
 
-impl<B: MessageBody + Unpin> MessageBody for Held<B> {
+impl<B: MessageBody + Unpin> MessageBody for GuardedBody<B> {
     type Error = B::Error;
 
     fn size(&self) -> BodySize {
@@ -101,11 +101,11 @@
 pub struct Connection {
     stream: TcpStream,
     instance: id::Instance,
-    answers: Answers,
+    responses: Responses,
     /// Everything written so far has been flushed.
     flushed: bool,
     /// What is left of an explained refusal, and the length of the bare one it replaces.
-    explained: Option<(Bytes, usize)>,
+    replacement: Option<(Bytes, usize)>,
 }
 
 impl Connection {
@@ -114,22 +114,22 @@
         Self {
             stream,
             instance,
-            answers: Answers::default(),
+            responses: Responses::default(),
             flushed: true,
-            explained: None,
+            replacement: None,
         }
     }
 
     /// Returns the answers of the application on this connection.
-    pub fn answers(&self) -> Answers {
-        self.answers.clone()
+    pub fn responses(&self) -> Responses {
+        self.responses.clone()
     }
 
-    fn explain(&self, bytes: &[u8]) -> Option<Bytes> {
-        if !self.flushed || bytes.len() > BARE || !self.answers.none() {
+    fn typed_refusal(&self, bytes: &[u8]) -> Option<Bytes> {
+        if !self.flushed || bytes.len() > MAX_BARE_RESPONSE_BYTES || !self.responses.is_idle() {
             return None;
         }
-        explain(std::str::from_utf8(bytes).ok()?, &self.instance).map(Bytes::from)
+        typed_refusal(std::str::from_utf8(bytes).ok()?, &self.instance).map(Bytes::from)
     }
 
     fn stream(self: Pin<&mut Self>) -> Pin<&mut TcpStream> {
@@ -138,7 +138,7 @@
 }
 
 /// Returns a bare refusal with a body, and nothing for any other text.
-fn explain(text: &str, instance: &str) -> Option<String> {
+fn typed_refusal(text: &str, instance: &str) -> Option<String> {
     let head = text.strip_suffix("\r\n\r\n")?;
     let status = head
         .strip_prefix("HTTP/1.1 ")
@@ -150,8 +150,8 @@
         body.len(),
         refusal.outcome.as_str(),
     );
-    let bare = text.contains(EMPTY) && !head.contains("\r\n\r\n");
-    bare.then(|| text.replacen(EMPTY, &fields, 1) + &body)
+    let is_bare = text.contains(EMPTY_BODY_HEADER) && !head.contains("\r\n\r\n");
+    is_bare.then(|| text.replacen(EMPTY_BODY_HEADER, &fields, 1) + &body)
 }
 
 /// Returns why the library answers with a status.
@@ -181,11 +181,11 @@
         bytes: &[u8],
     ) -> Poll<io::Result<usize>> {
         let this = self.get_mut();
-        if this.explained.is_none() {
-            this.explained = this.explain(bytes).map(|text| (text, bytes.len()));
+        if this.replacement.is_none() {
+            this.replacement = this.typed_refusal(bytes).map(|text| (text, bytes.len()));
         }
         this.flushed = false;
-        let Some((rest, length)) = &mut this.explained else {
+        let Some((rest, length)) = &mut this.replacement else {
             return Pin::new(&mut this.stream).poll_write(context, bytes);
         };
         while rest.has_remaining() {
@@ -196,7 +196,7 @@
             rest.advance(written);
         }
         let length = *length;
-        this.explained = None;
+        this.replacement = None;
         Poll::Ready(Ok(length))
     }
 
@@ -206,7 +206,7 @@
         // The library flushes when its buffer is empty, so the next write starts an answer or goes
         // on with one that is open.
         this.flushed = true;
-        this.answers.0.ended.set(false);
+        this.responses.0.ended.set(false);
         Poll::Ready(Ok(()))
     }
 
--- a/crates/zinniastall-entry/src/callers/forward/credit.rs
+++ b/crates/zinniastall-entry/src/callers/forward/credit.rs
@@ -4,7 +4,7 @@
 
 use tokio::{sync::Notify, time::timeout};
 
-use super::SILENCE;
+use super::LINK_TIMEOUT;
 
 /// How much of an answer its sender may still send.
 ///
@@ -37,7 +37,7 @@
     /// Waits until the end of the answer has arrived, as long as the other end shows life.
     pub(super) async fn delivered(&self) {
         while !self.delivered.get() {
-            if timeout(SILENCE, self.more.notified()).await.is_err() {
+            if timeout(LINK_TIMEOUT, self.more.notified()).await.is_err() {
                 return;
             }
         }
--- a/crates/zinniastall-entry/src/callers/forward/answer.rs
+++ b/crates/zinniastall-entry/src/callers/forward/handler.rs
@@ -13,13 +13,13 @@
 use zinniastall_wire::stream::{Message, Open, Stream};
 
 use super::{credit::Credit, failure, head, open};
-use crate::callers::{path, settle::Settle, worker::Worker};
+use crate::callers::{completion::Completion, pipeline, worker::Worker};
 
 /// Longest part of an answer in one message, in bytes.
-const PART: usize = 32 * 1024;
+const MAX_PART_BYTES: usize = 32 * 1024;
 
 /// Serves a request and sends its answer over the link on which it came.
-pub(super) async fn answer(
+pub(super) async fn handle(
     worker: Rc<Worker>,
     sender: Address,
     open: Open,
@@ -28,18 +28,18 @@
 ) {
     let _progress = worker.service.progress.start();
     let stream = open.stream;
-    let mut settle = Settle::forwarded(worker.recorder.clone(), &sender.instance);
-    let end = match run(&worker, &sender, open, &mut settle).await {
-        Ok(answer) => relay(stream, answer, &credit, &out, &mut settle).await,
+    let mut completion = Completion::forwarded(worker.recorder.clone(), &sender.instance);
+    let end = match run(&worker, &sender, open, &mut completion).await {
+        Ok(answer) => relay(stream, answer, &credit, &out, &mut completion).await,
         Err(refusal) => Err(refusal),
     };
     let last = match end {
         Ok(length) => {
-            settle.answered();
+            completion.answered();
             Message::End { stream, length }
         }
         Err(refusal) => {
-            settle.refused(&refusal);
+            completion.refused(&refusal);
             let failure = failure(&refusal);
             Message::Failed { stream, failure }
         }
@@ -55,17 +55,17 @@
     worker: &Rc<Worker>,
     sender: &Address,
     mut open: Open,
-    settle: &mut Settle,
-) -> Result<path::Answer, Refusal> {
-    settle.opened(&open);
-    catch_up(worker, &mut open).await;
+    completion: &mut Completion,
+) -> Result<pipeline::Answer, Refusal> {
+    completion.opened(&open);
+    await_revision(worker, &mut open).await;
     let ticket = open.ticket.clone();
-    let parcel = open::unpack(worker, sender, open).map_err(|refusal| {
+    let call = open::unpack(worker, sender, open).map_err(|refusal| {
         let tickets = &worker.service.tickets;
-        tickets.turned_away(refusal, ticket.as_deref(), Some(sender))
+        tickets.rejected_early(refusal, ticket.as_deref(), Some(sender))
     })?;
-    settle.identified(&parcel.request);
-    path::serve_forwarded(worker, parcel, sender).await
+    completion.identified(&call.request);
+    pipeline::serve_forwarded(worker, call, sender).await
 }
 
 /// Waits, within bounds, for the configuration under which the sender judged a request.
@@ -74,14 +74,14 @@
 /// moment ago would be told that it is unknown, although its own region has accepted it. The change
 /// is on its way here already, so waiting costs less than fetching. If it does not come in time, the
 /// request is judged by what is held, and the stricter of both revisions wins.
-async fn catch_up(worker: &Worker, open: &mut Open) {
+async fn await_revision(worker: &Worker, open: &mut Open) {
     let board = &worker.service.board;
     if board.view().revision() >= open.revision {
         return;
     }
     let started = Instant::now();
     let left = Duration::from_millis(open.left_ms);
-    let bound = worker.service.behind.min(left / 2);
+    let bound = worker.service.max_revision_wait.min(left / 2);
     // Reached or not, the request is judged now.
     let _ = timeout(bound, board.reach(open.revision)).await;
     let waited = started.elapsed();
@@ -96,24 +96,24 @@
 
 async fn relay(
     stream: Stream,
-    (mut reply, whole): path::Answer,
+    (mut reply, buffered): pipeline::Answer,
     credit: &Credit,
     out: &mpsc::Sender<Message>,
-    settle: &mut Settle,
+    completion: &mut Completion,
 ) -> Result<u64, Refusal> {
-    settle.served(&reply.served.target);
+    completion.served(&reply.served.target);
     let head = Message::Head {
         stream,
         status: reply.status,
-        headers: head::headers(&reply, whole.as_ref().map(Bytes::len)),
+        headers: head::headers(&reply, buffered.as_ref().map(Bytes::len)),
     };
     drop(out.send(head).await);
     let mut offset = 0;
-    if let Some(bytes) = whole {
+    if let Some(bytes) = buffered {
         return Ok(send(stream, offset, bytes, credit, out).await);
     }
     while let Some(part) = reply.body.next().await {
-        settle.first();
+        completion.first_part();
         offset = send(stream, offset, part?, credit, out).await;
     }
     Ok(offset)
@@ -128,7 +128,7 @@
     out: &mpsc::Sender<Message>,
 ) -> u64 {
     while !bytes.is_empty() {
-        let wanted = bytes.len().min(PART) as u64;
+        let wanted = bytes.len().min(MAX_PART_BYTES) as u64;
         let taken = credit.take(wanted).await;
         let part = bytes.split_to(usize::try_from(taken).unwrap_or(bytes.len()));
         let message = Message::Data {
--- a/crates/zinniastall-entry/src/callers/forward/head.rs
+++ b/crates/zinniastall-entry/src/callers/forward/head.rs
@@ -22,9 +22,9 @@
         target: find(TARGET).unwrap_or_default(),
         place: Place::new(region, zone),
     };
-    let own = ["content-length", PLACE, TARGET];
+    let consumed = ["content-length", PLACE, TARGET];
     let mut headers = headers;
-    headers.retain(|(name, _)| !own.contains(&name.as_str()));
+    headers.retain(|(name, _)| !consumed.contains(&name.as_str()));
     Reply {
         status,
         headers,
@@ -37,9 +37,9 @@
 }
 
 /// Returns the headers that carry what a reply is besides its own headers.
-pub(super) fn headers(reply: &Reply, whole: Option<usize>) -> Vec<(String, String)> {
+pub(super) fn headers(reply: &Reply, buffered: Option<usize>) -> Vec<(String, String)> {
     let mut headers = reply.headers.clone();
-    let length = whole.map(|length| length as u64).or(reply.length);
+    let length = buffered.map(|length| length as u64).or(reply.length);
     if let Some(length) = length {
         headers.push(("content-length".to_owned(), length.to_string()));
     }
--- a/crates/zinniastall-entry/src/callers/forward/mod.rs
+++ b/crates/zinniastall-entry/src/callers/forward/mod.rs
@@ -4,8 +4,8 @@
 //! the receiver's end. A traffic thread keeps its own links, so that no request waits for another
 //! thread.
 
-mod answer;
 mod credit;
+mod handler;
 mod head;
 mod mux;
 mod open;
@@ -29,7 +29,7 @@
     stream::{Failure, Message},
 };
 
-use super::{parcel::Parcel, reply::Reply, worker::Worker};
+use super::{call::Call, reply::Reply, worker::Worker};
 use crate::{links::Identity, view::View};
 
 pub use serve::Receiver;
@@ -37,18 +37,18 @@
 use mux::Mux;
 
 /// Bytes of an answer that may be on their way without having been taken by the reader.
-const WINDOW: u64 = 256 * 1024;
+const WINDOW_BYTES: u64 = 256 * 1024;
 /// Time between two pulses on a link that has nothing else to send.
-const PULSE: Duration = Duration::from_secs(1);
+const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
 /// Silence after which a link counts as lost.
-const SILENCE: Duration = Duration::from_secs(3);
+const LINK_TIMEOUT: Duration = Duration::from_secs(3);
 /// Asks the other end for a sign of life; it answers the same. No stream has this number.
-const PULSE_MESSAGE: Message = Message::Credit {
+const KEEPALIVE: Message = Message::Credit {
     stream: 0,
     bytes: 0,
 };
 /// Longest time to open a link. Regions are a slow link apart.
-const DIAL: Duration = Duration::from_secs(3);
+const DIAL_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// One thread's links to other instances.
 #[derive(Debug)]
@@ -67,7 +67,7 @@
     }
 
     /// Returns a link to a run of an instance, opening it if there is none.
-    async fn to(&self, peer: &Peer) -> Result<Rc<Mux>, Refusal> {
+    async fn connect(&self, peer: &Peer) -> Result<Rc<Mux>, Refusal> {
         let unreachable = || Refusal::not_run(Reason::Unreachable);
         if let Some(mux) = self.find(peer) {
             return Ok(mux);
@@ -95,7 +95,7 @@
 }
 
 /// Chooses an instance of a place, a less loaded one with a higher probability.
-pub fn peer_of<'a>(view: &'a View, place: &Place) -> Option<&'a Peer> {
+pub fn choose_peer<'a>(view: &'a View, place: &Place) -> Option<&'a Peer> {
     let peers = view.peers.values();
     let usable: Vec<_> = peers
         .filter(|peer| peer.place == *place && !peer.draining && peer.instance != view.instance)
@@ -114,21 +114,21 @@
 /// "Not run" if no link could be opened or the other instance says so, "unknown" otherwise.
 pub async fn send(
     worker: &Rc<Worker>,
-    parcel: &Parcel,
+    call: &Call,
     peer: &Peer,
     hops: Vec<Place>,
 ) -> Result<Reply, Refusal> {
-    let deadline = parcel.request.deadline;
-    let until = deadline.min(Instant::now() + DIAL);
-    let mux = timeout_at(until.into(), worker.links.to(peer)).await;
+    let deadline = call.request.deadline;
+    let until = deadline.min(Instant::now() + DIAL_TIMEOUT);
+    let mux = timeout_at(until.into(), worker.links.connect(peer)).await;
     let mux = mux.map_err(|_| Refusal::not_run(Reason::Unreachable))??;
     // Opening a link takes seconds over a slow network. A rule that was narrowed meanwhile has been
     // reported as accepted, so the request must not leave by what was in force before.
     worker
-        .check_again(&parcel.request, &peer.place)
+        .check_again(&call.request, &peer.place)
         .map_err(Refusal::not_run)?;
-    let asked = mux.ask(open::pack(parcel, hops));
-    let reply = timeout_at(deadline.into(), asked).await;
+    let reply = mux.request(open::pack(call, hops));
+    let reply = timeout_at(deadline.into(), reply).await;
     reply.map_err(|_| Refusal::unknown(Reason::Deadline))?
 }
 
--- a/crates/zinniastall-entry/src/callers/forward/mux.rs
+++ b/crates/zinniastall-entry/src/callers/forward/mux.rs
@@ -17,8 +17,8 @@
     stream::{Message, Open, Stream},
 };
 
-use super::{PULSE, SILENCE, head::reply, refusal};
-use crate::callers::reply::{Parts, Reply, pull};
+use super::{KEEPALIVE_INTERVAL, LINK_TIMEOUT, head::reply, refusal};
+use crate::callers::reply::{BodySource, Reply, lazy_body};
 
 /// The sender's end of a link.
 ///
@@ -47,13 +47,13 @@
             last: Cell::new(0),
             alive: Cell::new(true),
         });
-        let reading = read(Rc::downgrade(&mux), receiver);
-        let writing = write(queued, sender);
+        let read = read(Rc::downgrade(&mux), receiver);
+        let write = write(queued, sender);
         let ended = Rc::downgrade(&mux);
         actix::spawn(async move {
             tokio::select! {
-                () = reading => {}
-                () = writing => {}
+                () = read => {}
+                () = write => {}
             }
             if let Some(mux) = ended.upgrade() {
                 mux.close();
@@ -77,13 +77,13 @@
     /// # Errors
     ///
     /// What the other instance says; "unknown" if the link breaks.
-    pub(super) async fn ask(self: &Rc<Self>, mut open: Open) -> Result<Reply, Refusal> {
+    pub(super) async fn request(self: &Rc<Self>, mut open: Open) -> Result<Reply, Refusal> {
         let stream = self.last.get() + 1;
         self.last.set(stream);
         open.stream = stream;
         let (sender, receiver) = mpsc::unbounded_channel();
         self.streams.borrow_mut().insert(stream, sender);
-        let mut answer = Answer {
+        let mut answer = StreamBody {
             mux: Rc::clone(self),
             stream,
             receiver,
@@ -95,7 +95,7 @@
         match answer.receiver.recv().await {
             Some(Message::Head {
                 status, headers, ..
-            }) => Ok(reply(status, headers, pull(answer))),
+            }) => Ok(reply(status, headers, lazy_body(answer))),
             Some(Message::Failed { failure, .. }) => {
                 answer.ended = true;
                 Err(refusal(failure))
@@ -120,7 +120,7 @@
 /// A network partition closes nothing: without the pulse each request on the link would wait for its
 /// own deadline, and so would every further one that is sent after it.
 async fn read(mux: std::rc::Weak<Mux>, mut receiver: link::Receiver) {
-    while let Ok(Some(Ok(frame))) = timeout(SILENCE, receiver.next()).await {
+    while let Ok(Some(Ok(frame))) = timeout(LINK_TIMEOUT, receiver.next()).await {
         let Some(mux) = mux.upgrade() else { return };
         let Frame::Stream(message) = frame else {
             return;
@@ -137,10 +137,10 @@
 
 async fn write(mut queued: mpsc::UnboundedReceiver<Message>, mut sender: link::Sender) {
     loop {
-        let message = match timeout(PULSE, queued.recv()).await {
+        let message = match timeout(KEEPALIVE_INTERVAL, queued.recv()).await {
             Ok(Some(message)) => message,
             Ok(None) => return,
-            Err(_) => super::PULSE_MESSAGE,
+            Err(_) => super::KEEPALIVE,
         };
         if sender.send(Frame::Stream(message)).await.is_err() {
             return;
@@ -149,7 +149,7 @@
 }
 
 /// The answer of one stream; dropping it before its end cancels the request over there.
-struct Answer {
+struct StreamBody {
     mux: Rc<Mux>,
     stream: Stream,
     receiver: mpsc::UnboundedReceiver<Message>,
@@ -157,8 +157,8 @@
     ended: bool,
 }
 
-impl Parts for Answer {
-    async fn part(&mut self) -> Result<Option<Bytes>, Refusal> {
+impl BodySource for StreamBody {
+    async fn next_part(&mut self) -> Result<Option<Bytes>, Refusal> {
         let broken = || Refusal::unknown(Reason::Broken);
         match self.receiver.recv().await.ok_or_else(broken)? {
             // A part that is lost, doubled or out of order shows in its offset.
@@ -186,7 +186,7 @@
     }
 }
 
-impl Drop for Answer {
+impl Drop for StreamBody {
     fn drop(&mut self) {
         self.mux.streams.borrow_mut().swap_remove(&self.stream);
         if !self.ended {
--- a/crates/zinniastall-entry/src/callers/forward/open.rs
+++ b/crates/zinniastall-entry/src/callers/forward/open.rs
@@ -15,11 +15,11 @@
 };
 use zinniastall_wire::stream::Open;
 
-use crate::callers::{accept, parcel::Parcel, reply::left_ms, worker::Worker};
+use crate::callers::{accept, call::Call, reply::remaining_ms, worker::Worker};
 
 /// Makes the message that opens a stream; the link gives it its number.
-pub(super) fn pack(parcel: &Parcel, hops: Vec<Place>) -> Open {
-    let request = &parcel.request;
+pub(super) fn pack(call: &Call, hops: Vec<Place>) -> Open {
+    let request = &call.request;
     Open {
         stream: 0,
         request: request.id.clone(),
@@ -31,11 +31,11 @@
         regions: request.regions.clone(),
         idempotent: request.idempotent,
         ticket: request.ticket.clone(),
-        left_ms: left_ms(request.deadline),
-        method: parcel.method.clone(),
-        path: parcel.path.clone(),
-        headers: parcel.headers.clone(),
-        body: parcel.body.to_vec(),
+        left_ms: remaining_ms(request.deadline),
+        method: call.method.clone(),
+        path: call.path.clone(),
+        headers: call.headers.clone(),
+        body: call.body.to_vec(),
     }
 }
 
@@ -47,14 +47,14 @@
 /// # Errors
 ///
 /// A refusal of a request that has not run.
-pub(super) fn unpack(worker: &Rc<Worker>, sender: &Address, open: Open) -> Result<Parcel, Refusal> {
-    judge(worker, sender, open).map_err(|reason| {
+pub(super) fn unpack(worker: &Rc<Worker>, sender: &Address, open: Open) -> Result<Call, Refusal> {
+    validate(worker, sender, open).map_err(|reason| {
         let retry = Duration::from_millis(500);
         Refusal::not_run(reason).retry(retry)
     })
 }
 
-fn judge(worker: &Rc<Worker>, sender: &Address, open: Open) -> Result<Parcel, Reason> {
+fn validate(worker: &Rc<Worker>, sender: &Address, open: Open) -> Result<Call, Reason> {
     let view = worker.view();
     let from = Place::new(sender.region.clone(), sender.zone.clone());
     hops::check_arrived(&open.hops, &from, &view.place)?;
@@ -81,7 +81,7 @@
         hops: open.hops,
         revision: index.revision(),
     };
-    Ok(Parcel {
+    Ok(Call {
         request,
         method: open.method,
         path: open.path,
--- a/crates/zinniastall-entry/src/callers/forward/serve.rs
+++ b/crates/zinniastall-entry/src/callers/forward/serve.rs
@@ -18,16 +18,16 @@
     stream::{Message, Open, Stream},
 };
 
-use super::{PULSE_MESSAGE, WINDOW, answer::answer, credit::Credit, failure};
+use super::{KEEPALIVE, WINDOW_BYTES, credit::Credit, failure, handler::handle};
 use crate::{
     callers::{Service, worker::Worker},
     links::Acceptor,
 };
 
 /// Most requests of one link in progress; a sender that opens more is wrong.
-const STREAMS: usize = 10_000;
+const MAX_STREAMS: usize = 10_000;
 /// When to come back to a link that carries that many.
-const FULL: Duration = Duration::from_secs(1);
+const FULL_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 /// Takes stream links to a traffic thread of their own.
 #[derive(Debug)]
@@ -78,24 +78,24 @@
 
 /// Requests of one link in progress.
 #[derive(Debug, Default)]
-struct Running {
-    streams: RefCell<IndexMap<Stream, Run>>,
+struct ActiveStreams {
+    streams: RefCell<IndexMap<Stream, ActiveStream>>,
     /// Highest number so far. A sender counts up, so what comes later with a lower one is doubled.
     last: Cell<Stream>,
 }
 
 #[derive(Debug)]
-struct Run {
+struct ActiveStream {
     task: JoinHandle<()>,
     credit: Rc<Credit>,
 }
 
-impl Drop for Running {
+impl Drop for ActiveStreams {
     /// Cancels what still runs when its link breaks: nobody is left to take the answers. Requests with tickets run in
     /// tasks of their own and go on.
     fn drop(&mut self) {
-        for run in self.streams.borrow().values() {
-            run.task.abort();
+        for request in self.streams.borrow().values() {
+            request.task.abort();
         }
     }
 }
@@ -111,16 +111,16 @@
             }
         }
     });
-    let running = Rc::new(Running::default());
+    let active = Rc::new(ActiveStreams::default());
     while let Some(message) = next(&mut receiver).await {
         match message {
-            Message::Open(open) => start(&worker, &running, &sender, *open, out.clone()),
-            Message::Cancel { stream } => cancel(&running, stream),
+            Message::Open(open) => start(&worker, &active, &sender, *open, out.clone()),
+            Message::Cancel { stream } => cancel(&active, stream),
             // A full channel has enough to say.
-            Message::Credit { stream: 0, .. } => drop(out.try_send(PULSE_MESSAGE)),
+            Message::Credit { stream: 0, .. } => drop(out.try_send(KEEPALIVE)),
             Message::Credit { stream, bytes } => {
-                if let Some(run) = running.streams.borrow().get(&stream) {
-                    run.credit.add(bytes);
+                if let Some(request) = active.streams.borrow().get(&stream) {
+                    request.credit.add(bytes);
                 }
             }
             _ => break,
@@ -138,48 +138,48 @@
 
 fn start(
     worker: &Rc<Worker>,
-    running: &Rc<Running>,
+    active: &Rc<ActiveStreams>,
     sender: &Address,
     open: Open,
     out: mpsc::Sender<Message>,
 ) {
     let stream = open.stream;
-    let mut streams = running.streams.borrow_mut();
+    let mut streams = active.streams.borrow_mut();
     // A doubled frame must not run the request again, not even after the end of its answer.
-    if stream <= running.last.get() {
+    if stream <= active.last.get() {
         return;
     }
-    running.last.set(stream);
-    if streams.len() >= STREAMS {
+    active.last.set(stream);
+    if streams.len() >= MAX_STREAMS {
         // Dropped without a word, its caller would wait for the whole deadline.
-        let refusal = Refusal::not_run(Reason::Full).retry(FULL);
+        let refusal = Refusal::not_run(Reason::Full).retry(FULL_RETRY_AFTER);
         let tickets = &worker.service.tickets;
-        let refusal = tickets.turned_away(refusal, open.ticket.as_deref(), Some(sender));
+        let refusal = tickets.rejected_early(refusal, open.ticket.as_deref(), Some(sender));
         let failure = failure(&refusal);
         // A channel that is full as well has answers enough to send.
         return drop(out.try_send(Message::Failed { stream, failure }));
     }
-    let credit = Rc::new(Credit::new(WINDOW));
-    let answer = answer(
+    let credit = Rc::new(Credit::new(WINDOW_BYTES));
+    let handler = handle(
         Rc::clone(worker),
         sender.clone(),
         open,
         Rc::clone(&credit),
         out,
     );
-    let ended = Rc::downgrade(running);
+    let ended = Rc::downgrade(active);
     let task = actix::spawn(async move {
-        answer.await;
-        if let Some(running) = ended.upgrade() {
-            running.streams.borrow_mut().swap_remove(&stream);
+        handler.await;
+        if let Some(active) = ended.upgrade() {
+            active.streams.borrow_mut().swap_remove(&stream);
         }
     });
-    streams.insert(stream, Run { task, credit });
+    streams.insert(stream, ActiveStream { task, credit });
 }
 
-fn cancel(running: &Rc<Running>, stream: Stream) {
-    if let Some(run) = running.streams.borrow_mut().swap_remove(&stream) {
-        run.task.abort();
+fn cancel(active: &Rc<ActiveStreams>, stream: Stream) {
+    if let Some(request) = active.streams.borrow_mut().swap_remove(&stream) {
+        request.task.abort();
     }
 }
 
--- a/crates/zinniastall-entry/src/callers/locate.rs
+++ b/crates/zinniastall-entry/src/callers/locate.rs
@@ -10,11 +10,11 @@
     outcome::{Reason, Refusal},
 };
 
-use super::{accept, answer, worker::Worker};
+use super::{accept, response, worker::Worker};
 use crate::view::View;
 
 /// Most tickets that one answer carries.
-const TICKETS: usize = 100;
+const MAX_TICKETS: usize = 100;
 
 /// What a caller asks for.
 #[derive(Debug, Deserialize)]
@@ -53,14 +53,14 @@
     let view = worker.view();
     match find(&http, &worker, &view) {
         Ok(answer) => HttpResponse::Ok().json(answer),
-        Err(refusal) => answer::refuse(&refusal, "", &view.instance),
+        Err(refusal) => response::refuse(&refusal, "", &view.instance),
     }
 }
 
 fn find(http: &HttpRequest, worker: &Worker, view: &View) -> Result<Answer, Refusal> {
     let state = accept::configured(view)?;
     let index = worker.index(state);
-    let key = accept::key(http).map_err(Refusal::not_run)?;
+    let key = accept::bearer_key(http).map_err(Refusal::not_run)?;
     index.by_key(key).map_err(Refusal::not_run)?;
     let query = web::Query::<Query>::from_query(http.query_string())
         .map_err(|error| Refusal::not_run(Reason::Query(error.to_string())))?;
@@ -80,7 +80,7 @@
     );
     // A ticket of an instance that is about to leave would soon have nobody to answer for it.
     let tickets = if view.draining { 0 } else { query.tickets };
-    let tickets = (0..tickets.min(TICKETS)).map(|_| worker.service.tickets.issue());
+    let tickets = (0..tickets.min(MAX_TICKETS)).map(|_| worker.service.tickets.issue());
     Ok(Answer {
         instances: located.instances.into_iter().map(choice).collect(),
         valid_ms: millis(located.valid),
--- a/crates/zinniastall-entry/src/callers/mod.rs
+++ b/crates/zinniastall-entry/src/callers/mod.rs
@@ -5,21 +5,21 @@
 
 pub mod accept;
 pub mod admission;
-pub mod answer;
 mod attempts;
+pub mod call;
+pub mod completion;
 pub mod connection;
 pub mod forward;
 pub mod guard;
 pub mod locate;
-pub mod parcel;
-pub mod path;
+pub mod pipeline;
 pub mod progress;
 pub mod relay;
 pub mod reply;
+pub mod response;
 pub mod server;
 mod service;
 pub mod settings;
-pub mod settle;
 pub mod target;
 pub mod ticket;
 pub mod worker;
@@ -32,8 +32,8 @@
 
 pub use service::Service;
 
-use parcel::Parcel;
-use settle::Settle;
+use call::Call;
+use completion::Completion;
 use worker::Worker;
 
 impl Service {
@@ -55,48 +55,48 @@
     let instance = worker.view().instance.clone();
     let started = worker.service.progress.start();
     let id = accept::request_id(&http).unwrap_or_default();
-    let mut settle = Settle::new(worker.recorder.clone(), started, id);
-    match run(&http, payload, &worker, &mut settle).await {
-        Ok((mut reply, whole)) => {
-            settle.served(&reply.served.target);
-            let id = settle.request().to_owned();
-            if whole.is_some() {
-                settle.answered();
+    let mut completion = Completion::new(worker.recorder.clone(), started, id);
+    match respond(&http, payload, &worker, &mut completion).await {
+        Ok((mut reply, buffered)) => {
+            completion.served(&reply.served.target);
+            let id = completion.request().to_owned();
+            if buffered.is_some() {
+                completion.answered();
             } else {
-                reply.body = settle.follow(reply.body);
+                reply.body = completion.track_body(reply.body);
             }
-            answer::answer(reply, whole, &id, &instance)
+            response::build(reply, buffered, &id, &instance)
         }
         Err(refusal) => {
-            settle.refused(&refusal);
-            answer::refuse(&refusal, settle.request(), &instance)
+            completion.refused(&refusal);
+            response::refuse(&refusal, completion.request(), &instance)
         }
     }
 }
 
-async fn run(
+async fn respond(
     http: &HttpRequest,
     payload: web::Payload,
     worker: &Rc<Worker>,
-    settle: &mut Settle,
-) -> Result<path::Answer, Refusal> {
-    let parcel = take(http, payload, worker).await.map_err(|refusal| {
-        let ticket = accept::text(http, TICKET).ok().flatten();
-        worker.service.tickets.turned_away(refusal, ticket, None)
+    completion: &mut Completion,
+) -> Result<pipeline::Answer, Refusal> {
+    let call = read_call(http, payload, worker).await.map_err(|refusal| {
+        let ticket = accept::header_text(http, TICKET).ok().flatten();
+        worker.service.tickets.rejected_early(refusal, ticket, None)
     })?;
-    settle.identified(&parcel.request);
-    path::serve(worker, parcel).await
+    completion.identified(&call.request);
+    pipeline::serve(worker, call).await
 }
 
-async fn take(
+async fn read_call(
     http: &HttpRequest,
     payload: web::Payload,
     worker: &Rc<Worker>,
-) -> Result<Parcel, Refusal> {
+) -> Result<Call, Refusal> {
     let limits = &worker.service.limits;
     let body = accept::read_body(payload, limits).await?;
     // The view is read after the body: a slow body must not bring an old configuration along.
     let view = worker.view();
     let index = worker.index(accept::configured(&view)?);
-    accept::parcel(http, body, &view, &index, limits)
+    accept::build_call(http, body, &view, &index, limits)
 }
--- a/crates/zinniastall-entry/src/callers/path.rs
+++ b/crates/zinniastall-entry/src/callers/pipeline.rs
@@ -10,16 +10,15 @@
 
 use super::{
     attempts::dispatch,
-    forward,
-    parcel::Parcel,
-    relay,
+    call::Call,
+    forward, relay,
     reply::Reply,
-    ticket::{Pass, Record, Writer},
+    ticket::{Action, Record, Writer},
     worker::Worker,
 };
 
 /// When to come back to an instance that was chosen elsewhere but cannot be reached.
-pub(super) const UNREACHABLE: Duration = Duration::from_millis(500);
+pub(super) const UNREACHABLE_RETRY_AFTER: Duration = Duration::from_millis(500);
 
 /// An answer, and its body if that was gathered.
 pub type Answer = (Reply, Option<Bytes>);
@@ -29,15 +28,15 @@
 /// # Errors
 ///
 /// The end of a request for which no whole answer arrived and nothing can be relayed.
-pub async fn serve(worker: &Rc<Worker>, parcel: Parcel) -> Result<Answer, Refusal> {
+pub async fn serve(worker: &Rc<Worker>, call: Call) -> Result<Answer, Refusal> {
     let draining = worker.view().draining;
-    if parcel.request.idempotent {
-        return any_time(worker, parcel, draining).await;
+    if call.request.idempotent {
+        return serve_idempotent(worker, call, draining).await;
     }
-    let pass = worker.service.tickets.admit(&parcel, draining);
-    let answer = match pass {
-        Ok(Pass::Issuer(issuer)) => ask_issuer(worker, &parcel, &issuer).await,
-        Ok(pass) => once(worker, parcel, pass).await,
+    let action = worker.service.tickets.admit(&call, draining);
+    let answer = match action {
+        Ok(Action::Issuer(issuer)) => forward_to_issuer(worker, &call, &issuer).await,
+        Ok(action) => serve_once(worker, call, action).await,
         Err(refusal) => Err(refusal),
     };
     answer.map_err(|refusal| worker.service.with_ticket(refusal))
@@ -50,79 +49,83 @@
 /// See [`serve`].
 pub async fn serve_forwarded(
     worker: &Rc<Worker>,
-    parcel: Parcel,
+    call: Call,
     sender: &Address,
 ) -> Result<Answer, Refusal> {
     let draining = worker.view().draining;
-    if parcel.request.idempotent {
-        return any_time(worker, parcel, draining).await;
+    if call.request.idempotent {
+        return serve_idempotent(worker, call, draining).await;
     }
-    let pass = worker
+    let action = worker
         .service
         .tickets
-        .admit_forwarded(&parcel, sender, draining)?;
-    once(worker, parcel, pass).await
+        .admit_forwarded(&call, sender, draining)?;
+    serve_once(worker, call, action).await
 }
 
 /// Serves a request that may be repeated, unless the instance takes no more.
-async fn any_time(worker: &Rc<Worker>, parcel: Parcel, draining: bool) -> Result<Answer, Refusal> {
+async fn serve_idempotent(
+    worker: &Rc<Worker>,
+    call: Call,
+    draining: bool,
+) -> Result<Answer, Refusal> {
     if draining {
-        return Err(Refusal::not_run(Reason::Draining).retry(UNREACHABLE));
+        return Err(Refusal::not_run(Reason::Draining).retry(UNREACHABLE_RETRY_AFTER));
     }
-    dispatch(worker, &Rc::new(parcel)).await
+    dispatch(worker, &Rc::new(call)).await
 }
 
 /// Runs a ticket's request in a task of its own, or joins it.
-async fn once(worker: &Rc<Worker>, parcel: Parcel, pass: Pass) -> Result<Answer, Refusal> {
-    let (record, owner) = match pass {
-        Pass::Run(record) => (record, true),
-        Pass::Join(record) => (record, false),
-        Pass::Issuer(_) => return Err(Refusal::unknown(Reason::IssuerGone)),
+async fn serve_once(worker: &Rc<Worker>, call: Call, action: Action) -> Result<Answer, Refusal> {
+    let (record, owner) = match action {
+        Action::Run(record) => (record, true),
+        Action::Join(record) => (record, false),
+        Action::Issuer(_) => return Err(Refusal::unknown(Reason::IssuerGone)),
     };
-    let deadline = parcel.request.deadline;
+    let deadline = call.request.deadline;
     if owner {
         // The task outlives the caller's connection: when the answer is lost on its way, the
         // resend finds it here.
-        let run = run(Rc::clone(worker), Rc::new(parcel), Writer(record.clone()));
-        actix::spawn(run);
+        let task = run_recorded(Rc::clone(worker), Rc::new(call), Writer(record.clone()));
+        actix::spawn(task);
     }
     let read = async {
         let mut reply = record.read(owner).await?;
-        let whole = relay::gather(&mut reply).await?;
-        Ok((reply, whole))
+        let buffered = relay::buffer(&mut reply).await?;
+        Ok((reply, buffered))
     };
     // A resend waits for its own deadline only; the run goes on.
     let answer = timeout_at(deadline.into(), read).await;
     answer.map_err(|_| Refusal::unknown(Reason::Deadline))?
 }
 
-async fn run(worker: Rc<Worker>, parcel: Rc<Parcel>, writer: Writer) {
+async fn run_recorded(worker: Rc<Worker>, call: Rc<Call>, writer: Writer) {
     let progress = worker.service.progress.start();
-    let end = match dispatch(&worker, &parcel).await {
-        Ok(answer) => copy(answer, &writer.0).await,
+    let end = match dispatch(&worker, &call).await {
+        Ok(answer) => record_answer(answer, &writer.0).await,
         Err(refusal) => Err(refusal),
     };
     writer.0.end(end);
-    worker.service.tickets.ended();
+    worker.service.tickets.enforce_kept_limit();
     drop(progress);
 }
 
-async fn copy((mut reply, whole): Answer, record: &Record) -> Result<(), Refusal> {
-    record.head(&reply);
-    if let Some(bytes) = whole {
-        record.part(bytes).await;
+async fn record_answer((mut reply, buffered): Answer, record: &Record) -> Result<(), Refusal> {
+    record.set_head(&reply);
+    if let Some(bytes) = buffered {
+        record.push(bytes).await;
         return Ok(());
     }
     while let Some(part) = reply.body.next().await {
-        record.part(part?).await;
+        record.push(part?).await;
     }
     Ok(())
 }
 
 /// Passes a resend to the instance that issued its ticket.
-async fn ask_issuer(
+async fn forward_to_issuer(
     worker: &Rc<Worker>,
-    parcel: &Parcel,
+    call: &Call,
     issuer: &Address,
 ) -> Result<Answer, Refusal> {
     let gone = || Refusal::unknown(Reason::IssuerGone);
@@ -133,11 +136,11 @@
         return Err(gone());
     }
     worker
-        .check_again(&parcel.request, &peer.place)
+        .check_again(&call.request, &peer.place)
         .map_err(Refusal::unknown)?;
-    let hops = zinniastall_route::hops::check_next(&parcel.request.hops, &peer.place);
+    let hops = zinniastall_route::hops::check_next(&call.request.hops, &peer.place);
     let hops = hops.map_err(Refusal::unknown)?;
-    let asked = forward::send(worker, parcel, peer, hops).await;
+    let asked = forward::send(worker, call, peer, hops).await;
     let mut reply = asked.map_err(|refusal| match refusal.reason {
         // The issuer knows whether it ran.
         Reason::Forwarded(_) => refusal,
@@ -145,6 +148,6 @@
         Reason::Unreachable => gone(),
         reason => Refusal::unknown(reason),
     })?;
-    let whole = relay::gather(&mut reply).await?;
-    Ok((reply, whole))
+    let buffered = relay::buffer(&mut reply).await?;
+    Ok((reply, buffered))
 }
--- a/crates/zinniastall-entry/src/callers/relay.rs
+++ b/crates/zinniastall-entry/src/callers/relay.rs
@@ -15,10 +15,10 @@
 };
 
 use super::{
-    admission::Flight,
-    answer::GATHER,
-    parcel::Parcel,
-    reply::{Body, Parts, Reply, pull},
+    admission::InFlight,
+    call::Call,
+    reply::{Body, BodySource, Reply, lazy_body},
+    response::MAX_BUFFERED_BYTES,
     target,
     worker::Worker,
 };
@@ -27,14 +27,14 @@
 ///
 /// A stream may last longer than any deadline, as long as it moves; its deadline is that of its
 /// first part.
-pub fn bounded(body: Body, events: bool, deadline: Instant, stall: Duration) -> Body {
+pub fn with_timeouts(body: Body, events: bool, deadline: Instant, stall_timeout: Duration) -> Body {
     let next = move |state: Option<(Body, Instant)>| async move {
         let (mut body, until) = state?;
         let late = Err(Refusal::unknown(Reason::Deadline));
         match timeout_at(until.into(), body.next()).await {
             Ok(Some(Ok(bytes))) => {
                 let until = if events {
-                    Instant::now() + stall
+                    Instant::now() + stall_timeout
                 } else {
                     until
                 };
@@ -49,10 +49,10 @@
 }
 
 /// A stream of events that may be resumed at its target.
-struct Stream {
+struct EventStream {
     worker: Rc<Worker>,
-    parcel: Rc<Parcel>,
-    flight: Rc<std::cell::RefCell<Flight>>,
+    call: Rc<Call>,
+    in_flight: Rc<std::cell::RefCell<InFlight>>,
     body: Body,
     events: Events,
     attempts: u32,
@@ -62,31 +62,31 @@
 ///
 /// When the connection breaks in between, an idempotent stream continues at its offset on the same
 /// target, if that resumes it and the budget of retries permits.
-pub fn events(
+pub fn resumable_events(
     worker: &Rc<Worker>,
-    parcel: &Rc<Parcel>,
-    flight: &Rc<std::cell::RefCell<Flight>>,
+    call: &Rc<Call>,
+    in_flight: &Rc<std::cell::RefCell<InFlight>>,
     body: Body,
 ) -> Body {
-    pull(Stream {
+    lazy_body(EventStream {
         worker: Rc::clone(worker),
-        parcel: Rc::clone(parcel),
-        flight: Rc::clone(flight),
+        call: Rc::clone(call),
+        in_flight: Rc::clone(in_flight),
         body,
         events: Events::default(),
         attempts: 1,
     })
 }
 
-impl Parts for Stream {
-    async fn part(&mut self) -> Result<Option<Bytes>, Refusal> {
+impl BodySource for EventStream {
+    async fn next_part(&mut self) -> Result<Option<Bytes>, Refusal> {
         loop {
             let broken = match self.body.next().await {
                 Some(Ok(bytes)) => {
-                    let whole = self.events.part(&bytes);
-                    let whole = whole.map_err(|_| Refusal::unknown(Reason::Broken))?;
-                    if !whole.is_empty() {
-                        return Ok(Some(whole.into()));
+                    let complete = self.events.part(&bytes);
+                    let complete = complete.map_err(|_| Refusal::unknown(Reason::Broken))?;
+                    if !complete.is_empty() {
+                        return Ok(Some(complete.into()));
                     }
                     continue;
                 }
@@ -99,9 +99,9 @@
     }
 }
 
-impl Stream {
+impl EventStream {
     async fn resume(&mut self, broken: Refusal) -> Result<(), Refusal> {
-        let request = &self.parcel.request;
+        let request = &self.call.request;
         let progress = Progress {
             attempts: self.attempts,
             relayed: false,
@@ -121,17 +121,22 @@
             return Err(broken);
         }
         self.attempts += 1;
-        let report = self.flight.borrow().report()?;
-        let reply = target::send(&self.worker.client, &report, &self.parcel, offset)
+        let report = self.in_flight.borrow().report()?;
+        let reply = target::send(&self.worker.client, &report, &self.call, offset)
             .await
             .map_err(|_| broken.clone())?;
         // A target that ignores the offset starts again; relaying that would double events.
         if !reply.events || reply.offset != offset {
             return Err(broken);
         }
-        let stall = self.worker.service.stall;
+        let stall_timeout = self.worker.service.stall_timeout;
         self.events.resume();
-        self.body = bounded(reply.body, true, Instant::now() + stall, stall);
+        self.body = with_timeouts(
+            reply.body,
+            true,
+            Instant::now() + stall_timeout,
+            stall_timeout,
+        );
         Ok(())
     }
 }
@@ -141,7 +146,7 @@
 /// # Errors
 ///
 /// The refusal that cut the stream.
-pub async fn first(reply: &mut Reply) -> Result<(), Refusal> {
+pub async fn await_first_part(reply: &mut Reply) -> Result<(), Refusal> {
     let mut rest = std::mem::replace(&mut reply.body, stream::empty().boxed_local());
     let first = match rest.next().await {
         Some(part) => Some(part?),
@@ -160,20 +165,22 @@
 /// # Errors
 ///
 /// The refusal that cut the answer.
-pub async fn gather(reply: &mut Reply) -> Result<Option<Bytes>, Refusal> {
-    let long = reply.length.is_some_and(|length| length > GATHER as u64);
+pub async fn buffer(reply: &mut Reply) -> Result<Option<Bytes>, Refusal> {
+    let long = reply
+        .length
+        .is_some_and(|length| length > MAX_BUFFERED_BYTES as u64);
     if reply.events || long {
         return Ok(None);
     }
-    let mut gathered = Vec::new();
+    let mut buffered = Vec::new();
     while let Some(part) = reply.body.next().await {
-        gathered.extend_from_slice(&part?);
-        if gathered.len() > GATHER {
+        buffered.extend_from_slice(&part?);
+        if buffered.len() > MAX_BUFFERED_BYTES {
             let rest = std::mem::replace(&mut reply.body, stream::empty().boxed_local());
-            let first = stream::once(async move { Ok(Bytes::from(gathered)) });
+            let first = stream::once(async move { Ok(Bytes::from(buffered)) });
             reply.body = first.chain(rest).boxed_local();
             return Ok(None);
         }
     }
-    Ok(Some(gathered.into()))
+    Ok(Some(buffered.into()))
 }
--- a/crates/zinniastall-entry/src/callers/reply.rs
+++ b/crates/zinniastall-entry/src/callers/reply.rs
@@ -50,26 +50,26 @@
 }
 
 /// Returns the time left until an instant, in milliseconds.
-pub fn left_ms(until: Instant) -> u64 {
+pub fn remaining_ms(until: Instant) -> u64 {
     let left = until.saturating_duration_since(Instant::now());
     u64::try_from(left.as_millis()).unwrap_or(u64::MAX)
 }
 
 /// What a body is pulled from.
-pub(super) trait Parts: 'static {
+pub(super) trait BodySource: 'static {
     /// Returns the next part, or nothing at the end of the whole body.
     ///
     /// # Errors
     ///
     /// The refusal that cuts the body; nothing is pulled after it.
-    async fn part(&mut self) -> Result<Option<Bytes>, Refusal>;
+    async fn next_part(&mut self) -> Result<Option<Bytes>, Refusal>;
 }
 
 /// Makes a body that asks for a part only when its reader does.
-pub(super) fn pull(parts: impl Parts) -> Body {
+pub(super) fn lazy_body(parts: impl BodySource) -> Body {
     let next = |state: Option<_>| async move {
         let mut parts = state?;
-        match Parts::part(&mut parts).await {
+        match BodySource::next_part(&mut parts).await {
             Ok(Some(part)) => Some((Ok(part), Some(parts))),
             Ok(None) => None,
             Err(refusal) => Some((Err(refusal), None)),
--- a/crates/zinniastall-entry/src/callers/answer.rs
+++ b/crates/zinniastall-entry/src/callers/response.rs
@@ -18,16 +18,16 @@
 
 /// Longest answer that is gathered before it is sent, in bytes. A gathered answer can say
 /// "answered" in its head and can be asked for again if it breaks.
-pub const GATHER: usize = 256 * 1024;
+pub const MAX_BUFFERED_BYTES: usize = 256 * 1024;
 
 /// An error body.
 #[derive(Debug, Serialize)]
-struct Failure<'a> {
-    error: Detail<'a>,
+struct ErrorBody<'a> {
+    error: ErrorDetail<'a>,
 }
 
 #[derive(Debug, Serialize)]
-struct Detail<'a> {
+struct ErrorDetail<'a> {
     r#type: &'a str,
     message: String,
     outcome: &'a str,
@@ -38,8 +38,8 @@
 
 /// Returns a refusal as the JSON of an error body.
 pub fn error_json(refusal: &Refusal) -> String {
-    let failure = Failure {
-        error: Detail {
+    let body = ErrorBody {
+        error: ErrorDetail {
             r#type: refusal.reason.kind(),
             message: refusal.reason.to_string(),
             outcome: refusal.outcome.as_str(),
@@ -48,12 +48,12 @@
         },
     };
     // Texts and numbers always encode.
-    serde_json::to_string(&failure).unwrap_or_default()
+    serde_json::to_string(&body).unwrap_or_default()
 }
 
 /// Answers a refusal.
 pub fn refuse(refusal: &Refusal, request: &str, instance: &id::Instance) -> HttpResponse {
-    let mut response = HttpResponse::build(status(refusal.status()));
+    let mut response = HttpResponse::build(status_code(refusal.status()));
     response
         .insert_header((REQUEST, request))
         .insert_header((INSTANCE, instance.as_str()))
@@ -72,13 +72,13 @@
 }
 
 /// Answers with a reply; `whole` is its body when it has been gathered.
-pub fn answer(
+pub fn build(
     reply: Reply,
-    whole: Option<Bytes>,
+    buffered: Option<Bytes>,
     request: &str,
     instance: &id::Instance,
 ) -> HttpResponse {
-    let mut response = HttpResponse::build(status(reply.status));
+    let mut response = HttpResponse::build(status_code(reply.status));
     for (name, value) in &reply.headers {
         response.append_header((name.as_str(), value.as_str()));
     }
@@ -87,7 +87,7 @@
         .insert_header((INSTANCE, instance.as_str()))
         .insert_header((TARGET, reply.served.target.as_str()))
         .insert_header((PLACE, reply.served.place.to_string()));
-    if let Some(bytes) = whole {
+    if let Some(bytes) = buffered {
         response.insert_header((OUTCOME, Outcome::Answered.as_str()));
         return response.body(bytes);
     }
@@ -97,7 +97,7 @@
 fn stream_body(response: &mut HttpResponseBuilder, reply: Reply) -> HttpResponse {
     match reply.length {
         Some(length) => response.body(SizedStream::new(length, reply.body)),
-        None if reply.events => response.streaming(closing(reply.body)),
+        None if reply.events => response.streaming(with_error_event(reply.body)),
         None => response.streaming(reply.body),
     }
 }
@@ -106,7 +106,7 @@
 ///
 /// The error itself would abort at once and take what is not yet written with it, so the task
 /// yields once after the error event to let the connection be flushed.
-fn closing(body: Body) -> Body {
+fn with_error_event(body: Body) -> Body {
     let parts = body.flat_map(|part| match part {
         Ok(bytes) => stream::once(async { Ok(bytes) }).boxed_local(),
         Err(refusal) => {
@@ -123,7 +123,7 @@
     parts.boxed_local()
 }
 
-fn status(code: u16) -> StatusCode {
+fn status_code(code: u16) -> StatusCode {
     StatusCode::from_u16(code).unwrap_or(StatusCode::BAD_GATEWAY)
 }
 
--- a/crates/zinniastall-entry/src/callers/server.rs
+++ b/crates/zinniastall-entry/src/callers/server.rs
@@ -17,7 +17,7 @@
 
 use super::{
     Service,
-    connection::{Answers, Connection, Held},
+    connection::{Connection, GuardedBody, Responses},
 };
 
 /// Starts to serve callers on traffic threads; the server runs once it is awaited.
@@ -45,16 +45,16 @@
         });
         let app = App::new()
             .wrap_fn(|request: ServiceRequest, next| {
-                let answers = request.request().conn_data::<Answers>().cloned();
-                let answering = answers.unwrap_or_default().start();
+                let responses = request.request().conn_data::<Responses>().cloned();
+                let guard = responses.unwrap_or_default().start();
                 let call = next.call(request);
                 async move {
                     let response = call.await?;
-                    Ok(response.map_body(|_, body| Held::new(body, answering)))
+                    Ok(response.map_body(|_, body| GuardedBody::new(body, guard)))
                 }
             })
             .configure(|config| service.configure(config));
-        let answering = app
+        let factory = app
             .into_factory()
             .map_err(|error: Error| error.error_response());
         let http = HttpService::build()
@@ -65,9 +65,9 @@
             .client_request_timeout(service.limits.arrival)
             .h1_allow_half_closed(false)
             .on_connect_ext(|connection: &Connection, data| {
-                data.insert(connection.answers());
+                data.insert(connection.responses());
             })
-            .finish(map_config(answering, |()| AppConfig::default()));
+            .finish(map_config(factory, |()| AppConfig::default()));
         opened.and_then(http)
     };
     let server = builder
--- a/crates/zinniastall-entry/src/callers/service.rs
+++ b/crates/zinniastall-entry/src/callers/service.rs
@@ -9,7 +9,7 @@
 use crate::{links::Identity, settings::Limits, view::Board};
 
 /// How often a shutdown looks whether it may end.
-const LOOK: Duration = Duration::from_millis(20);
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// What all traffic threads of an instance share.
 #[derive(Debug, Clone)]
@@ -21,9 +21,9 @@
     /// Bounds on what callers may send.
     pub limits: Arc<Limits>,
     /// Longest silence within a stream.
-    pub stall: Duration,
+    pub stall_timeout: Duration,
     /// Longest wait of a forwarded request for its sender's configuration.
-    pub behind: Duration,
+    pub max_revision_wait: Duration,
     /// Admission and choice.
     pub admission: Admission,
     /// Work that runs at most once.
@@ -45,8 +45,8 @@
             board,
             hub,
             limits: Arc::new(limits),
-            stall: settings.stall,
-            behind: settings.behind,
+            stall_timeout: settings.stall_timeout,
+            max_revision_wait: settings.max_revision_wait,
             progress: Progress::default(),
             identity: None,
             linger: settings.tickets.linger,
@@ -75,11 +75,11 @@
     /// lost, until their tickets expire or the time set for it has passed.
     pub async fn drained(&self) {
         while self.progress.count() > 0 {
-            tokio::time::sleep(LOOK).await;
+            tokio::time::sleep(DRAIN_POLL_INTERVAL).await;
         }
         let lingering = async {
             while self.tickets.keeps_answers() {
-                tokio::time::sleep(LOOK).await;
+                tokio::time::sleep(DRAIN_POLL_INTERVAL).await;
             }
         };
         // Both ends are as they should be.
--- a/crates/zinniastall-entry/src/callers/settings.rs
+++ b/crates/zinniastall-entry/src/callers/settings.rs
@@ -11,10 +11,10 @@
     /// How targets are chosen.
     pub policy: Arc<Policy>,
     /// Longest silence within a stream before it counts as broken.
-    pub stall: Duration,
+    pub stall_timeout: Duration,
     /// Longest time that a forwarded request waits for the configuration under which its sender
     /// judged it; zero judges at once.
-    pub behind: Duration,
+    pub max_revision_wait: Duration,
     /// Work that runs at most once.
     pub tickets: Tickets,
 }
@@ -39,8 +39,8 @@
     pub fn read(reader: &mut Reader<'_>) -> Self {
         Self {
             policy: Arc::new(reader.nested("policy", policy)),
-            stall: reader.millis("stall_ms", 100..=3_600_000, 30_000),
-            behind: reader.millis("behind_ms", 0..=10_000, 500),
+            stall_timeout: reader.millis("stall_ms", 100..=3_600_000, 30_000),
+            max_revision_wait: reader.millis("behind_ms", 0..=10_000, 500),
             tickets: reader.nested("tickets", tickets),
         }
     }
@@ -70,13 +70,13 @@
 }
 
 fn weights(reader: &mut Reader<'_>) -> Weights {
-    const MOST: f64 = 1_000_000.0;
+    const MAX_WEIGHT: f64 = 1_000_000.0;
     let default = Weights::default();
     Weights {
-        wait: reader.fraction("wait", MOST, default.wait),
-        cache: reader.fraction("cache", MOST, default.cache),
-        border: reader.fraction("border", MOST, default.border),
-        price: reader.fraction("price", MOST, default.price),
+        wait: reader.fraction("wait", MAX_WEIGHT, default.wait),
+        cache: reader.fraction("cache", MAX_WEIGHT, default.cache),
+        border: reader.fraction("border", MAX_WEIGHT, default.border),
+        price: reader.fraction("price", MAX_WEIGHT, default.price),
     }
 }
 
--- a/crates/zinniastall-entry/src/callers/target.rs
+++ b/crates/zinniastall-entry/src/callers/target.rs
@@ -24,18 +24,18 @@
 use zinniastall_wire::gossip;
 
 use super::{
+    call::{Call, is_forwarded},
     guard::Guard,
-    parcel::{Parcel, passes},
-    reply::{Body, Reply, Served, left_ms},
+    reply::{Body, Reply, Served, remaining_ms},
 };
 
 /// Longest time to establish a connection to a target of the zone; the request is judged before it.
-pub const CONNECT: Duration = Duration::from_secs(1);
+pub const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 /// Idle connections are closed after this time; shorter than what HTTP servers commonly keep, so
 /// that they are rarely found closed by the other end.
-const IDLE: Duration = Duration::from_secs(4);
+const IDLE_TIMEOUT: Duration = Duration::from_secs(4);
 /// Idle times after which a connection is replaced even if it is in use all the time.
-const LIVES: u32 = 15;
+const MAX_LIFETIME_IN_IDLE_TIMEOUTS: u32 = 15;
 
 /// One thread's connections to targets.
 #[derive(Clone)]
@@ -53,7 +53,7 @@
 impl Default for Clients {
     fn default() -> Self {
         Self {
-            pooled: client(IDLE),
+            pooled: client(IDLE_TIMEOUT),
             fresh: client(Duration::ZERO),
         }
     }
@@ -75,12 +75,12 @@
 }
 
 fn client(lifetime: Duration) -> Client {
-    let dialer = Dialer::default().service().map(guarded);
+    let dialer = Dialer::default().service().map(guard);
     let connector = Connector::new()
         .connector(dialer)
-        .timeout(CONNECT)
+        .timeout(CONNECT_TIMEOUT)
         .conn_keep_alive(lifetime)
-        .conn_lifetime(lifetime.saturating_mul(LIVES))
+        .conn_lifetime(lifetime.saturating_mul(MAX_LIFETIME_IN_IDLE_TIMEOUTS))
         .limit(0);
     Client::builder()
         .connector(connector)
@@ -90,7 +90,7 @@
         .finish()
 }
 
-fn guarded(connection: Connection<Uri, actix_rt::net::TcpStream>) -> Connection<Uri, Guard> {
+fn guard(connection: Connection<Uri, actix_rt::net::TcpStream>) -> Connection<Uri, Guard> {
     let (stream, rest) = connection.replace_io(());
     // Without it small events would wait for acknowledgements; a failure only costs latency.
     let _ = stream.set_nodelay(true);
@@ -105,19 +105,19 @@
 pub async fn send(
     clients: &Clients,
     target: &gossip::Target,
-    parcel: &Parcel,
+    call: &Call,
     offset: u64,
 ) -> Result<Reply, Refusal> {
-    let url = format!("http://{}{}", target.address, parcel.path);
-    let method = awc::http::Method::from_bytes(parcel.method.as_bytes())
+    let url = format!("http://{}{}", target.address, call.path);
+    let method = awc::http::Method::from_bytes(call.method.as_bytes())
         .map_err(|_| Refusal::not_run(Reason::Body("the method is not known".to_owned())))?;
-    let client = clients.client(parcel.request.idempotent);
+    let client = clients.client(call.request.idempotent);
     let mut request = client.request(method, url);
-    for (name, value) in &parcel.headers {
+    for (name, value) in &call.headers {
         request = request.insert_header((name.as_str(), value.as_str()));
     }
-    let left = left_ms(parcel.request.deadline);
-    for (name, value) in parcel.system_headers(left, offset) {
+    let left = remaining_ms(call.request.deadline);
+    for (name, value) in call.system_headers(left, offset) {
         request = request.insert_header((name, value));
     }
     if left == 0 {
@@ -125,17 +125,17 @@
     }
     let response = request
         .timeout(Duration::from_millis(left))
-        .send_body(parcel.body.clone())
+        .send_body(call.body.clone())
         .await
-        .map_err(|error| judge(&error))?;
-    if let Some(refusal) = refused(&response) {
+        .map_err(|error| classify(&error))?;
+    if let Some(refusal) = typed_refusal(&response) {
         return Err(refusal);
     }
     Ok(read_head(response, target))
 }
 
 /// Decides whether a failed send may have run.
-fn judge(error: &SendRequestError) -> Refusal {
+fn classify(error: &SendRequestError) -> Refusal {
     match error {
         // `Disconnected` is the one connection error that the library also gives for a connection
         // that broke while it was in use.
@@ -158,7 +158,7 @@
     let offset = offset.unwrap_or_default();
     let headers = response.headers().iter().filter_map(|(name, value)| {
         let value = value.to_str().ok()?;
-        passes(name.as_str()).then(|| (name.as_str().to_owned(), value.to_owned()))
+        is_forwarded(name.as_str()).then(|| (name.as_str().to_owned(), value.to_owned()))
     });
     Reply {
         status: response.status().as_u16(),
@@ -175,7 +175,7 @@
 }
 
 /// Recognises a target's word that it has not run the request.
-fn refused(response: &ClientResponse) -> Option<Refusal> {
+fn typed_refusal(response: &ClientResponse) -> Option<Refusal> {
     let status = response.status();
     let refusing = [
         StatusCode::TOO_MANY_REQUESTS,
--- a/crates/zinniastall-entry/src/callers/ticket/ledger.rs
+++ b/crates/zinniastall-entry/src/callers/ticket/ledger.rs
@@ -13,16 +13,16 @@
 
 use super::Record;
 use crate::{
-    callers::{parcel::Parcel, settings::Tickets},
+    callers::{call::Call, settings::Tickets},
     view::View,
 };
 
 /// When to come back if the table of used tickets is full.
-const FULL: Duration = Duration::from_secs(1);
+const FULL_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 /// What a request with a ticket may do here.
 #[derive(Debug)]
-pub enum Pass {
+pub enum Action {
     /// It runs, and its answer is recorded.
     Run(Arc<Record>),
     /// It runs or has run already; its recorded answer is read.
@@ -68,14 +68,14 @@
     /// # Errors
     ///
     /// A refusal; one that says "not run" carries a fresh ticket where that helps.
-    pub fn admit(&self, parcel: &Parcel, draining: bool) -> Result<Pass, Refusal> {
-        let Some(text) = &parcel.request.ticket else {
+    pub fn admit(&self, call: &Call, draining: bool) -> Result<Action, Refusal> {
+        let Some(text) = &call.request.ticket else {
             let refusal = Refusal::not_run(Reason::TicketRequired).retry(Duration::ZERO);
             return Err(refusal.ticket(self.issue()));
         };
         match self.issuer.check(text, self.now()) {
-            Ok(ticket) => self.mark(&ticket.name, ticket.expiry, parcel, draining),
-            Err(Invalid::Elsewhere(address)) => Ok(Pass::Issuer(*address)),
+            Ok(ticket) => self.mark(&ticket.name, ticket.expiry, call, draining),
+            Err(Invalid::Elsewhere(address)) => Ok(Action::Issuer(*address)),
             Err(Invalid::Expired) => Err(Refusal::unknown(Reason::TicketExpired)),
             Err(Invalid::Malformed | Invalid::Forged) => {
                 Err(Refusal::not_run(Reason::TicketInvalid))
@@ -94,22 +94,22 @@
     /// See [`Ledger::admit`].
     pub fn admit_forwarded(
         &self,
-        parcel: &Parcel,
+        call: &Call,
         sender: &Address,
         draining: bool,
-    ) -> Result<Pass, Refusal> {
-        match self.admit(parcel, draining)? {
-            Pass::Issuer(issuer) if issuer == *sender => {
-                let text = parcel.request.ticket.as_deref().unwrap_or_default();
+    ) -> Result<Action, Refusal> {
+        match self.admit(call, draining)? {
+            Action::Issuer(issuer) if issuer == *sender => {
+                let text = call.request.ticket.as_deref().unwrap_or_default();
                 let ticket = Ticket::parse(text);
                 let ticket = ticket.map_err(|_| Refusal::not_run(Reason::TicketInvalid))?;
                 // The expiry is on the sender's clock. The sender has checked it; from here on the
                 // ticket cannot be valid for longer than a whole validity.
                 let until = self.now() + self.issuer.validity();
-                self.mark(&ticket.name, until, parcel, draining)
+                self.mark(&ticket.name, until, call, draining)
             }
-            Pass::Issuer(_) => Err(Refusal::unknown(Reason::IssuerGone)),
-            pass => Ok(pass),
+            Action::Issuer(_) => Err(Refusal::unknown(Reason::IssuerGone)),
+            action => Ok(action),
         }
     }
 
@@ -119,7 +119,7 @@
     /// well: its client was withdrawn meanwhile, its rules were narrowed, its connection became slow.
     /// Told "not run", its caller would take a new ticket and the work would run twice. `sender` is the
     /// instance that sent the request; what it issued itself may have been used here.
-    pub fn turned_away(
+    pub fn rejected_early(
         &self,
         refusal: Refusal,
         ticket: Option<&str>,
@@ -130,7 +130,7 @@
         };
         let may_have_run = match self.issuer.check(ticket, self.now()) {
             Ok(ticket) => self.lock().contains(&ticket.name),
-            Err(Invalid::Elsewhere(issuer)) if sender == Some(&*issuer) => self.has_name(ticket),
+            Err(Invalid::Elsewhere(issuer)) if sender == Some(&*issuer) => self.is_marked(ticket),
             Err(Invalid::Elsewhere(_) | Invalid::Expired) => true,
             Err(Invalid::Malformed | Invalid::Forged) => false,
         };
@@ -144,12 +144,12 @@
     }
 
     /// Returns whether a ticket is marked here, whoever issued it.
-    fn has_name(&self, text: &str) -> bool {
+    fn is_marked(&self, text: &str) -> bool {
         Ticket::parse(text).is_ok_and(|ticket| self.lock().contains(&ticket.name))
     }
 
     /// Takes note that a record has ended, and bounds what is kept in all.
-    pub fn ended(&self) {
+    pub fn enforce_kept_limit(&self) {
         let marks = self.lock();
         let kept: usize = marks.records().filter_map(|record| record.kept()).sum();
         let mut surplus = kept.saturating_sub(self.settings.kept_bytes);
@@ -177,9 +177,9 @@
         &self,
         name: &str,
         until: Duration,
-        parcel: &Parcel,
+        call: &Call,
         draining: bool,
-    ) -> Result<Pass, Refusal> {
+    ) -> Result<Action, Refusal> {
         let limit = self.settings.answer_bytes;
         let mut marks = self.lock();
         // A draining instance starts nothing, and never will again: "not run" stays true.
@@ -187,12 +187,12 @@
             return Err(Refusal::not_run(Reason::Draining));
         }
         let make = || Arc::new(Record::new(limit));
-        let verdict = marks.mark(name, usage(parcel), until, self.now(), make);
+        let verdict = marks.mark(name, usage(call), until, self.now(), make);
         match verdict {
-            Verdict::First(record) => Ok(Pass::Run(record)),
-            Verdict::Again(record) => Ok(Pass::Join(record)),
+            Verdict::First(record) => Ok(Action::Run(record)),
+            Verdict::Again(record) => Ok(Action::Join(record)),
             Verdict::Different => Err(Refusal::not_run(Reason::TicketReused)),
-            Verdict::Full => Err(Refusal::not_run(Reason::TicketsFull).retry(FULL)),
+            Verdict::Full => Err(Refusal::not_run(Reason::TicketsFull).retry(FULL_RETRY_AFTER)),
         }
     }
 
@@ -207,14 +207,14 @@
 }
 
 /// Returns what a ticket is used for: the same client with the same call and body.
-fn usage(parcel: &Parcel) -> Use {
-    let Request { client, .. } = &parcel.request;
+fn usage(call: &Call) -> Use {
+    let Request { client, .. } = &call.request;
     let mut hasher = blake3::Hasher::new();
-    for field in [parcel.method.as_bytes(), parcel.path.as_bytes()] {
+    for field in [call.method.as_bytes(), call.path.as_bytes()] {
         hasher.update(&(field.len() as u64).to_le_bytes());
         hasher.update(field);
     }
-    hasher.update(&parcel.body);
+    hasher.update(&call.body);
     Use {
         client: client.clone(),
         digest: *hasher.finalize().as_bytes(),
--- a/crates/zinniastall-entry/src/callers/ticket/mod.rs
+++ b/crates/zinniastall-entry/src/callers/ticket/mod.rs
@@ -9,5 +9,5 @@
 mod reader;
 mod record;
 
-pub use ledger::{Ledger, Pass};
+pub use ledger::{Action, Ledger};
 pub use record::{Record, Writer};
--- a/crates/zinniastall-entry/src/callers/ticket/reader.rs
+++ b/crates/zinniastall-entry/src/callers/ticket/reader.rs
@@ -6,7 +6,7 @@
 use zinniastall_route::outcome::{Reason, Refusal};
 
 use super::record::{Record, State, Step};
-use crate::callers::reply::Parts;
+use crate::callers::reply::BodySource;
 
 /// One reader of a record.
 pub(super) struct Reader {
@@ -39,13 +39,13 @@
         if self.owner {
             state.owner = taken;
             state.trim();
-            self.record.tell();
+            self.record.notify();
         }
     }
 }
 
-impl Parts for Reader {
-    async fn part(&mut self) -> Result<Option<Bytes>, Refusal> {
+impl BodySource for Reader {
+    async fn next_part(&mut self) -> Result<Option<Bytes>, Refusal> {
         let mut changed = self.record.changed.subscribe();
         loop {
             match self.step() {
--- a/crates/zinniastall-entry/src/callers/ticket/record.rs
+++ b/crates/zinniastall-entry/src/callers/ticket/record.rs
@@ -31,7 +31,7 @@
     /// Number of the first part that is still held.
     base: usize,
     bytes: usize,
-    whole: bool,
+    retained: bool,
     /// Part that the first reader takes next; `None` once it is gone.
     pub(super) owner: Option<usize>,
     end: Option<Result<(), Refusal>>,
@@ -62,7 +62,7 @@
                 parts: VecDeque::new(),
                 base: 0,
                 bytes: 0,
-                whole: true,
+                retained: true,
                 owner: Some(0),
                 end: None,
             }),
@@ -72,7 +72,7 @@
     }
 
     /// Writes the head of the answer.
-    pub fn head(&self, reply: &Reply) {
+    pub fn set_head(&self, reply: &Reply) {
         self.lock().head = Some(Head {
             status: reply.status,
             headers: reply.headers.clone(),
@@ -80,22 +80,22 @@
             events: reply.events,
             served: reply.served.clone(),
         });
-        self.tell();
+        self.notify();
     }
 
     /// Writes a part of the answer, and waits while the first reader has too much before it.
-    pub async fn part(&self, bytes: Bytes) {
+    pub async fn push(&self, bytes: Bytes) {
         let mut changed = self.changed.subscribe();
         {
             let mut state = self.lock();
             state.bytes += bytes.len();
             state.parts.push_back(bytes);
             if state.bytes > self.limit {
-                state.whole = false;
+                state.retained = false;
             }
             state.trim();
         }
-        self.tell();
+        self.notify();
         while self.lock().bytes > self.limit {
             if changed.changed().await.is_err() {
                 return;
@@ -110,7 +110,7 @@
             state.end = Some(end);
         }
         drop(state);
-        self.tell();
+        self.notify();
     }
 
     /// Returns the bytes that are kept for a resend, once the answer has ended.
@@ -123,10 +123,10 @@
     /// end is kept.
     pub fn drop_answer(&self) {
         let mut state = self.lock();
-        state.whole = false;
+        state.retained = false;
         state.trim();
         drop(state);
-        self.tell();
+        self.notify();
     }
 
     /// Reads the answer from its start; the owner is the reader for whom the request runs.
@@ -144,7 +144,7 @@
             events: head.events,
             offset: 0,
             served: head.served,
-            body: reply::pull(reader),
+            body: reply::lazy_body(reader),
         })
     }
 
@@ -177,7 +177,7 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    pub(super) fn tell(&self) {
+    pub(super) fn notify(&self) {
         self.changed.send_replace(());
     }
 }
@@ -187,7 +187,7 @@
     pub(super) fn trim(&mut self) {
         let end = self.base + self.parts.len();
         let taken = self.owner.unwrap_or(end);
-        while !self.whole && self.base < taken {
+        while !self.retained && self.base < taken {
             let Some(part) = self.parts.pop_front() else {
                 break;
             };
--- a/crates/zinniastall-entry/src/follow/force.rs
+++ b/crates/zinniastall-entry/src/follow/force.rs
@@ -10,7 +10,7 @@
     kept::{self, Kept},
 };
 use crate::{
-    callers::target::CONNECT,
+    callers::target::CONNECT_TIMEOUT,
     publish::{Configured, Unlisted},
 };
 
@@ -132,7 +132,7 @@
     fn confirm(&mut self, revision: id::Revision, served: bool, context: &mut Context<Self>) {
         let now = Instant::now();
         if std::mem::take(&mut self.narrowed) && served {
-            self.force.left = Some(now + CONNECT);
+            self.force.left = Some(now + CONNECT_TIMEOUT);
         }
         let left = self.force.left;
         let wait = left.map_or_else(Default::default, |left| left.saturating_duration_since(now));
--- a/crates/zinniastall-entry/tests/callers/bad_input.rs
+++ b/crates/zinniastall-entry/tests/callers/bad_input.rs
@@ -1,23 +1,23 @@
 //! What callers may send by mistake or malice.
 
-use super::bench::{Bench, CHAT, Fake, KEY, Script};
+use super::harness::{CHAT, Fake, Harness, KEY, Script};
 
-const WHOLE: &str = "HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\n{}";
+const COMPLETE: &str = "HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\n{}";
 
 /// Names a case: a raw request, and what its answer must say. After each the instance must still
 /// serve a good request.
-macro_rules! refused {
+macro_rules! refusal_cases {
     ($($name:ident: $request:expr => $($part:literal),+;)+) => {$(
         #[actix_web::test]
         async fn $name() {
-            let target = Fake::start(vec![Script::Write(WHOLE)]);
-            let bench = Bench::start(&[target.address]);
-            let answer = bench.raw($request.into()).await;
+            let target = Fake::start(vec![Script::Write(COMPLETE)]);
+            let harness = Harness::start(&[target.address]);
+            let answer = harness.send_raw($request.into()).await;
             $(assert!(answer.contains($part), "no {:?} in {answer}", $part);)+
             assert_eq!(target.ran(), 0);
-            let good = bench.post("/v1/chat/completions", "", CHAT).await;
+            let good = harness.post("/v1/chat/completions", "", CHAT).await;
             assert!(good.starts_with("HTTP/1.1 200"), "{good}");
-            bench.stop().await;
+            harness.stop().await;
         }
     )+};
 }
@@ -41,7 +41,7 @@
     keyed("/v1/chat/completions", headers, body)
 }
 
-refused! {
+refusal_cases! {
     no_key: post("/v1/chat/completions", "", CHAT) => "401", "no-key", "not-run";
     unknown_key: post("/v1/chat/completions", "authorization: Bearer x\r\n", CHAT)
         => "401", "unknown-key", "not-run";
@@ -81,8 +81,8 @@
     let length = long.len() + bare.len();
     let first = format!("HTTP/1.1 200 OK\r\ncontent-length: {length}\r\n\r\n{long}");
     let target = Fake::start(vec![Script::Parts(vec![first, bare.to_owned()])]);
-    let bench = Bench::start(&[target.address]);
-    let answer = bench.post("/proofs/7", "", "").await;
+    let harness = Harness::start(&[target.address]);
+    let answer = harness.post("/proofs/7", "", "").await;
     assert!(answer.ends_with(bare), "{} bytes", answer.len());
-    bench.stop().await;
+    harness.stop().await;
 }
--- a/crates/zinniastall-entry/tests/callers/bench.rs
+++ b/crates/zinniastall-entry/tests/callers/harness.rs
@@ -31,35 +31,35 @@
 pub(crate) const CHAT: &str =
     r#"{"model":"map-labels","messages":[{"role":"user","content":"room"}]}"#;
 /// Longest wait of a read in a test.
-const PATIENCE: Duration = Duration::from_secs(20);
+const TIMEOUT: Duration = Duration::from_secs(20);
 /// Pause between the parts of an answer, so that each is likely to be relayed by itself.
-const PAUSE: Duration = Duration::from_millis(200);
+const PART_INTERVAL: Duration = Duration::from_millis(200);
 
 /// An instance's callers' interface.
-pub(crate) struct Bench {
+pub(crate) struct Harness {
     /// Where callers reach it.
     pub(crate) address: SocketAddr,
     board: Board,
     handle: ServerHandle,
 }
 
-impl Bench {
+impl Harness {
     /// Starts the interface before targets at these addresses.
     pub(crate) fn start(targets: &[SocketAddr]) -> Self {
         Self::with(targets, |_| {})
     }
 
     /// Starts the interface before a target that runs one request at a time.
-    pub(crate) fn narrow(target: SocketAddr) -> Self {
-        let bench = Self::start(&[target]);
-        let mut view = (*bench.board.view()).clone();
+    pub(crate) fn with_one_slot(target: SocketAddr) -> Self {
+        let harness = Self::start(&[target]);
+        let mut view = (*harness.board.view()).clone();
         let mut targets = (*view.targets).clone();
         for target in targets.values_mut() {
             target.report.slots = 1;
         }
         view.targets = Arc::new(targets);
-        bench.board.publish(view);
-        bench
+        harness.board.publish(view);
+        harness
     }
 
     /// Starts the interface with changed settings.
@@ -96,18 +96,18 @@
     }
 
     /// Takes the configuration away, as an instance is without one that isn't listed any more.
-    pub(crate) fn unlist(&self) {
+    pub(crate) fn remove_configuration(&self) {
         let mut view = (*self.board.view()).clone();
         view.state = None;
         self.board.publish(view);
     }
 
     /// Sends raw bytes and reads until the connection closes or falls silent.
-    pub(crate) async fn raw(&self, bytes: Vec<u8>) -> String {
+    pub(crate) async fn send_raw(&self, bytes: Vec<u8>) -> String {
         let address = self.address;
         actix_web::rt::task::spawn_blocking(move || {
             let mut stream = TcpStream::connect(address).unwrap();
-            stream.set_read_timeout(Some(PATIENCE)).unwrap();
+            stream.set_read_timeout(Some(TIMEOUT)).unwrap();
             // A refusal may close the connection before all is written.
             let _ = stream.write_all(&bytes);
             let mut answer = Vec::new();
@@ -125,7 +125,7 @@
              content-length: {}\r\n{headers}\r\n{body}",
             body.len()
         );
-        self.raw(request.into_bytes()).await
+        self.send_raw(request.into_bytes()).await
     }
 
     /// Gets tickets.
@@ -134,7 +134,7 @@
             "GET /v1/locate?subject=portal&tickets={count} HTTP/1.1\r\nhost: a\r\n\
              connection: close\r\nauthorization: Bearer {KEY}\r\n\r\n"
         );
-        let answer = self.raw(request.into_bytes()).await;
+        let answer = self.send_raw(request.into_bytes()).await;
         let body = answer.split("\r\n\r\n").nth(1).unwrap();
         let body: serde_json::Value = serde_json::from_str(body).unwrap();
         let tickets = body["tickets"].as_array().unwrap().iter();
@@ -252,7 +252,7 @@
     /// Writes these parts with a pause between them and closes the connection.
     Parts(Vec<String>),
     /// Writes these bytes after a while and closes the connection.
-    Late(Duration, &'static str),
+    Delayed(Duration, &'static str),
     /// Writes an answer without end, as fast as it is taken, and counts its bytes.
     Endless,
     /// Writes these bytes and keeps the connection open until the other end closes it.
@@ -306,10 +306,10 @@
         Script::Parts(parts) => {
             for part in parts {
                 let _ = stream.write_all(part.as_bytes());
-                std::thread::sleep(PAUSE);
+                std::thread::sleep(PART_INTERVAL);
             }
         }
-        Script::Late(pause, answer) => {
+        Script::Delayed(pause, answer) => {
             std::thread::sleep(*pause);
             let _ = stream.write_all(answer.as_bytes());
         }
@@ -354,9 +354,9 @@
 
 /// Waits until a condition holds; the bound is generous, since the machine may be busy.
 pub(crate) async fn until(what: &str, condition: impl Fn() -> bool) {
-    let end = Instant::now() + PATIENCE;
+    let end = Instant::now() + TIMEOUT;
     while !condition() {
-        assert!(Instant::now() < end, "not within {PATIENCE:?}: {what}");
+        assert!(Instant::now() < end, "not within {TIMEOUT:?}: {what}");
         actix_web::rt::time::sleep(Duration::from_millis(5)).await;
     }
 }
--- a/crates/zinniastall-entry/tests/callers/load.rs
+++ b/crates/zinniastall-entry/tests/callers/load.rs
@@ -8,42 +8,42 @@
 
 use futures_util::future::join_all;
 
-use super::bench::{Bench, CHAT, Fake, KEY, Script, until};
+use super::harness::{CHAT, Fake, Harness, KEY, Script, until};
 
-const WHOLE: &str = "HTTP/1.1 200 OK\r\nconnection: close\r\ncontent-length: 2\r\n\r\n{}";
-const CHATS: &str = "/v1/chat/completions";
+const COMPLETE: &str = "HTTP/1.1 200 OK\r\nconnection: close\r\ncontent-length: 2\r\n\r\n{}";
+const CHAT_PATH: &str = "/v1/chat/completions";
 
 // A target takes one request at a time. The others wait at the instance for their turn and are all
 // answered.
 #[actix_web::test]
 async fn requests_wait_for_their_turn() {
-    let late = Script::Late(Duration::from_millis(30), WHOLE);
+    let late = Script::Delayed(Duration::from_millis(30), COMPLETE);
     let target = Fake::start(vec![late]);
-    let bench = Bench::narrow(target.address);
-    let answers = join_all((0..10).map(|_| bench.post(CHATS, "", CHAT))).await;
+    let harness = Harness::with_one_slot(target.address);
+    let answers = join_all((0..10).map(|_| harness.post(CHAT_PATH, "", CHAT))).await;
     for answer in answers {
         assert!(answer.starts_with("HTTP/1.1 200"), "{answer}");
     }
     assert_eq!(target.ran(), 10);
-    bench.stop().await;
+    harness.stop().await;
 }
 
 // The target is busy for long, and a request has less time than its turn will take. It must be told
 // at once, with the time to come back, instead of being held until its deadline has passed.
 #[actix_web::test]
-async fn late_requests_are_refused_on_arrival() {
-    let late = Script::Late(Duration::from_millis(400), WHOLE);
+async fn infeasible_requests_are_refused_on_arrival() {
+    let late = Script::Delayed(Duration::from_millis(400), COMPLETE);
     let target = Fake::start(vec![late]);
-    let bench = Bench::narrow(target.address);
+    let harness = Harness::with_one_slot(target.address);
     // The first answer tells how long a request takes.
-    bench.post(CHATS, "", CHAT).await;
-    let early = async { join_all((0..6).map(|_| bench.post(CHATS, "", CHAT))).await };
+    harness.post(CHAT_PATH, "", CHAT).await;
+    let early = async { join_all((0..6).map(|_| harness.post(CHAT_PATH, "", CHAT))).await };
     let late = async {
         until("the queue is long", || target.ran() >= 2).await;
         actix_web::rt::time::sleep(Duration::from_millis(50)).await;
         let asked = Instant::now();
         let deadline = "x-zinniastall-deadline-ms: 700\r\n";
-        let answer = bench.post(CHATS, deadline, CHAT).await;
+        let answer = harness.post(CHAT_PATH, deadline, CHAT).await;
         (answer, asked.elapsed())
     };
     let (early, (answer, took)) = futures_util::future::join(early, late).await;
@@ -58,18 +58,18 @@
         "{answer}"
     );
     assert!(took < Duration::from_millis(600), "refused after {took:?}");
-    bench.stop().await;
+    harness.stop().await;
 }
 
 // A caller asks for a huge answer and does not read it. Its bytes must stay with the target instead
 // of filling the instance's memory.
 #[actix_web::test]
-async fn slow_reader_holds_the_target_back() {
+async fn slow_reader_applies_backpressure() {
     let target = Fake::start(vec![Script::Endless]);
-    let bench = Bench::start(&[target.address]);
+    let harness = Harness::start(&[target.address]);
     let request =
         format!("GET /proofs/1 HTTP/1.1\r\nhost: a\r\nauthorization: Bearer {KEY}\r\n\r\n");
-    let mut stream = std::net::TcpStream::connect(bench.address).unwrap();
+    let mut stream = std::net::TcpStream::connect(harness.address).unwrap();
     stream.write_all(request.as_bytes()).unwrap();
     until("the target has the request", || target.ran() == 1).await;
     let mut start = [0; 16];
@@ -95,5 +95,5 @@
     );
     // What the kernel's buffers of two connections hold, and little more.
     assert!(sent() < 32 << 20, "{} bytes", sent());
-    bench.stop().await;
+    harness.stop().await;
 }
--- a/crates/zinniastall-entry/tests/callers/outcomes.rs
+++ b/crates/zinniastall-entry/tests/callers/outcomes.rs
@@ -4,29 +4,29 @@
 
 use zinniastall_route::policy::{Choice, Policy};
 
-use super::bench::{Bench, CHAT, Fake, Script, until};
+use super::harness::{CHAT, Fake, Harness, Script, until};
 
-const WHOLE: &str = "HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\n{}";
-const SHORT: &str = "HTTP/1.1 200 OK\r\ncontent-length: 9\r\n\r\n{}";
-const CHUNK: &str = "HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n2\r\n{}\r\n";
-const REFUSED: &str =
+const COMPLETE: &str = "HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\n{}";
+const TRUNCATED: &str = "HTTP/1.1 200 OK\r\ncontent-length: 9\r\n\r\n{}";
+const TRUNCATED_CHUNKED: &str = "HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n2\r\n{}\r\n";
+const TYPED_REFUSAL: &str =
     "HTTP/1.1 503 Busy\r\nx-zinniastall-outcome: not-run\r\ncontent-length: 0\r\n\r\n";
 const FAULT: &str = "HTTP/1.1 500 Oops\r\ncontent-length: 4\r\n\r\noops";
-const EVENTS: &str = "HTTP/1.1 200 OK\r\ncontent-type: text/event-stream\r\n\
+const STREAM: &str = "HTTP/1.1 200 OK\r\ncontent-type: text/event-stream\r\n\
     transfer-encoding: chunked\r\n\r\n9\r\ndata: a\n\n\r\ne\r\ndata: [DONE]\n\n\r\n0\r\n\r\n";
-const UNCLOSED: &str = "HTTP/1.1 200 OK\r\ncontent-type: text/event-stream\r\n\
+const STREAM_WITHOUT_DONE: &str = "HTTP/1.1 200 OK\r\ncontent-type: text/event-stream\r\n\
     transfer-encoding: chunked\r\n\r\n9\r\ndata: a\n\n\r\n0\r\n\r\n";
-const KILLED: &str = "HTTP/1.1 200 OK\r\ncontent-type: text/event-stream\r\n\
+const STREAM_CUT_OFF: &str = "HTTP/1.1 200 OK\r\ncontent-type: text/event-stream\r\n\
     transfer-encoding: chunked\r\n\r\n9\r\ndata: a\n\n\r\n";
 
 /// Targets take their turn, so that a case knows who gets the first attempt.
-fn in_turn() -> Arc<Policy> {
+fn round_robin() -> Arc<Policy> {
     Arc::new(Policy::default().choice(Choice::RoundRobin))
 }
 
 /// Names a case: what the targets do in turn, how often they run the request in all, and what the
 /// caller's answer has and has not.
-macro_rules! ends {
+macro_rules! outcome_cases {
     ($($(#[$doc:meta])* $name:ident: $scripts:expr, $headers:literal => $ran:pat,
         [$($part:expr),*], [$($absent:expr),*];)+) => {$(
         $(#[$doc])*
@@ -34,42 +34,42 @@
         async fn $name() {
             let targets: Vec<Fake> = $scripts.into_iter().map(|script| Fake::start(vec![script])).collect();
             let addresses: Vec<_> = targets.iter().map(|target| target.address).collect();
-            let bench = Bench::with(&addresses, |callers| callers.policy = in_turn());
-            let answer = bench.post("/v1/chat/completions", $headers, CHAT).await;
+            let harness = Harness::with(&addresses, |callers| callers.policy = round_robin());
+            let answer = harness.post("/v1/chat/completions", $headers, CHAT).await;
             $(assert!(answer.contains($part), "no {:?} in {answer}", $part);)*
             $(assert!(!answer.contains($absent), "{:?} in {answer}", $absent);)*
             let ran: usize = targets.iter().map(Fake::ran).sum();
             assert!(matches!(ran, $ran), "ran {ran} times: {answer}");
-            bench.stop().await;
+            harness.stop().await;
         }
     )+};
 }
 
-ends! {
-    whole: [Script::Write(WHOLE)], "" => 1, ["HTTP/1.1 200", "outcome: answered", "engine-0"], [];
+outcome_cases! {
+    whole: [Script::Write(COMPLETE)], "" => 1, ["HTTP/1.1 200", "outcome: answered", "engine-0"], [];
     fault_is_an_answer: [Script::Write(FAULT)], "" => 1, ["HTTP/1.1 500", "oops", "answered"], [];
-    refusal_is_retried: [Script::Write(REFUSED), Script::Write(WHOLE)], ""
+    refusal_is_retried: [Script::Write(TYPED_REFUSAL), Script::Write(COMPLETE)], ""
         => 2, ["HTTP/1.1 200", "engine-1"], [];
-    refused_by_all: [Script::Write(REFUSED)], "" => 1, ["HTTP/1.1 503", "not-run"], [];
+    refused_by_all: [Script::Write(TYPED_REFUSAL)], "" => 1, ["HTTP/1.1 503", "not-run"], [];
     // The target dies after its head and a part of the body. A caller who takes what has arrived
     // for the answer prints half a floor map.
-    cut_answer_is_retried: [Script::Write(SHORT), Script::Write(WHOLE)], ""
+    cut_answer_is_retried: [Script::Write(TRUNCATED), Script::Write(COMPLETE)], ""
         => 2, ["HTTP/1.1 200", "engine-1"], [];
     // The same with a chunked body, whose lost end the HTTP library does not report.
-    cut_chunks_are_retried: [Script::Write(CHUNK), Script::Write(WHOLE)], ""
+    cut_chunks_are_retried: [Script::Write(TRUNCATED_CHUNKED), Script::Write(COMPLETE)], ""
         => 2, ["HTTP/1.1 200", "engine-1"], [];
     // With nobody else to ask, the same target is asked again, within the limit of attempts.
-    cut_answer_is_unknown: [Script::Write(SHORT)], "" => 1..=3, ["HTTP/1.1 502", "unknown"], ["200 OK"];
-    cut_chunks_are_unknown: [Script::Write(CHUNK)], "" => 1..=3, ["HTTP/1.1 502", "unknown"], ["200 OK"];
+    cut_answer_is_unknown: [Script::Write(TRUNCATED)], "" => 1..=3, ["HTTP/1.1 502", "unknown"], ["200 OK"];
+    cut_chunks_are_unknown: [Script::Write(TRUNCATED_CHUNKED)], "" => 1..=3, ["HTTP/1.1 502", "unknown"], ["200 OK"];
     silent_target: [Script::Hold("")], "x-zinniastall-deadline-ms: 300\r\n"
         => 1, ["HTTP/1.1 504", "unknown"], [];
-    stream: [Script::Write(EVENTS)], "" => 1, ["data: a\n\n", "data: [DONE]", "0\r\n\r\n"], [];
+    stream: [Script::Write(STREAM)], "" => 1, ["data: a\n\n", "data: [DONE]", "0\r\n\r\n"], [];
     // An engine that ends its stream without the closing event has lost a part of the answer.
     // The caller must see an error event and an aborted connection, never a clean end.
     // The instance asks the engine to resume; one that starts again instead is not relayed twice.
-    unclosed_stream_is_aborted: [Script::Write(UNCLOSED)], ""
+    unclosed_stream_is_aborted: [Script::Write(STREAM_WITHOUT_DONE)], ""
         => 1..=2, ["data: a\n\n", "event: error", "unknown"], ["\r\n0\r\n\r\n"];
-    killed_stream_is_aborted: [Script::Write(KILLED)], ""
+    killed_stream_is_aborted: [Script::Write(STREAM_CUT_OFF)], ""
         => 1..=2, ["data: a\n\n", "event: error", "unknown"], ["\r\n0\r\n\r\n"];
 }
 
@@ -78,18 +78,18 @@
 #[actix_web::test]
 async fn caller_gone_cancels_at_the_target() {
     let target = Fake::start(vec![Script::Hold("")]);
-    let bench = Bench::start(&[target.address]);
+    let harness = Harness::start(&[target.address]);
     let request = format!(
         "POST /v1/chat/completions HTTP/1.1\r\nhost: a\r\nauthorization: Bearer {}\r\n\
          content-length: {}\r\n\r\n{CHAT}",
-        super::bench::KEY,
+        super::harness::KEY,
         CHAT.len()
     );
-    let mut stream = std::net::TcpStream::connect(bench.address).unwrap();
+    let mut stream = std::net::TcpStream::connect(harness.address).unwrap();
     std::io::Write::write_all(&mut stream, request.as_bytes()).unwrap();
     until("the target has the request", || target.ran() == 1).await;
     drop(stream);
     let cancelled = || target.cancelled.load(std::sync::atomic::Ordering::SeqCst) == 1;
     until("the target's connection is closed", cancelled).await;
-    bench.stop().await;
+    harness.stop().await;
 }
--- a/crates/zinniastall-entry/tests/callers/tickets.rs
+++ b/crates/zinniastall-entry/tests/callers/tickets.rs
@@ -6,8 +6,8 @@
 use zinniastall_coord::ticket::Address;
 use zinniastall_entry::{
     callers::{
-        parcel::Parcel,
-        ticket::{Ledger, Pass},
+        call::Call,
+        ticket::{Action, Ledger},
     },
     settings::Entry,
 };
@@ -18,7 +18,7 @@
 };
 use zinniastall_settings::load;
 
-use super::bench::{Bench, Fake, KEY, Script, client, until, view};
+use super::harness::{Fake, Harness, KEY, Script, client, until, view};
 
 const ANSWER: &str = "HTTP/1.1 200 OK\r\ncontent-length: 6\r\n\r\nbilled";
 
@@ -30,48 +30,48 @@
 // kept, and the resend gets it; billing again would charge the grant twice.
 #[actix_web::test]
 async fn run_outlives_its_caller() {
-    let late = Script::Late(Duration::from_millis(300), ANSWER);
+    let late = Script::Delayed(Duration::from_millis(300), ANSWER);
     let target = Fake::start(vec![late]);
-    let bench = Bench::start(&[target.address]);
-    let ticket = bench.tickets(1).await.remove(0);
+    let harness = Harness::start(&[target.address]);
+    let ticket = harness.tickets(1).await.remove(0);
     let request = format!(
         "POST /orders/1 HTTP/1.1\r\nhost: a\r\nauthorization: Bearer {KEY}\r\n\
          content-length: 0\r\n{}\r\n",
         header(&ticket)
     );
-    let mut stream = std::net::TcpStream::connect(bench.address).unwrap();
+    let mut stream = std::net::TcpStream::connect(harness.address).unwrap();
     std::io::Write::write_all(&mut stream, request.as_bytes()).unwrap();
     until("the target has the request", || target.ran() == 1).await;
     drop(stream);
     for _ in 0..2 {
-        let answer = bench.post("/orders/1", &header(&ticket), "").await;
+        let answer = harness.post("/orders/1", &header(&ticket), "").await;
         assert!(answer.ends_with("billed"), "{answer}");
     }
     assert_eq!(target.ran(), 1);
-    bench.stop().await;
+    harness.stop().await;
 }
 
 /// Names a case: settings, and what a resend of the same ticket says after the first answer.
-macro_rules! again {
+macro_rules! resend_cases {
     ($($(#[$doc:meta])* $name:ident: $change:expr, $pause:literal => [$($part:literal),+];)+) => {$(
         $(#[$doc])*
         #[actix_web::test]
         async fn $name() {
             let target = Fake::start(vec![Script::Write(ANSWER)]);
-            let bench = Bench::with(&[target.address], $change);
-            let ticket = bench.tickets(1).await.remove(0);
-            let answer = bench.post("/orders/1", &header(&ticket), "").await;
+            let harness = Harness::with(&[target.address], $change);
+            let ticket = harness.tickets(1).await.remove(0);
+            let answer = harness.post("/orders/1", &header(&ticket), "").await;
             assert!(answer.ends_with("billed"), "{answer}");
             actix_web::rt::time::sleep(Duration::from_millis($pause)).await;
-            let answer = bench.post("/orders/1", &header(&ticket), "").await;
+            let answer = harness.post("/orders/1", &header(&ticket), "").await;
             $(assert!(answer.contains($part), "no {:?} in {answer}", $part);)+
             assert_eq!(target.ran(), 1);
-            bench.stop().await;
+            harness.stop().await;
         }
     )+};
 }
 
-again! {
+resend_cases! {
     recorded: |_| {}, 0 => ["200 OK", "billed"];
     // Kept answers have a bound. A resend past it must hear that the request ran, not run again.
     not_kept: |callers| callers.tickets.answer_bytes = 0, 0 => ["502", "unknown", "answer-not-kept"];
@@ -84,34 +84,34 @@
 #[actix_web::test]
 async fn full_table_refuses_new_work() {
     let target = Fake::start(vec![Script::Write(ANSWER)]);
-    let bench = Bench::with(&[target.address], |callers| callers.tickets.marks = 1);
-    let tickets = bench.tickets(2).await;
-    let answer = bench.post("/orders/1", &header(&tickets[0]), "").await;
+    let harness = Harness::with(&[target.address], |callers| callers.tickets.marks = 1);
+    let tickets = harness.tickets(2).await;
+    let answer = harness.post("/orders/1", &header(&tickets[0]), "").await;
     assert!(answer.ends_with("billed"), "{answer}");
-    let answer = bench.post("/orders/2", &header(&tickets[1]), "").await;
+    let answer = harness.post("/orders/2", &header(&tickets[1]), "").await;
     assert!(
         answer.contains("503") && answer.contains("too-many-tickets"),
         "{answer}"
     );
     assert!(answer.contains("not-run"), "{answer}");
     assert_eq!(target.ran(), 1);
-    bench.stop().await;
+    harness.stop().await;
 }
 
 #[actix_web::test]
 async fn forged_ticket_is_refused() {
     let target = Fake::start(vec![Script::Write(ANSWER)]);
-    let bench = Bench::start(&[target.address]);
-    let mut ticket = bench.tickets(1).await.remove(0);
+    let harness = Harness::start(&[target.address]);
+    let mut ticket = harness.tickets(1).await.remove(0);
     let last = if ticket.pop() == Some('0') { '1' } else { '0' };
     ticket.push(last);
-    let answer = bench.post("/orders/1", &header(&ticket), "").await;
+    let answer = harness.post("/orders/1", &header(&ticket), "").await;
     assert!(
         answer.contains("400") && answer.contains("ticket-invalid"),
         "{answer}"
     );
     assert_eq!(target.ran(), 0);
-    bench.stop().await;
+    harness.stop().await;
 }
 
 fn only(rule: &str, region: &str) -> Object {
@@ -124,25 +124,25 @@
 }
 
 /// Names a case: what changes between a ticket's run and the resend of the same ticket.
-macro_rules! changed {
+macro_rules! resend_after_change_cases {
     ($($(#[$doc:meta])* $name:ident: $change:expr;)+) => {$(
         $(#[$doc])*
         #[actix_web::test]
         async fn $name() {
             let target = Fake::start(vec![Script::Write(ANSWER)]);
-            let bench = Bench::start(&[target.address]);
-            let tickets = bench.tickets(2).await;
-            let answer = bench.post("/orders/1", &header(&tickets[0]), "").await;
+            let harness = Harness::start(&[target.address]);
+            let tickets = harness.tickets(2).await;
+            let answer = harness.post("/orders/1", &header(&tickets[0]), "").await;
             assert!(answer.ends_with("billed"), "{answer}");
-            let change: fn(&Bench) = $change;
-            change(&bench);
-            let answer = bench.post("/orders/1", &header(&tickets[0]), "").await;
+            let change: fn(&Harness) = $change;
+            change(&harness);
+            let answer = harness.post("/orders/1", &header(&tickets[0]), "").await;
             assert!(answer.contains("502") && answer.contains("unknown"), "{answer}");
             // A ticket that was never used has certainly not run.
-            let answer = bench.post("/orders/1", &header(&tickets[1]), "").await;
+            let answer = harness.post("/orders/1", &header(&tickets[1]), "").await;
             assert!(answer.contains("not-run"), "{answer}");
             assert_eq!(target.ran(), 1);
-            bench.stop().await;
+            harness.stop().await;
         }
     )+};
 }
@@ -150,17 +150,17 @@
 // A proposal was billed and its answer lost. Before the caller sends it again, the configuration
 // changes so that the instance refuses the request before it looks at the ticket. Told "not run", the
 // caller would have it billed a second time under a new ticket.
-changed! {
-    client_withdrawn_since: |bench| {
-        bench.apply(Object::Client(Client { withdrawn: true, ..client(KEY) }));
+resend_after_change_cases! {
+    client_withdrawn_since: |harness| {
+        harness.apply(Object::Client(Client { withdrawn: true, ..client(KEY) }));
     };
-    key_replaced_since: |bench| bench.apply(Object::Client(client("another-key")));
-    regions_forbidden_since: |bench| {
+    key_replaced_since: |harness| harness.apply(Object::Client(client("another-key")));
+    regions_forbidden_since: |harness| {
         // No region satisfies both rules.
-        bench.apply(only("one", "patras"));
-        bench.apply(only("another", "athens"));
+        harness.apply(only("one", "patras"));
+        harness.apply(only("another", "athens"));
     };
-    unlisted_since: |bench| bench.unlist();
+    unlisted_since: |harness| harness.remove_configuration();
 }
 
 fn ledger(instance: &str) -> (Ledger, Address) {
@@ -171,7 +171,7 @@
     (Ledger::new(&view, settings.callers.tickets), address)
 }
 
-fn parcel(ticket: &str) -> Parcel {
+fn call(ticket: &str) -> Call {
     let request = Request {
         id: "1".into(),
         client: "maps".into(),
@@ -188,7 +188,7 @@
         hops: vec![],
         revision: 1,
     };
-    Parcel {
+    Call {
         request,
         method: "POST".into(),
         path: "/orders/1".into(),
@@ -206,19 +206,19 @@
     let third = Address::new("patras", "a", "patras-a-3", 1);
     let refusal = || Refusal::not_run(Reason::Withdrawn("maps".into()));
     let outcome = |ticket: &str, sender| {
-        let refusal = own.turned_away(refusal(), Some(ticket), Some(sender));
+        let refusal = own.rejected_early(refusal(), Some(ticket), Some(sender));
         refusal.outcome
     };
     let (used, fresh) = (other.issue(), other.issue());
-    let pass = own.admit_forwarded(&parcel(&used), &sender, false).unwrap();
-    assert!(matches!(pass, Pass::Run(_)), "{pass:?}");
+    let action = own.admit_forwarded(&call(&used), &sender, false).unwrap();
+    assert!(matches!(action, Action::Run(_)), "{action:?}");
     assert_eq!(outcome(&used, &sender), Outcome::Unknown);
     assert_eq!(outcome(&fresh, &sender), Outcome::NotRun);
     // Only the issuer and whom it sends work to can know.
     assert_eq!(outcome(&fresh, &third), Outcome::Unknown);
     let own_ticket = own.issue();
     assert_eq!(outcome(&own_ticket, &third), Outcome::NotRun);
-    own.admit(&parcel(&own_ticket), false).unwrap();
+    own.admit(&call(&own_ticket), false).unwrap();
     assert_eq!(outcome(&own_ticket, &third), Outcome::Unknown);
 }
 
@@ -226,11 +226,11 @@
 // instance gives up reading it. The order has run: told "not run", the caller would take a new ticket
 // and order twice.
 #[actix_web::test]
-async fn resend_turned_away_is_not_called_unrun() {
+async fn resend_rejected_early_is_reported_unknown() {
     let target = Fake::start(vec![Script::Write(ANSWER)]);
-    let bench = Bench::start(&[target.address]);
-    let tickets = bench.tickets(2).await;
-    let answer = bench.post("/orders/1", &header(&tickets[0]), "").await;
+    let harness = Harness::start(&[target.address]);
+    let tickets = harness.tickets(2).await;
+    let answer = harness.post("/orders/1", &header(&tickets[0]), "").await;
     assert!(answer.ends_with("billed"), "{answer}");
     for (ticket, outcome) in tickets.iter().zip(["unknown", "not-run"]) {
         let half = format!(
@@ -238,11 +238,11 @@
              content-length: 100\r\n\r\nhalf",
             header(ticket)
         );
-        let answer = bench.raw(half.into()).await;
+        let answer = harness.send_raw(half.into()).await;
         assert!(answer.contains("too-slow"), "{answer}");
         let said = format!("x-zinniastall-outcome: {outcome}");
         assert!(answer.contains(&said), "no {said} in {answer}");
     }
     assert_eq!(target.ran(), 1);
-    bench.stop().await;
+    harness.stop().await;
 }
--- a/crates/zinniastall-entry/tests/follow.rs
+++ b/crates/zinniastall-entry/tests/follow.rs
@@ -73,7 +73,7 @@
     assert!(after.contains(&before[1]), "{before:?} became {after:?}");
 }
 
-fn word(instance: &str, revision: u64) -> Confirmation {
+fn confirmation(instance: &str, revision: u64) -> Confirmation {
     Confirmation {
         instance: instance.to_owned(),
         incarnation: 1,
@@ -85,15 +85,15 @@
 /// A relay speaks for its followers. One that has died must not be spoken for any longer, or
 /// operators would see it as heard for as long as the relay lives.
 #[test]
-fn a_silent_follower_is_not_spoken_for() {
+fn a_silent_follower_is_not_reported() {
     let now = Instant::now();
     let mut gathered = Gathered::default();
-    gathered.note(word("a1", 3), now);
-    assert_eq!(gathered.take(now, true), [word("a1", 3)]);
+    gathered.note(confirmation("a1", 3), now);
+    assert_eq!(gathered.take(now, true), [confirmation("a1", 3)]);
     assert_eq!(gathered.take(now, false), []);
-    gathered.note(word("a1", 4), now);
-    gathered.note(word("a1", 2), now);
-    assert_eq!(gathered.take(now, false), [word("a1", 4)]);
+    gathered.note(confirmation("a1", 4), now);
+    gathered.note(confirmation("a1", 2), now);
+    assert_eq!(gathered.take(now, false), [confirmation("a1", 4)]);
     let later = now + Duration::from_mins(1);
     assert_eq!(gathered.take(later, true), []);
 }
--- a/crates/zinniastall-entry/tests/speaker.rs
+++ b/crates/zinniastall-entry/tests/speaker.rs
@@ -24,7 +24,7 @@
 const TICK: Duration = Duration::from_millis(500);
 /// The links of the tests: from athens/a to athens/b, and from athens/a to patras/a.
 const TO_B: Line = 1;
-const ABROAD: Line = 2;
+const TO_PATRAS: Line = 2;
 
 fn capacity(slots: u32, free: u32) -> Capacity {
     Capacity {
@@ -55,7 +55,7 @@
     Speaker::new(&"entry-a".to_owned(), 1, place, INTERVAL, now)
 }
 
-fn abroad(items: &[Item]) -> Option<(&str, u32)> {
+fn region_fact(items: &[Item]) -> Option<(&str, u32)> {
     items.iter().rev().find_map(|item| match &item.value {
         Some(Fact::Region(zone, capacity)) => Some((zone.as_str(), capacity.free)),
         _ => None,
@@ -68,27 +68,27 @@
 fn full_zone_is_no_longer_named() {
     let now = Instant::now();
     let mut speaker = speaker(now);
-    let mut say = |own, others: &[(&str, u32)], after| {
+    let mut announce = |own, others: &[(&str, u32)], after| {
         let knowledge = knowledge(own, others);
-        let word = speaker.speak(Voice::Region, &knowledge, now + TICK * after);
-        abroad(&word.items).map(|(zone, free)| (zone.to_owned(), free))
+        let news = speaker.speak(Voice::Region, &knowledge, now + TICK * after);
+        region_fact(&news.items).map(|(zone, free)| (zone.to_owned(), free))
     };
-    assert_eq!(say(4, &[("b", 20)], 0), Some(("b".to_owned(), 20)));
-    assert_eq!(say(24, &[("b", 10)], 1), None, "not urgent");
-    assert_eq!(say(24, &[("b", 0)], 2), Some(("a".to_owned(), 24)));
-    assert_eq!(say(0, &[("b", 0)], 3), Some(("a".to_owned(), 0)));
+    assert_eq!(announce(4, &[("b", 20)], 0), Some(("b".to_owned(), 20)));
+    assert_eq!(announce(24, &[("b", 10)], 1), None, "not urgent");
+    assert_eq!(announce(24, &[("b", 0)], 2), Some(("a".to_owned(), 24)));
+    assert_eq!(announce(0, &[("b", 0)], 3), Some(("a".to_owned(), 0)));
 }
 
 // Whoever speaks for its region stops when another zone does, and for its zone when another instance
 // does. What it goes on saying would hold off the other's word.
 #[test]
-fn region_is_withdrawn_with_the_voice() {
+fn region_fact_is_withdrawn_when_the_role_ends() {
     let now = Instant::now();
     let mut speaker = speaker(now);
     speaker.speak(Voice::Region, &knowledge(4, &[]), now);
-    let word = speaker.speak(Voice::Zone, &knowledge(4, &[]), now + TICK);
-    let [withdrawn] = &word.items[..] else {
-        panic!("{:?}", word.items);
+    let news = speaker.speak(Voice::Zone, &knowledge(4, &[]), now + TICK);
+    let [withdrawn] = &news.items[..] else {
+        panic!("{:?}", news.items);
     };
     assert!(matches!(withdrawn.key, Topic::Region(..)) && withdrawn.value.is_none());
 }
@@ -96,7 +96,7 @@
 // Loads change all the time. Each fact crosses every border to every region, so a fact that isn't
 // urgent must rest; one that is must never wait, or requests go where nothing is free.
 #[test]
-fn facts_rest_and_never_mislead() {
+fn routine_facts_are_rate_limited_and_urgent_ones_are_not() {
     let config = Config {
         cases: 200,
         failure_persistence: None,
@@ -114,9 +114,9 @@
             now += TICK;
             let b = b.map(|free| ("b", free));
             let zones: Vec<(&str, u32)> = b.into_iter().chain([("c", c)]).collect();
-            let word = speaker.speak(Voice::Region, &knowledge(own, &zones), now);
+            let news = speaker.speak(Voice::Region, &knowledge(own, &zones), now);
             let free: IndexMap<&str, u32> = zones.into_iter().chain([("a", own)]).collect();
-            if let Some((zone, now_free)) = abroad(&word.items) {
+            if let Some((zone, now_free)) = region_fact(&news.items) {
                 if let Some((before, was_free, at)) = &told
                     && before == zone
                     && (*was_free == 0) == (now_free == 0)
@@ -220,11 +220,11 @@
 }
 
 /// Returns athens/a, athens/b and patras/a; facts go from b to a and from a to patras.
-fn three(now: Instant) -> [Zone; 3] {
+fn three_zones(now: Instant) -> [Zone; 3] {
     let [a, b, patras] = [("athens", "a"), ("athens", "b"), ("patras", "a")]
         .map(|(region, zone)| Place::new(region, zone));
     [
-        Zone::new("athens", "a", &[(TO_B, b), (ABROAD, patras)], now),
+        Zone::new("athens", "a", &[(TO_B, b), (TO_PATRAS, patras)], now),
         Zone::new("athens", "b", &[(TO_B, a)], now),
         Zone::new("patras", "a", &[], now),
     ]
@@ -233,9 +233,9 @@
 // Two zones of a region serve the same model. Told one by one to every other region, zones times
 // models would pass a node's budget fivefold at the target size.
 #[test]
-fn regions_tell_each_other_one_fact_a_model() {
+fn regions_exchange_one_fact_per_model() {
     let now = Instant::now();
-    let [mut a, mut b, mut patras] = three(now);
+    let [mut a, mut b, mut patras] = three_zones(now);
     b.speak(Voice::Zone, 0, now);
     a.take(&b.place.clone(), b.flush(now).get(&TO_B), now);
     a.speak(Voice::Region, 6, now);
@@ -247,15 +247,15 @@
             .filter(|item| !matches!(item.key, Topic::Doors(_)))
             .collect()
     };
-    let [one] = &told(ABROAD)[..] else {
-        panic!("{:?}", told(ABROAD));
+    let [one] = &told(TO_PATRAS)[..] else {
+        panic!("{:?}", told(TO_PATRAS));
     };
     assert!(matches!(one.key, Topic::Region(..)), "{one:?}");
     let [near] = &told(TO_B)[..] else {
         panic!("{:?}", told(TO_B));
     };
     assert!(matches!(near.key, Topic::Capacity(..)), "{near:?}");
-    patras.take(&a.place.clone(), out.get(&ABROAD), now);
+    patras.take(&a.place.clone(), out.get(&TO_PATRAS), now);
     assert_eq!(patras.known(now), ["athens/b"], "b has more free slots");
 }
 
@@ -263,9 +263,9 @@
 // fits in on the other links at each turn; if they took the budget every time, the longer fact by which
 // the new peer learns where to send requests would never go out, and the zone would stay unknown to it.
 #[test]
-fn long_fact_on_a_new_link_gets_its_turn() {
+fn long_fact_on_a_new_link_is_not_starved() {
     let mut now = Instant::now();
-    let [mut a, _, _] = three(now);
+    let [mut a, _, _] = three_zones(now);
     let place = |line: Line| Place::new(format!("region-{line}"), "a");
     let mut lines: IndexMap<Line, Place> = (1..20).map(|line| (line, place(line))).collect();
     a.digests.paths(&lines);
@@ -296,16 +296,16 @@
 // A zone is lost while the zone that speaks for its region goes on vouching for what it says. Nobody
 // abroad may send requests to the lost one for longer than to one that speaks for itself.
 #[test]
-fn lost_zone_is_not_vouched_for_by_its_region() {
+fn lost_zone_is_not_renewed_by_its_region() {
     let start = Instant::now();
-    let [mut a, mut b, mut patras] = three(start);
+    let [mut a, mut b, mut patras] = three_zones(start);
     b.speak(Voice::Zone, 0, start);
     let news = b.flush(start);
     a.take(&b.place.clone(), news.get(&TO_B), start);
     for tick in 0..40 {
         let now = start + TICK * tick;
         a.speak(Voice::Region, 6, now);
-        patras.take(&a.place.clone(), a.flush(now).get(&ABROAD), now);
+        patras.take(&a.place.clone(), a.flush(now).get(&TO_PATRAS), now);
         let named = patras.known(now) == ["athens/b"];
         assert!(
             !named || now <= start + HORIZON / 2 + TICK,
@@ -318,14 +318,14 @@
 // The link from the speaking zone breaks just after it has named another zone whose doors were heard
 // long ago. Without its doors a zone can't be reached, whatever its region says.
 #[test]
-fn zone_without_doors_is_not_offered() {
+fn zone_without_known_instances_is_not_offered() {
     let start = Instant::now();
-    let [mut a, mut b, mut patras] = three(start);
+    let [mut a, mut b, mut patras] = three_zones(start);
     b.speak(Voice::Zone, 0, start);
     a.take(&b.place.clone(), b.flush(start).get(&TO_B), start);
     let later = start + HORIZON / 2;
     a.speak(Voice::Region, 6, later);
-    patras.take(&a.place.clone(), a.flush(later).get(&ABROAD), later);
+    patras.take(&a.place.clone(), a.flush(later).get(&TO_PATRAS), later);
     assert_eq!(patras.known(later), ["athens/b"]);
     let over = start + HORIZON + TICK;
     assert!(
@@ -339,13 +339,13 @@
 // by another zone. If that vouched for the old word of the region as well, other regions would go on
 // sending requests by it for ever.
 #[test]
-fn word_for_the_zone_does_not_vouch_for_the_region() {
+fn zone_fact_does_not_renew_the_region_fact() {
     let start = Instant::now();
-    let [mut a, mut b, mut patras] = three(start);
-    let abroad: IndexMap<Line, Place> = [(ABROAD, patras.place.clone())].into();
+    let [mut a, mut b, mut patras] = three_zones(start);
+    let abroad: IndexMap<Line, Place> = [(TO_PATRAS, patras.place.clone())].into();
     b.digests.paths(&abroad);
     b.speak(Voice::Region, 0, start);
-    patras.take(&b.place.clone(), b.flush(start).get(&ABROAD), start);
+    patras.take(&b.place.clone(), b.flush(start).get(&TO_PATRAS), start);
     assert_eq!(patras.known(start), ["athens/b"]);
     let by_a: IndexMap<Line, Place> = [(TO_B, a.place.clone())].into();
     b.digests.paths(&by_a);
@@ -353,7 +353,7 @@
         let now = start + TICK * tick;
         b.speak(Voice::Zone, 8, now);
         a.take(&b.place.clone(), b.flush(now).get(&TO_B), now);
-        patras.take(&a.place.clone(), a.flush(now).get(&ABROAD), now);
+        patras.take(&a.place.clone(), a.flush(now).get(&TO_PATRAS), now);
         let offered = patras.known(now);
         assert!(
             offered.is_empty() || now <= start + HORIZON,
--- a/crates/zinniastall-entry/tests/spread.rs
+++ b/crates/zinniastall-entry/tests/spread.rs
@@ -79,7 +79,7 @@
 // A target dies without a word. Its lease is all that tells, and it is judged by the clock of
 // whoever holds the report.
 #[test]
-fn lease_runs_out_on_the_holders_clock() {
+fn lease_expires_by_the_holders_clock() {
     let now = Instant::now();
     let mut table = Table::new(LEASE);
     let report = Target {
@@ -99,7 +99,7 @@
 
 // A report that claims a lease of an hour would keep a dead target for an hour.
 #[test]
-fn no_lease_is_longer_than_the_zones() {
+fn lease_is_capped_at_the_zone_lease() {
     let now = Instant::now();
     let mut table = Table::new(LEASE);
     let report = Target {
@@ -158,7 +158,7 @@
     assert!(renewals.take(&table, 1_000, now).is_empty());
 }
 
-macro_rules! growth {
+macro_rules! growth_cases {
     ($($name:ident: $before:expr, $after:expr => $grown:expr;)*) => {$(
         #[test]
         fn $name() {
@@ -169,7 +169,7 @@
     )*};
 }
 
-growth! {
+growth_cases! {
     nothing_new: [1, 2], [1, 2] => Some(&[]);
     appended: [1, 2], [1, 2, 3] => Some(&[3]);
     oldest_pushed_out: [1, 2, 3], [2, 3, 4] => Some(&[4]);
@@ -181,7 +181,7 @@
 // An instance is gone for good. Dialled without pauses, its address would get an attempt from each
 // instance of the zone each half second, and after a partition all would dial at the same moment.
 #[test]
-fn attempts_to_dial_pause_longer_and_longer() {
+fn dial_attempts_back_off() {
     let start = Instant::now();
     let mut book = Book::new(
         "entry-1".to_owned(),
@@ -205,23 +205,23 @@
 // What a peer says of another may be old. It serves for an attempt to dial, and never for what is
 // told to callers.
 #[test]
-fn hearsay_is_no_word_of_the_peer_itself() {
+fn secondhand_report_does_not_confirm_a_peer() {
     let now = Instant::now();
     let mut book = Book::new("entry-1".to_owned(), std::iter::empty(), now);
     book.hearsay(peer("entry-2", "athens", "a"), now);
     assert!(book.sworn("entry-2").is_none());
     assert!(book.swear(peer("entry-2", "athens", "a"), now).is_none());
     assert!(book.sworn("entry-2").is_some());
-    let heir = Peer {
+    let successor = Peer {
         links: "entry-2:1".to_owned(),
         ..peer("entry-3", "athens", "a")
     };
-    assert_eq!(book.swear(heir, now).as_deref(), Some("entry-2"));
+    assert_eq!(book.swear(successor, now).as_deref(), Some("entry-2"));
     assert!(book.sworn("entry-2").is_none(), "two owners of one address");
 }
 
 #[test]
-fn first_zone_of_a_region_speaks_to_other_regions() {
+fn first_zone_of_a_region_connects_to_other_regions() {
     let now = Instant::now();
     let doors = |zones: &[(&str, &str)]| -> Vec<(Place, Vec<Peer>)> {
         let door = |(region, zone): &(&str, &str)| {
@@ -250,7 +250,7 @@
     assert_eq!(wanted(&second, 0), ["athens-a-1", "patras-a-1"]);
 }
 
-macro_rules! refused {
+macro_rules! refusal_cases {
     ($($name:ident: $field:expr, $value:expr;)*) => {$(
         #[test]
         fn $name() {
@@ -267,7 +267,7 @@
     )*};
 }
 
-refused! {
+refusal_cases! {
     empty_name: "target", json!("");
     long_name: "target", json!("x".repeat(65));
     control_characters: "role", json!("a\nb");
@@ -327,15 +327,15 @@
     (board, identity, spread)
 }
 
-async fn until(what: &str, holds: impl Fn() -> bool) {
+async fn until(what: &str, condition: impl Fn() -> bool) {
     let start = Instant::now();
-    while !holds() {
+    while !condition() {
         assert!(start.elapsed() < seconds(20), "{what}");
         tokio::time::sleep(Duration::from_millis(10)).await;
     }
 }
 
-fn run(board: &Board, name: &str) -> Option<u64> {
+fn seen_incarnation(board: &Board, name: &str) -> Option<u64> {
     let view = board.view();
     let peers: &IndexMap<_, _> = &view.peers;
     peers.get(name).map(|peer| peer.incarnation)
@@ -344,18 +344,18 @@
 // An instance restarts on a machine whose clock went back. Its run has a lower number than the one
 // that its peers remember, so they take all that it says for late: it would never serve again.
 #[actix_rt::test]
-async fn restart_with_an_earlier_clock_takes_a_higher_run() {
+async fn restart_with_an_earlier_clock_raises_its_incarnation() {
     let (peer, identity, _) = instance("entry-1", 5, Vec::new()).await;
     let seeds = vec![identity.addresses().links.clone()];
     let (_, _, former) = instance("entry-2", 100, seeds.clone()).await;
     until("the former run is seen", || {
-        run(&peer, "entry-2") == Some(100)
+        seen_incarnation(&peer, "entry-2") == Some(100)
     })
     .await;
     former.send(Stop).await.unwrap();
     let (restarted, _, _) = instance("entry-2", 40, seeds).await;
     until("the restarted one is seen", || {
-        run(&peer, "entry-2") == Some(101)
+        seen_incarnation(&peer, "entry-2") == Some(101)
     })
     .await;
     until("its own view has the run", || {
@@ -367,7 +367,7 @@
 // All zones have the same one in their settings. Facts about a zone don't pass through a third, so
 // zones that are never named to each other would never spill to each other, though nothing is cut.
 #[actix_rt::test]
-async fn zones_find_each_other_by_a_third() {
+async fn zones_discover_each_other_through_a_third() {
     let places = [
         ("athens", "a"),
         ("athens", "b"),
