--- a/crates/zinniastall-entry/src/callers/admission/candidates.rs
+++ b/crates/zinniastall-entry/src/callers/admission/candidates.rs
@@ -79,7 +79,7 @@
     }
 
     /// Returns the mean time from one start to the next while all are at their limits.
-    pub(super) fn mean_start_interval(&self) -> Duration {
+    pub(super) fn start_interval(&self) -> Duration {
         let limits: u32 = self
             .all
             .iter()
--- a/crates/zinniastall-entry/src/callers/admission/queues.rs
+++ b/crates/zinniastall-entry/src/callers/admission/queues.rs
@@ -82,9 +82,9 @@
         );
         let queue = self.by_subject.entry(request.subject.clone()).or_default();
         let local = match found.cheapest(policy, &request.prefixes, now) {
-            Local::Cost(cost) if !starts_now => Local::Cost(
-                cost + policy.wait_cost(queue.expected_wait(found.mean_start_interval())),
-            ),
+            Local::Cost(cost) if !starts_now => {
+                Local::Cost(cost + policy.wait_cost(queue.expected_wait(found.start_interval())))
+            }
             local => local,
         };
         let random = &mut rand::rng();
@@ -108,14 +108,8 @@
         let id = self.last_id;
         let waiter = admit::Waiter { id, ..waiter };
         let queue = self.by_subject.entry(request.subject.clone()).or_default();
-        let receiver = queue.enqueue(
-            policy,
-            waiter,
-            request,
-            tried,
-            found.mean_start_interval(),
-            now,
-        )?;
+        let receiver =
+            queue.enqueue(policy, waiter, request, tried, found.start_interval(), now)?;
         Ok((id, receiver))
     }
 
--- a/crates/zinniastall-entry/src/callers/admission/state.rs
+++ b/crates/zinniastall-entry/src/callers/admission/state.rs
@@ -172,7 +172,7 @@
             let reason = Reason::NoTarget(subject.name().to_owned());
             return Some(Refusal::not_run(reason).retry(NO_TARGET_RETRY_AFTER));
         }
-        let start_interval = queue.start_interval(found.mean_start_interval());
+        let start_interval = queue.start_interval(found.start_interval());
         let wait = start_interval.saturating_mul(queue.ahead(id));
         let late = now + wait + entry.service() > entry.request.deadline;
         late.then(|| Refusal::not_run(Reason::Late).retry(wait.max(start_interval)))
--- a/crates/zinniastall-entry/src/callers/admission/subject_queue.rs
+++ b/crates/zinniastall-entry/src/callers/admission/subject_queue.rs
@@ -143,9 +143,8 @@
     /// Returns the time from start to start as it was seen, or else as it is expected. Other
     /// instances use the same targets, so what was seen counts.
     pub(super) fn start_interval(&self, expected: Duration) -> Duration {
-        self.start_interval.map_or(expected, |start_interval| {
-            Duration::from_secs_f64(start_interval).max(expected)
-        })
+        self.start_interval
+            .map_or(expected, |mean| Duration::from_secs_f64(mean).max(expected))
     }
 
     /// Takes out a request that does not want to wait any longer.
