--- a/crates/zinniastall-control/src/control.rs
+++ b/crates/zinniastall-control/src/control.rs
@@ -33,7 +33,7 @@
 use tokio::sync::{oneshot, watch};
 use zinniastall_coord::{
     Id, Replica,
-    replica::{Index, Part},
+    replica::{Index, Role},
 };
 use zinniastall_model::{id, machine::Machine};
 use zinniastall_wire::{
@@ -102,7 +102,7 @@
     founding: bool,
     heal: heal::Heal,
     scheduled: bool,
-    part: Part,
+    part: Role,
     committed: Index,
     failed: Option<oneshot::Sender<Failure>>,
 }
--- a/crates/zinniastall-control/src/control/drive.rs
+++ b/crates/zinniastall-control/src/control/drive.rs
@@ -3,7 +3,7 @@
 use std::time::Instant;
 
 use actix::{AsyncContext, Context, Handler, Message};
-use zinniastall_coord::replica::{Part, Ready, Status};
+use zinniastall_coord::replica::{Ready, Role, Status};
 
 use super::{Control, hex};
 use crate::{disk::Work, peers};
@@ -83,7 +83,7 @@
 
     /// Notes what is known to be committed by the word of a majority, before there is a leader.
     fn check_commit(&mut self, status: &Status) {
-        let is_led = status.leader.is_some() || status.part == Part::Leader;
+        let is_led = status.leader.is_some() || status.role == Role::Leader;
         if !is_led && status.commit > self.committed {
             let (index, term) = (status.commit, status.term);
             tracing::info!(event = "log-known", index, term);
@@ -94,15 +94,15 @@
     fn check_part(&mut self, now: Instant) {
         let status = self.replica.status(now);
         self.check_commit(&status);
-        if status.part == self.part {
+        if status.role == self.part {
             return;
         }
-        let (part, term) = (format!("{:?}", status.part).to_lowercase(), status.term);
+        let (part, term) = (format!("{:?}", status.role).to_lowercase(), status.term);
         tracing::info!(event = "part-changed", part, term);
-        if self.part == Part::Leader {
+        if self.part == Role::Leader {
             self.waiting.hurry(now + self.settings.timing.election * 2);
         }
-        self.part = status.part;
+        self.part = status.role;
     }
 }
 
--- a/crates/zinniastall-control/src/control/entries.rs
+++ b/crates/zinniastall-control/src/control/entries.rs
@@ -4,7 +4,7 @@
 
 use actix::{Context, Handler, Message};
 use tokio::sync::oneshot;
-use zinniastall_coord::replica::Part;
+use zinniastall_coord::replica::Role;
 use zinniastall_model::{
     change::{Body, Change},
     member::Member,
@@ -53,7 +53,7 @@
         if self.joining.contains_key(&member.instance) {
             return;
         }
-        if self.part != Part::Leader {
+        if self.part != Role::Leader {
             self.send_leader(&peers::Message::Join(member));
             return;
         }
@@ -89,7 +89,7 @@
         let state = self.machine.state();
         self.confirmed.retain(state);
         let news = self.confirmed.take_news();
-        if self.part != Part::Leader && !news.is_empty() {
+        if self.part != Role::Leader && !news.is_empty() {
             self.send_leader(&peers::Message::Confirmed(news));
         }
     }
--- a/crates/zinniastall-control/src/control/group.rs
+++ b/crates/zinniastall-control/src/control/group.rs
@@ -6,7 +6,7 @@
 use tokio::sync::oneshot;
 use zinniastall_coord::{
     replica::Refusal,
-    voters::{Change, Fault},
+    voters::{Change, Error},
 };
 
 use super::{
@@ -50,11 +50,11 @@
     fn regroup_refused(&self, change: &Change, refusal: Refusal) -> Reply {
         let voters = self.replica.status(Instant::now()).voters;
         let in_place = match (change, &refusal) {
-            (Change::Admit { id, address }, Refusal::Voters(Fault::Member(_))) => {
+            (Change::Admit { id, address }, Refusal::Voters(Error::Member(_))) => {
                 voters.address(*id) == Some(address)
             }
-            (Change::Promote { id }, Refusal::Voters(Fault::Learner(_))) => voters.is_voter(*id),
-            (Change::Remove { id }, Refusal::Voters(Fault::Unknown(_))) => !voters.is_member(*id),
+            (Change::Promote { id }, Refusal::Voters(Error::Learner(_))) => voters.is_voter(*id),
+            (Change::Remove { id }, Refusal::Voters(Error::Unknown(_))) => !voters.is_member(*id),
             _ => false,
         };
         if !in_place {
--- a/crates/zinniastall-control/src/control/heal.rs
+++ b/crates/zinniastall-control/src/control/heal.rs
@@ -11,7 +11,7 @@
 use indexmap::IndexMap;
 use zinniastall_coord::{
     Id,
-    replica::{Part, Status},
+    replica::{Role, Status},
     voters::Address,
 };
 
@@ -105,7 +105,7 @@
         if voters.members().any(is_there) {
             self.peers.renew(id, &address);
         }
-        if self.part == Part::Leader {
+        if self.part == Role::Leader {
             let since = now;
             self.heal.asking.insert(id, Asking { address, since });
         } else {
@@ -115,7 +115,7 @@
 
     /// Takes the next step towards a whole group.
     pub(super) fn heal(&mut self, now: Instant, context: &mut Context<Self>) {
-        if self.part == Part::Leader && self.heal.is_stalled(self.handed, self.synced, now) {
+        if self.part == Role::Leader && self.heal.is_stalled(self.handed, self.synced, now) {
             tracing::warn!(
                 event = "disk-stalled",
                 handed = self.handed,
@@ -134,7 +134,7 @@
         }
         if !status.voters.is_member(status.id) || status.removed {
             self.ask(status.id, now);
-        } else if status.part == Part::Leader {
+        } else if status.role == Role::Leader {
             self.repair(&status, now, context);
         }
     }
--- a/crates/zinniastall-control/src/control/order.rs
+++ b/crates/zinniastall-control/src/control/order.rs
@@ -6,7 +6,7 @@
 };
 
 use actix::{AsyncContext, Context, Handler, Message};
-use zinniastall_coord::replica::Part;
+use zinniastall_coord::replica::Role;
 use zinniastall_model::{header, id};
 use zinniastall_wire::follow::Astray;
 
@@ -39,7 +39,7 @@
 impl Control {
     /// Notes targets that do not hold what they should, or passes them on to the leader.
     pub(super) fn note_astray(&mut self, list: Vec<Astray>) {
-        if self.part != Part::Leader {
+        if self.part != Role::Leader {
             self.send_leader(&peers::Message::Astray(list));
             return;
         }
@@ -55,7 +55,7 @@
 
     /// Sends what is due, or forgets all orders when this replica does not lead.
     pub(super) fn send_orders(&mut self, now: Instant, context: &Context<Self>) {
-        if self.part != Part::Leader {
+        if self.part != Role::Leader {
             self.orders = None;
             return;
         }
--- a/crates/zinniastall-control/src/control/start.rs
+++ b/crates/zinniastall-control/src/control/start.rs
@@ -10,7 +10,7 @@
 };
 use zinniastall_coord::{
     Replica,
-    replica::{Limits, Part, Restored},
+    replica::{Limits, Restored, Role},
 };
 use zinniastall_model::machine::Machine;
 use zinniastall_store::Store;
@@ -65,7 +65,7 @@
 pub enum StartFault {
     /// The timings can't keep a group safe.
     #[error(transparent)]
-    Timing(#[from] zinniastall_coord::election::Fault),
+    Timing(#[from] zinniastall_coord::election::Error),
     /// The snapshot in the data folder is not one of this program's.
     #[error("the snapshot cannot be read: {0}")]
     Snapshot(#[from] ciborium::de::Error<std::io::Error>),
@@ -132,7 +132,7 @@
             orders: None,
             founding: false,
             scheduled: false,
-            part: Part::Follower,
+            part: Role::Follower,
             committed: 0,
             failed: Some(start.failed),
             settings,
--- a/crates/zinniastall-control/src/control/status.rs
+++ b/crates/zinniastall-control/src/control/status.rs
@@ -7,7 +7,7 @@
 use zinniastall_api::operator::{InstanceStatus, ReplicaStatus, SystemStatus};
 use zinniastall_coord::{
     Id,
-    replica::{Barrier, Part, Status},
+    replica::{Barrier, Role, Status},
 };
 use zinniastall_model::member::Member;
 
@@ -80,7 +80,7 @@
     /// says nothing: an operator who took another one down on that word would stop the group.
     pub(super) fn check_questions(&mut self, now: Instant) {
         for question in std::mem::take(&mut self.questions.waiting) {
-            match self.replica.spare_since(&question.barrier) {
+            match self.replica.failure_tolerance_since(&question.barrier) {
                 Ok(0) if now < question.deadline => self.questions.waiting.push(question),
                 spare => {
                     let safe = spare.is_ok_and(|spare| spare > 0);
@@ -159,7 +159,7 @@
             id: format!("{id:016x}"),
             address: address.unwrap_or_else(|| self.card.borrow().links.clone()),
             voter: status.voters.is_voter(id),
-            leader: status.leader == Some(id) && (!own || status.part == Part::Leader),
+            leader: status.leader == Some(id) && (!own || status.role == Role::Leader),
             matched: if own {
                 status.applied
             } else {
--- a/crates/zinniastall-control/src/control/stop.rs
+++ b/crates/zinniastall-control/src/control/stop.rs
@@ -4,7 +4,7 @@
 
 use actix::{AsyncContext, Context, Handler, Message, MessageResult};
 use tokio::sync::oneshot;
-use zinniastall_coord::replica::Part;
+use zinniastall_coord::replica::Role;
 
 use super::{Control, Later, waiting::answer};
 
@@ -42,7 +42,7 @@
 
     fn handle(&mut self, look: Look, context: &mut Context<Self>) {
         let now = Instant::now();
-        let leads = self.part == Part::Leader;
+        let leads = self.part == Role::Leader;
         let alone = self.replica.status(now).voters.voters.len() <= 1;
         let finished = self.waiting.is_empty() && (alone || !leads);
         if finished || now >= look.deadline {
--- a/crates/zinniastall-control/src/control/vouch.rs
+++ b/crates/zinniastall-control/src/control/vouch.rs
@@ -13,7 +13,7 @@
 use actix::{Context, Handler, Message, MessageResult};
 use indexmap::IndexMap;
 use tokio::sync::oneshot;
-use zinniastall_coord::{Id, replica::Part};
+use zinniastall_coord::{Id, replica::Role};
 use zinniastall_model::id;
 
 use super::{Control, Later, Look, NotLeader, Read, addressed};
@@ -88,7 +88,7 @@
 
     fn handle(&mut self, _: Vouch, context: &mut Context<Self>) -> Self::Result {
         let (reply, later) = oneshot::channel();
-        if self.part == Part::Leader {
+        if self.part == Role::Leader {
             let read = self.read(Read { revision: 0 });
             actix::spawn(async move {
                 if let Some(revision) = reached(read).await {
--- a/crates/zinniastall-control/src/figures.rs
+++ b/crates/zinniastall-control/src/figures.rs
@@ -5,7 +5,7 @@
 use actix::Addr;
 use prometheus_client::encoding::EncodeLabelSet;
 use tokio::time;
-use zinniastall_coord::replica::Part;
+use zinniastall_coord::replica::Role;
 use zinniastall_settings::scrape::{Builder, Counters, Gauge, Histograms, Page};
 
 use crate::{
@@ -87,11 +87,11 @@
         loop {
             if let Ok(glance) = control.send(Glance).await {
                 let status = glance.status;
-                self.leads.set(u64::from(status.part == Part::Leader));
+                self.leads.set(u64::from(status.role == Role::Leader));
                 self.term.set(status.term);
                 self.commit.set(status.commit);
                 self.voters.set(status.voters.voters.len() as u64);
-                self.spare.set(status.spare() as u64);
+                self.spare.set(status.failure_tolerance() as u64);
                 self.revision.set(glance.revision);
                 self.unsynced.set(glance.unsynced);
             }
--- a/crates/zinniastall-control/src/peers/datagram.rs
+++ b/crates/zinniastall-control/src/peers/datagram.rs
@@ -55,7 +55,10 @@
     let Message::Log(message) = message else {
         return false;
     };
-    matches!(message.body, Body::Survey { .. } | Body::Standing { .. })
+    matches!(
+        message.body,
+        Body::Survey { .. } | Body::SurveyAnswer { .. }
+    )
 }
 
 async fn run(
--- a/crates/zinniastall-control/src/rpc/convert.rs
+++ b/crates/zinniastall-control/src/rpc/convert.rs
@@ -139,7 +139,7 @@
         },
         Reply::Refused(refusal) => api::ChangeResponse {
             reason: refusal.to_string(),
-            ..with(if refusal.is_passing() {
+            ..with(if refusal.is_transient() {
                 Outcome::Unavailable
             } else {
                 Outcome::Invalid
--- a/crates/zinniastall-control/tests/heal.rs
+++ b/crates/zinniastall-control/tests/heal.rs
@@ -6,7 +6,7 @@
 use zinniastall_control::control::{Pace, STEP, next_step};
 use zinniastall_coord::{
     Id,
-    replica::{Part, Peer, Status},
+    replica::{Peer, Role, Status},
     voters::{Change, Voters},
 };
 
@@ -44,7 +44,7 @@
     Status {
         id: OWN,
         cluster: Some([7; 16]),
-        part: Part::Leader,
+        role: Role::Leader,
         term: 3,
         leader: Some(OWN),
         commit: 100,
--- a/crates/zinniastall-coord/examples/cost.rs
+++ b/crates/zinniastall-coord/examples/cost.rs
@@ -15,9 +15,9 @@
 use zinniastall_coord::{Cluster, Id};
 
 const CLUSTER: Cluster = [7; 16];
-const COMMAND: usize = 512;
-const CHANGES: u32 = 20_000;
-const BEATS: u32 = 2_000;
+const COMMAND_BYTES: usize = 512;
+const CHANGE_COUNT: u32 = 20_000;
+const HEARTBEAT_COUNT: u32 = 2_000;
 const HEARTBEAT: Duration = Duration::from_millis(50);
 const ELECTION: Duration = Duration::from_millis(500);
 
@@ -58,7 +58,7 @@
             costs,
         };
         for _ in 0..40 {
-            group.pass(HEARTBEAT);
+            group.advance(HEARTBEAT);
         }
         for id in 2..=size {
             let address = id.to_string();
@@ -72,46 +72,46 @@
     fn change(&mut self, change: &Change) -> Result<(), Box<dyn Error>> {
         self.replicas[0].propose_voters(change, self.now)?;
         for _ in 0..10 {
-            self.pass(HEARTBEAT);
+            self.advance(HEARTBEAT);
         }
         Ok(())
     }
 
     /// Lets time pass and messages move until none is left.
-    fn pass(&mut self, span: Duration) {
+    fn advance(&mut self, span: Duration) {
         self.now += span;
         let now = self.now;
-        for at in 0..self.replicas.len() {
-            self.timed(at, |replica| replica.tick(now));
+        for index in 0..self.replicas.len() {
+            self.timed(index, |replica| replica.tick(now));
         }
         while !self.messages.is_empty() {
             for (from, to, message) in std::mem::take(&mut self.messages) {
-                let Ok(at) = usize::try_from(to - 1) else {
+                let Ok(index) = usize::try_from(to - 1) else {
                     continue;
                 };
-                self.timed(at, |replica| replica.receive(from, message, now));
+                self.timed(index, |replica| replica.receive(from, message, now));
             }
         }
     }
 
     /// Calls a replica and empties it, counting what that takes.
-    fn timed<T>(&mut self, at: usize, call: impl FnOnce(&mut Replica) -> T) -> T {
+    fn timed<T>(&mut self, index: usize, call: impl FnOnce(&mut Replica) -> T) -> T {
         let began = Instant::now();
         let mut sent = Vec::new();
-        let replica = &mut self.replicas[at];
+        let replica = &mut self.replicas[index];
         let result = call(replica);
         while let Some(ready) = replica.ready() {
             sent.extend(ready.messages);
             let commands = ready.committed.iter();
             let commands = commands.filter(|entry| matches!(entry.payload, Payload::Command(_)));
-            self.applied += if at == 0 {
+            self.applied += if index == 0 {
                 u32::try_from(commands.count()).unwrap_or(0)
             } else {
                 0
             };
             replica.synced(ready.batch, self.now);
         }
-        let cost = &mut self.costs[usize::from(at != 0)];
+        let cost = &mut self.costs[usize::from(index != 0)];
         cost.time += began.elapsed();
         let from = replica.id();
         for (to, message) in sent {
@@ -146,20 +146,20 @@
 fn main() -> Result<(), Box<dyn Error>> {
     let size = std::env::args().nth(1).map_or(Ok(3), |size| size.parse())?;
     let mut group = Group::new(size)?;
-    for _ in 0..BEATS {
-        group.pass(HEARTBEAT);
+    for _ in 0..HEARTBEAT_COUNT {
+        group.advance(HEARTBEAT);
     }
-    group.report("heartbeat", BEATS);
+    group.report("heartbeat", HEARTBEAT_COUNT);
     group.costs = [Cost::default(); 2];
     let before = group.applied;
-    while group.applied - before < CHANGES {
+    while group.applied - before < CHANGE_COUNT {
         let now = group.now;
-        group.timed(0, |replica| replica.propose(vec![7; COMMAND], now))?;
-        group.pass(Duration::ZERO);
+        group.timed(0, |replica| replica.propose(vec![7; COMMAND_BYTES], now))?;
+        group.advance(Duration::ZERO);
         let replica = &mut group.replicas[0];
         let snapshot = replica.snapshot(Vec::new());
         replica.compacted(snapshot);
     }
-    group.report("change", CHANGES);
+    group.report("change", CHANGE_COUNT);
     Ok(())
 }
--- a/crates/zinniastall-coord/examples/embed.rs
+++ b/crates/zinniastall-coord/examples/embed.rs
@@ -10,7 +10,7 @@
 
 use zinniastall_coord::election::Timing;
 use zinniastall_coord::log::Payload;
-use zinniastall_coord::replica::{Message, Part, Replica, Restored};
+use zinniastall_coord::replica::{Message, Replica, Restored, Role};
 use zinniastall_coord::voters::Change;
 use zinniastall_coord::{Cluster, Id};
 
@@ -54,7 +54,7 @@
     }
 
     /// Lets time pass and moves messages until a condition holds.
-    fn until(&mut self, condition: impl Fn(&Self) -> bool) {
+    fn run_until(&mut self, condition: impl Fn(&Self) -> bool) {
         while !condition(self) {
             self.now += STEP;
             for member in &mut self.members {
@@ -95,7 +95,7 @@
     }
 
     fn leader(&self) -> Option<usize> {
-        let leads = |member: &Member| member.replica.status(self.now).part == Part::Leader;
+        let leads = |member: &Member| member.replica.status(self.now).role == Role::Leader;
         self.members.iter().position(leads)
     }
 
@@ -104,14 +104,14 @@
         let (_, index) = self.members[leader]
             .replica
             .propose_voters(change, self.now)?;
-        self.until(|group| group.members[leader].replica.status(group.now).commit >= index);
+        self.run_until(|group| group.members[leader].replica.status(group.now).commit >= index);
         Ok(())
     }
 }
 
 fn main() -> Result<(), Box<dyn Error>> {
     let mut group = Group::new()?;
-    group.until(|group| group.members[0].replica.lease(group.now).is_some());
+    group.run_until(|group| group.members[0].replica.lease(group.now).is_some());
     println!("replica 1 leads alone");
 
     for id in [2, 3] {
@@ -122,7 +122,7 @@
                 address: format!("replica {id}"),
             },
         )?;
-        group.until(|group| {
+        group.run_until(|group| {
             let status = group.members[0].replica.status(group.now);
             status
                 .peers
@@ -131,14 +131,20 @@
         });
         group.change(0, &Change::Promote { id })?;
     }
-    group.until(|group| group.members[0].replica.status(group.now).spare() == 1);
+    group.run_until(|group| {
+        group.members[0]
+            .replica
+            .status(group.now)
+            .failure_tolerance()
+            == 1
+    });
     println!("three vote, and the loss of one is safe");
 
     let now = group.now;
     let (term, index) = group.members[0]
         .replica
         .propose(b"open the gate".to_vec(), now)?;
-    group.until(|group| {
+    group.run_until(|group| {
         group
             .members
             .iter()
@@ -150,11 +156,11 @@
     );
 
     let barrier = group.members[0].replica.barrier(group.now)?;
-    group.until(|group| group.members[0].replica.passed(&barrier) == Ok(true));
+    group.run_until(|group| group.members[0].replica.passed(&barrier) == Ok(true));
     println!("a read behind a barrier is current");
 
     let successor = group.members[0].replica.transfer(group.now)?;
-    group.until(|group| group.leader().is_some_and(|leader| leader != 0));
+    group.run_until(|group| group.leader().is_some_and(|leader| leader != 0));
     println!("replica {successor} leads now");
     Ok(())
 }
--- a/crates/zinniastall-coord/src/digest.rs
+++ b/crates/zinniastall-coord/src/digest.rs
@@ -23,7 +23,7 @@
 //! let mut table = Table::new(Duration::from_secs(10));
 //! let item = author.make("zone-a", Some(12)).expect("first value");
 //! assert!(author.make("zone-a", Some(12)).is_none(), "unchanged values cost nothing");
-//! assert!(table.take(item, now));
+//! assert!(table.apply(item, now));
 //! assert_eq!(table.fresh(now).count(), 1);
 //!
 //! let later = now + Duration::from_secs(8);
@@ -41,4 +41,4 @@
 pub use author::Author;
 pub use bucket::Bucket;
 pub use outbox::{Batch, Outbox};
-pub use table::{Fresh, Item, Renewal, Table};
+pub use table::{Entry, Item, Renewal, Table};
--- a/crates/zinniastall-coord/src/digest/author.rs
+++ b/crates/zinniastall-coord/src/digest/author.rs
@@ -12,7 +12,7 @@
     maker: M,
     incarnation: u64,
     sequence: u64,
-    made: IndexMap<K, V>,
+    values: IndexMap<K, V>,
 }
 
 impl<K: Clone + Eq + Hash, M: Clone, V: Clone + PartialEq> Author<K, M, V> {
@@ -22,7 +22,7 @@
             maker,
             incarnation,
             sequence: 0,
-            made: IndexMap::new(),
+            values: IndexMap::new(),
         }
     }
 
@@ -30,12 +30,12 @@
     ///
     /// Values should be coarse: each difference is sent to everybody.
     pub fn make(&mut self, key: K, value: Option<V>) -> Option<Item<K, M, V>> {
-        if self.made.get(&key) == value.as_ref() {
+        if self.values.get(&key) == value.as_ref() {
             return None;
         }
         match value.clone() {
-            Some(value) => drop(self.made.insert(key.clone(), value)),
-            None => drop(self.made.swap_remove(&key)),
+            Some(value) => drop(self.values.insert(key.clone(), value)),
+            None => drop(self.values.swap_remove(&key)),
         }
         self.sequence += 1;
         Some(Item {
@@ -53,17 +53,17 @@
     /// A maker that takes over again finds the other maker's items in every table. Its own old
     /// ones have been replaced there, so an unchanged value has to be sent again.
     pub fn forget(&mut self) {
-        self.made.clear();
+        self.values.clear();
     }
 
     /// Returns the value that a key was last given.
     pub fn value(&self, key: &K) -> Option<&V> {
-        self.made.get(key)
+        self.values.get(key)
     }
 
     /// Returns the keys that have a value.
     pub fn keys(&self) -> impl Iterator<Item = &K> {
-        self.made.keys()
+        self.values.keys()
     }
 
     /// Vouches for all items so far.
--- a/crates/zinniastall-coord/src/digest/bucket.rs
+++ b/crates/zinniastall-coord/src/digest/bucket.rs
@@ -3,7 +3,7 @@
 use std::time::{Duration, Instant};
 
 /// Longest time for which an unspent budget is kept.
-const SAVED: Duration = Duration::from_secs(2);
+const BURST_WINDOW: Duration = Duration::from_secs(2);
 
 /// A token bucket that may go into debt.
 ///
@@ -13,7 +13,7 @@
 pub struct Bucket {
     rate: f64,
     balance: f64,
-    refilled: Instant,
+    refilled_at: Instant,
 }
 
 impl Bucket {
@@ -22,8 +22,8 @@
         let rate = f64::from(bytes_per_second);
         Self {
             rate,
-            balance: rate * SAVED.as_secs_f64(),
-            refilled: now,
+            balance: rate * BURST_WINDOW.as_secs_f64(),
+            refilled_at: now,
         }
     }
 
@@ -33,7 +33,7 @@
         reason = "bytes of one period are far below 2^52"
     )]
     pub fn charge(&mut self, bytes: u64) {
-        let debt = self.rate * SAVED.as_secs_f64();
+        let debt = self.rate * BURST_WINDOW.as_secs_f64();
         self.balance = (self.balance - bytes as f64).max(-debt);
     }
 
@@ -44,10 +44,12 @@
         reason = "the balance is between 0 and twice a rate that fits 32 bits"
     )]
     pub fn available(&mut self, now: Instant) -> u64 {
-        let gone = now.saturating_duration_since(self.refilled).as_secs_f64();
-        self.refilled = now;
-        let most = self.rate * SAVED.as_secs_f64();
-        self.balance = (self.balance + self.rate * gone).min(most);
+        let elapsed = now
+            .saturating_duration_since(self.refilled_at)
+            .as_secs_f64();
+        self.refilled_at = now;
+        let capacity = self.rate * BURST_WINDOW.as_secs_f64();
+        self.balance = (self.balance + self.rate * elapsed).min(capacity);
         self.balance.max(0.0) as u64
     }
 }
--- a/crates/zinniastall-coord/src/digest/outbox.rs
+++ b/crates/zinniastall-coord/src/digest/outbox.rs
@@ -35,7 +35,7 @@
 
 impl<K: Clone + Eq + Hash, M: Clone + Eq + Hash> Outbox<K, M> {
     /// Creates an outbox for a new link, with all that the table holds and the filters let pass.
-    pub fn whole<V: Clone>(
+    pub fn from_table<V: Clone>(
         table: &Table<K, M, V>,
         key: impl Fn(&K) -> bool,
         maker: impl Fn(&M) -> bool,
@@ -75,16 +75,16 @@
         size: impl Fn(&Item<K, M, V>) -> u64,
         now: Instant,
     ) -> Batch<K, M, V> {
-        let mut left = bytes;
+        let mut budget = bytes;
         let mut items = Vec::new();
         let mut taken = 0;
         for key in &self.keys {
             let item = table.item(key, now);
             let cost = item.as_ref().map_or(0, &size);
-            if cost > left {
+            if cost > budget {
                 break;
             }
-            left -= cost;
+            budget -= cost;
             taken += 1;
             items.extend(item);
         }
--- a/crates/zinniastall-coord/src/digest/overlay.rs
+++ b/crates/zinniastall-coord/src/digest/overlay.rs
@@ -8,7 +8,7 @@
 //! it follows from the members that an instance sees alive, so that nothing has to be agreed on: two
 //! that see different members for a moment send a message too many or too few.
 //!
-//! A fact crosses each border once on each speaker's path: [`passes`] says where to. Passed on by
+//! A fact crosses each border once on each speaker's path: [`forwards`] says where to. Passed on by
 //! everybody to everybody, each fact would cross each link between regions.
 
 /// Most speakers of a group. The second one keeps the group heard while the first is lost and not
@@ -32,7 +32,7 @@
 }
 
 /// Returns a member's rank as a speaker, if it is one; `members` are sorted.
-pub fn rank<I: Ord>(own: &I, members: &[I]) -> Option<usize> {
+pub fn speaker_rank<I: Ord>(own: &I, members: &[I]) -> Option<usize> {
     members
         .iter()
         .take(SPEAKERS)
@@ -62,7 +62,7 @@
     /// In the region of the group that it is about.
     Region,
     /// In other regions; the group that it is about hands it out for its region.
-    Abroad,
+    OtherRegions,
 }
 
 impl Scope {
@@ -72,7 +72,7 @@
             Self::Everywhere => true,
             Self::Region => to.region == about.region,
             // The second speaker of the group that hands it out needs it as well.
-            Self::Abroad => to.region != about.region || (to == own && own == about),
+            Self::OtherRegions => to.region != about.region || (to == own && own == about),
         }
     }
 }
@@ -85,7 +85,7 @@
 /// Facts of the own region go out to other regions, and facts from abroad go to the region's other
 /// groups from where they came in. Two groups that can't reach each other don't hear of each other
 /// by a third, which would invite requests that can't be forwarded.
-pub fn passes(own: Site<'_>, about: Site<'_>, from: Site<'_>, to: Site<'_>) -> bool {
+pub fn forwards(own: Site<'_>, about: Site<'_>, from: Site<'_>, to: Site<'_>) -> bool {
     if to == own {
         return true;
     }
--- a/crates/zinniastall-coord/src/digest/table.rs
+++ b/crates/zinniastall-coord/src/digest/table.rs
@@ -9,7 +9,7 @@
 use serde::{Deserialize, Serialize};
 
 /// Most keys held; a maker that invents keys must not make every process grow.
-const KEYS: usize = 65_536;
+const MAX_KEYS: usize = 65_536;
 
 /// A fact, as it travels.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -52,7 +52,7 @@
 }
 
 #[derive(Debug)]
-struct Held<M, V> {
+struct Record<M, V> {
     maker: M,
     incarnation: u64,
     sequence: u64,
@@ -61,7 +61,7 @@
 }
 
 #[derive(Debug)]
-struct Vouched {
+struct Confirmation {
     incarnation: u64,
     sequence: u64,
     made: Instant,
@@ -69,7 +69,7 @@
 
 /// A fact that is believed.
 #[derive(Debug)]
-pub struct Fresh<'a, K, M, V> {
+pub struct Entry<'a, K, M, V> {
     /// What it is about.
     pub key: &'a K,
     /// Who made it, in which run, and its number.
@@ -84,8 +84,8 @@
 #[derive(Debug)]
 pub struct Table<K, M, V> {
     horizon: Duration,
-    held: IndexMap<K, Held<M, V>>,
-    vouched: IndexMap<M, Vouched>,
+    records: IndexMap<K, Record<M, V>>,
+    renewals: IndexMap<M, Confirmation>,
 }
 
 impl<K: Clone + Eq + Hash, M: Clone + Eq + Hash, V: Clone> Table<K, M, V> {
@@ -93,59 +93,59 @@
     pub fn new(horizon: Duration) -> Self {
         Self {
             horizon,
-            held: IndexMap::new(),
-            vouched: IndexMap::new(),
+            records: IndexMap::new(),
+            renewals: IndexMap::new(),
         }
     }
 
     /// Takes an item in. Returns whether it is news, which is to be passed on.
-    pub fn take(&mut self, item: Item<K, M, V>, now: Instant) -> bool {
-        let Some(made) = self.made(item.age_ms, now) else {
+    pub fn apply(&mut self, item: Item<K, M, V>, now: Instant) -> bool {
+        let Some(made) = self.creation_time(item.age_ms, now) else {
             return false;
         };
-        if let Some(held) = self.held.get(&item.key) {
-            let same = held.maker == item.maker;
+        if let Some(record) = self.records.get(&item.key) {
+            let same_maker = record.maker == item.maker;
             let number = (item.incarnation, item.sequence);
-            if same && number <= (held.incarnation, held.sequence) {
+            if same_maker && number <= (record.incarnation, record.sequence) {
                 return false;
             }
             // Two makers speak for a group while one takes over from the other. The younger fact
             // wins, since numbers of different makers can't be compared.
-            if !same && made <= self.believed(held) {
+            if !same_maker && made <= self.confirmed_at(record) {
                 return false;
             }
-        } else if self.held.len() == KEYS {
+        } else if self.records.len() == MAX_KEYS {
             return false;
         }
-        let held = Held {
+        let record = Record {
             maker: item.maker,
             incarnation: item.incarnation,
             sequence: item.sequence,
             made,
             value: item.value,
         };
-        self.held.insert(item.key, held);
+        self.records.insert(item.key, record);
         true
     }
 
     /// Takes a renewal in. Returns whether it is news, which is to be passed on.
     pub fn renew(&mut self, renewal: &Renewal<M>, now: Instant) -> bool {
-        let Some(made) = self.made(renewal.age_ms, now) else {
+        let Some(made) = self.creation_time(renewal.age_ms, now) else {
             return false;
         };
         let number = (renewal.incarnation, renewal.sequence);
-        if let Some(vouched) = self.vouched.get(&renewal.maker) {
-            let known = (vouched.incarnation, vouched.sequence);
+        if let Some(last) = self.renewals.get(&renewal.maker) {
+            let known = (last.incarnation, last.sequence);
             // The same renewal comes by several ways, each with a slightly different age; only one
             // that is younger by far is a later one.
-            let later = made > vouched.made + self.horizon / 20;
+            let later = made > last.made + self.horizon / 20;
             if number < known || !later {
                 return false;
             }
         }
-        self.vouched.insert(
+        self.renewals.insert(
             renewal.maker.clone(),
-            Vouched {
+            Confirmation {
                 incarnation: renewal.incarnation,
                 sequence: renewal.sequence,
                 made,
@@ -155,15 +155,15 @@
     }
 
     /// Returns the facts that are believed.
-    pub fn fresh(&self, now: Instant) -> impl Iterator<Item = Fresh<'_, K, M, V>> {
+    pub fn fresh(&self, now: Instant) -> impl Iterator<Item = Entry<'_, K, M, V>> {
         let horizon = self.horizon;
-        self.held.iter().filter_map(move |(key, held)| {
-            let value = held.value.as_ref()?;
-            let made = self.believed(held);
+        self.records.iter().filter_map(move |(key, record)| {
+            let value = record.value.as_ref()?;
+            let made = self.confirmed_at(record);
             let age = now.saturating_duration_since(made);
-            (age <= horizon).then_some(Fresh {
+            (age <= horizon).then_some(Entry {
                 key,
-                maker: (&held.maker, held.incarnation, held.sequence),
+                maker: (&record.maker, record.incarnation, record.sequence),
                 value,
                 made,
             })
@@ -172,69 +172,69 @@
 
     /// Returns a key's item as it is sent now.
     pub fn item(&self, key: &K, now: Instant) -> Option<Item<K, M, V>> {
-        let held = self.held.get(key)?;
+        let record = self.records.get(key)?;
         Some(Item {
             key: key.clone(),
-            maker: held.maker.clone(),
-            incarnation: held.incarnation,
-            sequence: held.sequence,
-            age_ms: millis(now.saturating_duration_since(self.believed(held))),
-            value: held.value.clone(),
+            maker: record.maker.clone(),
+            incarnation: record.incarnation,
+            sequence: record.sequence,
+            age_ms: millis(now.saturating_duration_since(self.confirmed_at(record))),
+            value: record.value.clone(),
         })
     }
 
     /// Returns who made a key's item.
     pub fn maker(&self, key: &K) -> Option<&M> {
-        self.held.get(key).map(|held| &held.maker)
+        self.records.get(key).map(|record| &record.maker)
     }
 
     /// Returns a maker's renewal as it is sent now.
     pub fn renewal(&self, maker: &M, now: Instant) -> Option<Renewal<M>> {
-        let vouched = self.vouched.get(maker)?;
+        let renewal = self.renewals.get(maker)?;
         Some(Renewal {
             maker: maker.clone(),
-            incarnation: vouched.incarnation,
-            sequence: vouched.sequence,
-            age_ms: millis(now.saturating_duration_since(vouched.made)),
+            incarnation: renewal.incarnation,
+            sequence: renewal.sequence,
+            age_ms: millis(now.saturating_duration_since(renewal.made)),
         })
     }
 
     /// Returns all keys held and all makers that have vouched, for a new link.
     pub fn contents(&self) -> (Vec<K>, Vec<M>) {
-        let keys = self.held.keys().cloned().collect();
-        (keys, self.vouched.keys().cloned().collect())
+        let keys = self.records.keys().cloned().collect();
+        (keys, self.renewals.keys().cloned().collect())
     }
 
     /// Drops what has been unknown for as long again.
     pub fn sweep(&mut self, now: Instant) {
-        let kept = self.horizon * 2;
-        let gone = |held: &Held<M, V>| {
-            let age = now.saturating_duration_since(self.believed(held));
-            age > kept
+        let retention = self.horizon * 2;
+        let expired = |record: &Record<M, V>| {
+            let age = now.saturating_duration_since(self.confirmed_at(record));
+            age > retention
         };
-        let gone: Vec<K> = self
-            .held
+        let expired: Vec<K> = self
+            .records
             .iter()
-            .filter(|(_, held)| gone(held))
+            .filter(|(_, record)| expired(record))
             .map(|(key, _)| key.clone())
             .collect();
-        for key in &gone {
-            self.held.swap_remove(key);
+        for key in &expired {
+            self.records.swap_remove(key);
         }
-        self.vouched
-            .retain(|_, vouched| now.saturating_duration_since(vouched.made) <= kept);
+        self.renewals
+            .retain(|_, renewal| now.saturating_duration_since(renewal.made) <= retention);
     }
 
     /// Returns when an item was made or last vouched for.
-    fn believed(&self, held: &Held<M, V>) -> Instant {
-        let vouched = self.vouched.get(&held.maker).filter(|vouched| {
-            vouched.incarnation == held.incarnation && held.sequence <= vouched.sequence
+    fn confirmed_at(&self, record: &Record<M, V>) -> Instant {
+        let renewal = self.renewals.get(&record.maker).filter(|renewal| {
+            renewal.incarnation == record.incarnation && record.sequence <= renewal.sequence
         });
-        vouched.map_or(held.made, |vouched| vouched.made.max(held.made))
+        renewal.map_or(record.made, |renewal| renewal.made.max(record.made))
     }
 
     /// Returns when something of this age was made, unless that is beyond the horizon.
-    fn made(&self, age_ms: u64, now: Instant) -> Option<Instant> {
+    fn creation_time(&self, age_ms: u64, now: Instant) -> Option<Instant> {
         let age = Duration::from_millis(age_ms);
         (age <= self.horizon).then(|| now.checked_sub(age))?
     }
--- a/crates/zinniastall-coord/src/election.rs
+++ b/crates/zinniastall-coord/src/election.rs
@@ -14,7 +14,7 @@
 use crate::voters::Voters;
 
 /// Heartbeats that must fit into an election timeout, so that one lost message elects nobody.
-const HEARTBEATS_PER_ELECTION: u32 = 3;
+const MIN_HEARTBEATS_PER_ELECTION: u32 = 3;
 
 /// Times by which a group runs; all its replicas need the same ones.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -31,12 +31,12 @@
 
 /// Timings that can't keep a group safe or stable.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
-pub enum Fault {
+pub enum Error {
     /// The heartbeat is zero.
     #[error("the heartbeat must be longer than zero")]
     Heartbeat,
     /// Too few heartbeats fit into an election timeout.
-    #[error("the election timeout must be at least {HEARTBEATS_PER_ELECTION} heartbeats")]
+    #[error("the election timeout must be at least {MIN_HEARTBEATS_PER_ELECTION} heartbeats")]
     Election,
     /// The margin leaves no lease that outlasts a heartbeat.
     #[error("the margin must leave a lease longer than one heartbeat")]
@@ -57,16 +57,16 @@
     ///
     /// # Errors
     ///
-    /// [`Fault`] names the first time that doesn't fit.
-    pub fn check(&self) -> Result<(), Fault> {
+    /// [`Error`] names the first time that doesn't fit.
+    pub fn check(&self) -> Result<(), Error> {
         if self.heartbeat.is_zero() {
-            return Err(Fault::Heartbeat);
+            return Err(Error::Heartbeat);
         }
-        if self.election < self.heartbeat * HEARTBEATS_PER_ELECTION {
-            return Err(Fault::Election);
+        if self.election < self.heartbeat * MIN_HEARTBEATS_PER_ELECTION {
+            return Err(Error::Election);
         }
         if self.margin.is_zero() || self.lease() <= self.heartbeat {
-            return Err(Fault::Margin);
+            return Err(Error::Margin);
         }
         Ok(())
     }
@@ -76,36 +76,36 @@
         self.election.saturating_sub(self.margin)
     }
 
-    pub(crate) fn campaign(&self, rng: &mut impl Rng) -> Duration {
+    pub(crate) fn random_election_timeout(&self, rng: &mut impl Rng) -> Duration {
         self.election + self.election.mul_f64(rng.random::<f64>())
     }
 }
 
 /// Answers to one campaign, counted over the voters that the candidate knows.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct Ballot {
+pub struct Votes {
     answers: IndexMap<Id, bool>,
 }
 
 /// How a campaign stands.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Count {
+pub enum Tally {
     /// A majority granted.
     Won,
     /// A majority refused.
     Lost,
     /// Neither has a majority yet.
-    Open,
+    Pending,
 }
 
-impl Ballot {
+impl Votes {
     /// Notes the first answer of a replica; a doubled message changes nothing.
-    pub fn note(&mut self, id: Id, granted: bool) {
+    pub fn record(&mut self, id: Id, granted: bool) {
         self.answers.entry(id).or_insert(granted);
     }
 
     /// Counts the answers of those who vote; anyone else's answer counts for nothing.
-    pub fn count(&self, voters: &Voters) -> Count {
+    pub fn result(&self, voters: &Voters) -> Tally {
         let mut granted = 0;
         let mut refused = 0;
         for (id, answer) in &self.answers {
@@ -116,11 +116,11 @@
             }
         }
         if granted >= voters.majority() {
-            Count::Won
+            Tally::Won
         } else if refused > voters.voters.len() - voters.majority() {
-            Count::Lost
+            Tally::Lost
         } else {
-            Count::Open
+            Tally::Pending
         }
     }
 }
--- a/crates/zinniastall-coord/src/log.rs
+++ b/crates/zinniastall-coord/src/log.rs
@@ -136,23 +136,23 @@
     }
 
     /// Drops all entries up to and with a place that is held.
-    pub fn compact(&mut self, upto: Index) {
-        let Some(term) = self.term(upto) else { return };
+    pub fn compact(&mut self, last: Index) {
+        let Some(term) = self.term(last) else { return };
         while self
             .entries
             .front()
-            .is_some_and(|entry| entry.index <= upto)
+            .is_some_and(|entry| entry.index <= last)
         {
             self.entries.pop_front();
         }
-        self.base = Position { index: upto, term };
+        self.base = Position { index: last, term };
     }
 
     /// Copies entries from one place to another, at least one if there is one, up to about `bytes`.
-    pub fn slice(&self, from: Index, upto: Index, bytes: usize) -> Vec<Entry> {
+    pub fn slice(&self, from: Index, last: Index, bytes: usize) -> Vec<Entry> {
         let mut total: usize = 0;
         let mut slice = Vec::new();
-        let held = (from..=upto).map_while(|index| self.get(index));
+        let held = (from..=last).map_while(|index| self.get(index));
         for entry in held {
             total = total.saturating_add(entry.size());
             if total > bytes && !slice.is_empty() {
@@ -164,8 +164,8 @@
     }
 
     /// Returns the bytes that the entries from one place to another take in messages.
-    pub fn bytes(&self, from: Index, upto: Index) -> usize {
-        (from..=upto)
+    pub fn bytes(&self, from: Index, last: Index) -> usize {
+        (from..=last)
             .filter_map(|index| self.get(index))
             .map(Entry::size)
             .sum()
--- a/crates/zinniastall-coord/src/membership.rs
+++ b/crates/zinniastall-coord/src/membership.rs
@@ -23,7 +23,7 @@
 //!     let now = start + Duration::from_millis(500) * step;
 //!     a.tick(now);
 //!     b.tick(now);
-//!     let (to_b, to_a) = (a.beat(&"b"), b.beat(&"a"));
+//!     let (to_b, to_a) = (a.heartbeat(&"b"), b.heartbeat(&"a"));
 //!     b.hear(&"a", to_b, now);
 //!     a.hear(&"b", to_a, now);
 //! }
@@ -35,5 +35,5 @@
 mod roster;
 mod window;
 
-pub use roster::{Beat, Bounds, Config, Echo, Heard, Incarnation, Roster, Sequence};
+pub use roster::{Bounds, Config, Echo, Heard, Heartbeat, Incarnation, Roster, Sequence};
 pub use window::Window;
--- a/crates/zinniastall-coord/src/membership/roster.rs
+++ b/crates/zinniastall-coord/src/membership/roster.rs
@@ -17,10 +17,10 @@
 pub type Sequence = u64;
 
 /// Own heartbeats whose time of sending is remembered; an echo of an older one is no evidence.
-const SENT: usize = 128;
+const MAX_SENT_HEARTBEATS: usize = 128;
 /// Most departed peers remembered. The oldest goes first; what it guarded against, a frame of an
 /// old run that is still under way, is the less likely the older it is.
-const DEPARTED: usize = 1024;
+const MAX_DEPARTED: usize = 1024;
 
 /// Times that a [`Roster`] works with.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -32,7 +32,7 @@
     /// Longest bound on staleness.
     pub ceiling: Duration,
     /// Pause between two ticks after which this instance takes itself for frozen.
-    pub freeze: Duration,
+    pub freeze_threshold: Duration,
     /// Fresh evidences in a row that a lost peer has to show before it counts again.
     pub probation: u32,
     /// How long the run of a departed peer is remembered.
@@ -46,7 +46,7 @@
             period: Duration::from_millis(500),
             floor: Duration::from_millis(1_500),
             ceiling: Duration::from_secs(6),
-            freeze: Duration::from_millis(1_500),
+            freeze_threshold: Duration::from_millis(1_500),
             probation: 3,
             memory: Duration::from_mins(1),
         }
@@ -68,7 +68,7 @@
 
 /// One heartbeat, addressed to one peer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Beat {
+pub struct Heartbeat {
     /// Sender's run.
     #[serde(rename = "i")]
     pub incarnation: Incarnation,
@@ -84,11 +84,11 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Heard {
     /// The first one of a peer's run.
-    Run,
+    NewRun,
     /// A new one of a known run.
     Fresh,
     /// A doubled or late one.
-    Old,
+    Duplicate,
     /// One of a run before the known one; the sender should raise its own above this.
     Stale(Incarnation),
 }
@@ -96,14 +96,14 @@
 #[derive(Debug)]
 struct Member {
     incarnation: Incarnation,
-    heard: Sequence,
+    last_sequence: Sequence,
     /// When the newest own heartbeat that the peer has echoed was sent.
     evidence: Option<Instant>,
     window: Window,
     /// Fresh evidences still to be shown before the peer counts.
-    owed: u32,
+    probation_left: u32,
     /// When a new heartbeat last came.
-    seen: Instant,
+    last_heard: Instant,
 }
 
 /// The peers of one instance.
@@ -116,8 +116,8 @@
     incarnation: Incarnation,
     config: Config,
     sequence: Sequence,
-    sent: VecDeque<Instant>,
-    ticked: Instant,
+    sent_at: VecDeque<Instant>,
+    ticked_at: Instant,
     members: IndexMap<I, Member>,
     departed: IndexMap<I, (Incarnation, Instant)>,
 }
@@ -130,8 +130,8 @@
             incarnation,
             config,
             sequence: 0,
-            sent: VecDeque::new(),
-            ticked: now,
+            sent_at: VecDeque::new(),
+            ticked_at: now,
             members: IndexMap::new(),
             departed: IndexMap::new(),
         }
@@ -146,7 +146,7 @@
     ///
     /// A process whose clock went back starts with a lower number than its former run. Its peers
     /// would drop all that it says as late.
-    pub fn raise(&mut self, remembered: Incarnation) {
+    pub fn raise_incarnation(&mut self, remembered: Incarnation) {
         self.incarnation = self.incarnation.max(remembered.saturating_add(1));
     }
 
@@ -156,59 +156,65 @@
     /// messages: its sockets held them back. All evidence is void after a freeze, so nobody counts
     /// as alive until an echo of a heartbeat sent after it.
     pub fn tick(&mut self, now: Instant) -> bool {
-        let frozen = now.saturating_duration_since(self.ticked) > self.config.freeze;
-        self.ticked = now;
+        let frozen = now.saturating_duration_since(self.ticked_at) > self.config.freeze_threshold;
+        self.ticked_at = now;
         if frozen {
-            self.sent.clear();
+            self.sent_at.clear();
             for member in self.members.values_mut() {
                 member.evidence = None;
-                member.owed = 1;
+                member.probation_left = 1;
             }
         }
         self.sequence += 1;
-        if self.sent.len() == SENT {
-            self.sent.pop_front();
+        if self.sent_at.len() == MAX_SENT_HEARTBEATS {
+            self.sent_at.pop_front();
         }
-        self.sent.push_back(now);
-        self.note_losses(now);
+        self.sent_at.push_back(now);
+        self.restart_probation(now);
         frozen
     }
 
     /// Makes this period's heartbeat for one peer.
-    pub fn beat(&self, peer: &I) -> Beat {
+    pub fn heartbeat(&self, peer: &I) -> Heartbeat {
         let echo = self.members.get(peer);
-        Beat {
+        Heartbeat {
             incarnation: self.incarnation,
             sequence: self.sequence,
-            echo: echo.map(|member| Echo(member.incarnation, member.heard)),
+            echo: echo.map(|member| Echo(member.incarnation, member.last_sequence)),
         }
     }
 
     /// Takes in a heartbeat that arrived from a peer.
-    pub fn hear(&mut self, peer: &I, beat: Beat, now: Instant) -> Heard {
+    pub fn hear(&mut self, peer: &I, heartbeat: Heartbeat, now: Instant) -> Heard {
         let Config { floor, ceiling, .. } = self.config;
-        self.hear_within(peer, beat, Bounds { floor, ceiling }, now)
+        self.hear_within(peer, heartbeat, Bounds { floor, ceiling }, now)
     }
 
     /// Takes in a heartbeat that arrived from a peer to which heartbeats go at a pace of its own,
     /// with bounds that fit it.
     ///
     /// The bounds are those of the peer's run; the first heartbeat of a run sets them.
-    pub fn hear_within(&mut self, peer: &I, beat: Beat, bounds: Bounds, now: Instant) -> Heard {
+    pub fn hear_within(
+        &mut self,
+        peer: &I,
+        heartbeat: Heartbeat,
+        bounds: Bounds,
+        now: Instant,
+    ) -> Heard {
         if *peer == self.own {
-            return Heard::Old;
+            return Heard::Duplicate;
         }
-        let known = self.remembered(peer);
-        if known.is_some_and(|known| beat.incarnation < known) {
+        let known = self.known_incarnation(peer);
+        if known.is_some_and(|known| heartbeat.incarnation < known) {
             return Heard::Stale(known.unwrap_or_default());
         }
-        let heard = self.enrol(peer, beat, bounds, now);
-        if heard == Heard::Old {
+        let heard = self.record_heartbeat(peer, heartbeat, bounds, now);
+        if heard == Heard::Duplicate {
             return heard;
         }
-        let sent = beat.echo.and_then(|echo| self.sent_at(echo));
+        let sent = heartbeat.echo.and_then(|echo| self.echo_sent_at(echo));
         if let (Some(sent), Some(member)) = (sent, self.members.get_mut(peer)) {
-            member.believe(sent, now, &self.config);
+            member.accept_evidence(sent, now, &self.config);
         }
         heard
     }
@@ -216,7 +222,7 @@
     /// Tells whether a peer is alive.
     pub fn is_alive(&self, peer: &I, now: Instant) -> bool {
         let member = self.members.get(peer);
-        member.is_some_and(|member| member.owed == 0 && member.is_fresh(now))
+        member.is_some_and(|member| member.probation_left == 0 && member.is_fresh(now))
     }
 
     /// Returns a peer's run, if one is known.
@@ -226,7 +232,7 @@
 
     /// Returns the peers that are alive.
     pub fn alive(&self, now: Instant) -> impl Iterator<Item = &I> {
-        let alive = move |member: &Member| member.owed == 0 && member.is_fresh(now);
+        let alive = move |member: &Member| member.probation_left == 0 && member.is_fresh(now);
         self.members
             .iter()
             .filter(move |(_, member)| alive(member))
@@ -244,7 +250,7 @@
         let Some(member) = self.members.swap_remove(peer) else {
             return;
         };
-        if self.departed.len() == DEPARTED {
+        if self.departed.len() == MAX_DEPARTED {
             self.departed.shift_remove_index(0);
         }
         let until = now + self.config.memory;
@@ -257,7 +263,7 @@
     pub fn sweep(&mut self, now: Instant) -> Vec<I> {
         self.departed.retain(|_, (_, until)| *until > now);
         let memory = self.config.memory;
-        let silent = |member: &Member| now.saturating_duration_since(member.seen) > memory;
+        let silent = |member: &Member| now.saturating_duration_since(member.last_heard) > memory;
         let gone: Vec<I> = self
             .members
             .iter()
@@ -275,63 +281,69 @@
         (self.members.len(), self.departed.len())
     }
 
-    fn remembered(&self, peer: &I) -> Option<Incarnation> {
+    fn known_incarnation(&self, peer: &I) -> Option<Incarnation> {
         let departed = self.departed.get(peer).map(|(incarnation, _)| *incarnation);
         self.run(peer).max(departed)
     }
 
-    fn enrol(&mut self, peer: &I, beat: Beat, bounds: Bounds, now: Instant) -> Heard {
+    fn record_heartbeat(
+        &mut self,
+        peer: &I,
+        heartbeat: Heartbeat,
+        bounds: Bounds,
+        now: Instant,
+    ) -> Heard {
         if let Some(member) = self.members.get_mut(peer)
-            && member.incarnation == beat.incarnation
+            && member.incarnation == heartbeat.incarnation
         {
-            if beat.sequence <= member.heard {
-                return Heard::Old;
+            if heartbeat.sequence <= member.last_sequence {
+                return Heard::Duplicate;
             }
-            member.heard = beat.sequence;
-            member.seen = now;
+            member.last_sequence = heartbeat.sequence;
+            member.last_heard = now;
             return Heard::Fresh;
         }
-        let member = Member::new(beat, bounds, now);
+        let member = Member::new(heartbeat, bounds, now);
         self.members.insert(peer.clone(), member);
         self.departed.shift_remove(peer);
-        Heard::Run
+        Heard::NewRun
     }
 
-    fn sent_at(&self, echo: Echo) -> Option<Instant> {
+    fn echo_sent_at(&self, echo: Echo) -> Option<Instant> {
         let Echo(incarnation, sequence) = echo;
         if incarnation != self.incarnation {
             return None;
         }
         let back = usize::try_from(self.sequence.checked_sub(sequence)?).ok()?;
-        let index = self.sent.len().checked_sub(back + 1)?;
-        self.sent.get(index).copied()
+        let index = self.sent_at.len().checked_sub(back + 1)?;
+        self.sent_at.get(index).copied()
     }
 
-    fn note_losses(&mut self, now: Instant) {
+    fn restart_probation(&mut self, now: Instant) {
         let probation = self.config.probation;
         for member in self.members.values_mut() {
             // One lost evidence on a bad link is followed by others. A peer that came back at
             // once each time would flap in every view.
-            if member.owed == 0 && !member.is_fresh(now) {
-                member.owed = probation;
+            if member.probation_left == 0 && !member.is_fresh(now) {
+                member.probation_left = probation;
             }
         }
     }
 }
 
 impl Member {
-    fn new(beat: Beat, bounds: Bounds, now: Instant) -> Self {
+    fn new(heartbeat: Heartbeat, bounds: Bounds, now: Instant) -> Self {
         Self {
-            incarnation: beat.incarnation,
-            heard: beat.sequence,
+            incarnation: heartbeat.incarnation,
+            last_sequence: heartbeat.sequence,
             evidence: None,
             window: Window::new(bounds.floor, bounds.ceiling),
-            owed: 1,
-            seen: now,
+            probation_left: 1,
+            last_heard: now,
         }
     }
 
-    fn believe(&mut self, sent: Instant, now: Instant, config: &Config) {
+    fn accept_evidence(&mut self, sent: Instant, now: Instant, config: &Config) {
         if self.evidence.is_some_and(|evidence| sent <= evidence) {
             return;
         }
@@ -339,11 +351,11 @@
         let fresh = now.saturating_duration_since(sent) <= self.window.bound();
         self.window.record(staleness);
         self.evidence = Some(sent);
-        if self.owed == 0 {
+        if self.probation_left == 0 {
             return;
         }
-        self.owed = if fresh {
-            self.owed - 1
+        self.probation_left = if fresh {
+            self.probation_left - 1
         } else {
             config.probation
         };
--- a/crates/zinniastall-coord/src/membership/window.rs
+++ b/crates/zinniastall-coord/src/membership/window.rs
@@ -3,12 +3,12 @@
 use std::{collections::VecDeque, time::Duration};
 
 /// Samples kept; at two heartbeats a second the window spans about a minute.
-const SAMPLES: usize = 128;
+const MAX_SAMPLES: usize = 128;
 /// Mean deviations above the mean that are still believed.
 ///
 /// Measured over ten minutes and twelve pairs at 10% loss: 4 flapped 12 times, 6 and 8 once each, 10
 /// never; on links without loss the deviation is small and all four find a cut equally fast.
-const DEVIATIONS: u32 = 10;
+const DEVIATION_FACTOR: u32 = 10;
 
 /// Recent stalenesses of one peer's evidence, and the bound that follows from them.
 ///
@@ -37,7 +37,7 @@
     /// not make the next one harder to find.
     pub fn record(&mut self, staleness: Duration) {
         let sample = staleness.min(self.ceiling);
-        if self.samples.len() == SAMPLES
+        if self.samples.len() == MAX_SAMPLES
             && let Some(oldest) = self.samples.pop_front()
         {
             self.sum -= oldest;
@@ -52,12 +52,12 @@
             return self.ceiling;
         };
         let mean = self.sum / count;
-        let apart: Duration = self
+        let total_deviation: Duration = self
             .samples
             .iter()
             .map(|sample| sample.abs_diff(mean))
             .sum();
-        let bound = mean + apart / count * DEVIATIONS + self.floor / 2;
+        let bound = mean + total_deviation / count * DEVIATION_FACTOR + self.floor / 2;
         bound.clamp(self.floor, self.ceiling)
     }
 }
--- a/crates/zinniastall-coord/src/quarantine.rs
+++ b/crates/zinniastall-coord/src/quarantine.rs
@@ -4,7 +4,7 @@
 //! is guilty at most. Three facts tell them apart. A request that finishes anywhere is cleared. A crash counts against
 //! a request that was sent when it was suspected already; those under which the first crash came count once together,
 //! since a request that is sent by many rides on many processes at any moment. And a request is quarantined only
-//! with [`LIMIT`] crashes.
+//! with [`CRASH_LIMIT`] crashes.
 //!
 //! Instances that share a [`Table`] send each other their [`Suspicion`]s. Merging is commutative, associative and
 //! idempotent, so messages may be lost, doubled, late and out of order.
@@ -32,9 +32,9 @@
 use serde::{Deserialize, Serialize};
 
 /// Crashes with which a request is quarantined.
-pub const LIMIT: usize = 3;
+pub const CRASH_LIMIT: usize = 3;
 /// Crashes with which a request is a strong suspect: one more quarantines it.
-pub const STRONG: usize = LIMIT - 1;
+pub const STRONG_SUSPECT_CRASHES: usize = CRASH_LIMIT - 1;
 
 /// One run of a process; another one follows its crash.
 pub type Run = u64;
@@ -48,7 +48,7 @@
     /// Run that crashed under the request before it was suspected, the least of them.
     #[serde(rename = "f")]
     first: Option<Run>,
-    /// Runs that crashed under it when it was suspected, in order, the least [`LIMIT`] of them.
+    /// Runs that crashed under it when it was suspected, in order, the least [`CRASH_LIMIT`] of them.
     #[serde(rename = "l")]
     later: Vec<Run>,
 }
@@ -57,16 +57,16 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Merged {
     /// Whether more is known here than before.
-    pub is_news: bool,
+    pub is_changed: bool,
     /// Whether the other instance knows less than is known here now.
     pub is_behind: bool,
 }
 
 impl Suspicion {
-    /// Returns the crashes that count, [`LIMIT`] at most.
+    /// Returns the crashes that count, [`CRASH_LIMIT`] at most.
     pub fn crashes(&self) -> usize {
         let first = self.first.filter(|first| !self.later.contains(first));
-        (usize::from(first.is_some()) + self.later.len()).min(LIMIT)
+        (usize::from(first.is_some()) + self.later.len()).min(CRASH_LIMIT)
     }
 
     fn crash(&mut self, run: Run, was_suspect: bool) {
@@ -105,35 +105,35 @@
     fn normalize(&mut self) {
         self.later.sort_unstable();
         self.later.dedup();
-        self.later.truncate(LIMIT);
+        self.later.truncate(CRASH_LIMIT);
     }
 }
 
 /// Suspicions by request.
 #[derive(Debug)]
 pub struct Table<K> {
-    held: IndexMap<K, Held>,
+    entries: IndexMap<K, Entry>,
     capacity: usize,
 }
 
 #[derive(Debug)]
-struct Held {
+struct Entry {
     suspicion: Suspicion,
-    touched: Instant,
+    updated_at: Instant,
 }
 
 impl<K: Hash + Eq + Copy + AsRef<[u8]>> Table<K> {
     /// Creates an empty table that holds `capacity` requests at most, one at least.
     pub fn new(capacity: usize) -> Self {
         Self {
-            held: IndexMap::new(),
+            entries: IndexMap::new(),
             capacity: capacity.max(1),
         }
     }
 
     /// Tells whether nothing was ever known against any request.
     pub fn is_empty(&self) -> bool {
-        self.held.is_empty()
+        self.entries.is_empty()
     }
 
     /// Returns the crashes that count against a request.
@@ -143,25 +143,27 @@
 
     /// Tells whether a request is not to be run any more.
     pub fn is_quarantined(&self, key: K) -> bool {
-        self.crashes(key) >= LIMIT
+        self.crashes(key) >= CRASH_LIMIT
     }
 
     /// Returns what is known against a request.
     pub fn suspicion(&self, key: K) -> Option<&Suspicion> {
-        self.held.get(&key).map(|held| &held.suspicion)
+        self.entries.get(&key).map(|held| &held.suspicion)
     }
 
     /// Returns the requests that are suspected strongly or quarantined.
     pub fn strong(&self) -> impl Iterator<Item = (K, &Suspicion)> {
-        let held = self.held.iter();
+        let held = self.entries.iter();
         let all = held.map(|(key, held)| (*key, &held.suspicion));
-        all.filter(|(_, suspicion)| suspicion.crashes() >= STRONG)
+        all.filter(|(_, suspicion)| suspicion.crashes() >= STRONG_SUSPECT_CRASHES)
     }
 
     /// Returns how many requests are quarantined.
     pub fn quarantined(&self) -> usize {
         let strong = self.strong();
-        strong.filter(|(_, held)| held.crashes() >= LIMIT).count()
+        strong
+            .filter(|(_, held)| held.crashes() >= CRASH_LIMIT)
+            .count()
     }
 
     /// Notes that a run crashed under a request; `was_suspect` tells whether that was suspected when it was sent.
@@ -177,16 +179,16 @@
 
     /// Takes what another instance knows.
     pub fn merge(&mut self, key: K, other: &Suspicion, now: Instant) -> Merged {
-        let is_news = self.change(key, now, |suspicion| suspicion.merge(other));
+        let is_changed = self.change(key, now, |suspicion| suspicion.merge(other));
         let held = self.suspicion(key);
         Merged {
-            is_news,
+            is_changed,
             is_behind: held.is_some_and(|held| held != other),
         }
     }
 
     /// Returns a digest of all strong suspicions; tables that know the same have the same.
-    pub fn sum(&self) -> u64 {
+    pub fn digest(&self) -> u64 {
         let digest = |(key, suspicion): (K, &Suspicion)| {
             let mut hasher = blake3::Hasher::new();
             hasher.update(key.as_ref());
@@ -210,26 +212,26 @@
         if after == before {
             return false;
         }
-        if !self.held.contains_key(&key) {
-            self.make_room();
+        if !self.entries.contains_key(&key) {
+            self.evict();
         }
-        let held = Held {
+        let held = Entry {
             suspicion: after,
-            touched: now,
+            updated_at: now,
         };
-        self.held.insert(key, held);
+        self.entries.insert(key, held);
         true
     }
 
     /// Forgets the request against which the least is known, the longest untouched of these.
-    fn make_room(&mut self) {
-        if self.held.len() < self.capacity {
+    fn evict(&mut self) {
+        if self.entries.len() < self.capacity {
             return;
         }
-        let held = self.held.values().enumerate();
-        let least = held.min_by_key(|(_, held)| (held.suspicion.crashes(), held.touched));
+        let held = self.entries.values().enumerate();
+        let least = held.min_by_key(|(_, held)| (held.suspicion.crashes(), held.updated_at));
         if let Some((at, _)) = least {
-            self.held.swap_remove_index(at);
+            self.entries.swap_remove_index(at);
         }
     }
 }
--- a/crates/zinniastall-coord/src/replica.rs
+++ b/crates/zinniastall-coord/src/replica.rs
@@ -37,17 +37,17 @@
 pub use self::builder::{Builder, Limits};
 pub use self::message::{Append, Body, Chunk, Message, Outcome};
 pub use self::proposal::Barrier;
-pub use self::ready::{Hard, Ready, Restored};
+pub use self::ready::{HardState, Ready, Restored};
 pub use self::refusal::Refusal;
 pub use self::snapshot::Snapshot;
-pub use self::status::{Part, Peer, Status};
+pub use self::status::{Peer, Role, Status};
 
 use self::durable::Durable;
 use self::follower::Follower;
 use self::history::History;
 use self::leader::Leader;
 use self::survey::Survey;
-use crate::election::{Ballot, Timing};
+use crate::election::{Timing, Votes};
 use crate::log::{Log, Position};
 
 /// Identity of a replica: random, never zero, made with its data folder and lost with it.
@@ -63,7 +63,7 @@
 pub type Cluster = [u8; 16];
 
 /// Bytes of committed entries handed out at once, so that a long log is applied in steps.
-const COMMITTED_BYTES: usize = 4 << 20;
+const MAX_COMMITTED_BATCH_BYTES: usize = 4 << 20;
 
 /// One member of a replicated log.
 #[derive(Debug)]
@@ -73,17 +73,17 @@
     timing: Timing,
     limits: Limits,
     rng: StdRng,
-    hard: Hard,
+    hard: HardState,
     log: Log,
     history: History,
     snapshot: Option<Arc<Snapshot>>,
     durable: Durable,
     commit: Index,
     applied: Index,
-    role: Role,
+    state: State,
     leader: Option<Id>,
-    heard: Instant,
-    removed_at: Index,
+    leader_heard_at: Instant,
+    removal_index: Index,
     campaign_at: Instant,
     survey: Option<Survey>,
     surveyed: Option<survey::Number>,
@@ -91,10 +91,10 @@
 }
 
 #[derive(Debug)]
-enum Role {
+enum State {
     Follower(Follower),
-    PreCandidate(Ballot),
-    Candidate(Ballot),
+    PreCandidate(Votes),
+    Candidate(Votes),
     Leader(Box<Leader>),
 }
 
@@ -113,11 +113,11 @@
     ///
     /// To be called a few times per heartbeat.
     pub fn tick(&mut self, now: Instant) {
-        self.survey();
-        if matches!(self.role, Role::Leader(_)) {
+        self.poll_survey();
+        if matches!(self.state, State::Leader(_)) {
             self.tick_leader(now);
         } else if now >= self.campaign_at {
-            self.ask_pre_votes(now);
+            self.start_pre_vote(now);
         }
     }
 
@@ -128,19 +128,19 @@
         // What a majority has synced is handed out even if this replica hasn't synced it yet. A
         // leader with a slow disk would otherwise answer reads without an entry that followers
         // have applied already.
-        self.pending.committed = self
-            .log
-            .slice(self.applied + 1, self.commit, COMMITTED_BYTES);
+        self.pending.committed =
+            self.log
+                .slice(self.applied + 1, self.commit, MAX_COMMITTED_BATCH_BYTES);
         if let Some(last) = self.pending.committed.last() {
             self.applied = last.index;
         }
-        if self.pending.is_empty() && !self.durable.is_waiting() {
+        if self.pending.is_empty() && !self.durable.has_held() {
             return None;
         }
         let mut ready = mem::take(&mut self.pending);
         let installed = ready.install.as_ref().map(|snapshot| snapshot.last.index);
         let last = ready.append.last().map(|entry| entry.index).or(installed);
-        ready.batch = self.durable.close(last);
+        ready.batch = self.durable.close_batch(last);
         Some(ready)
     }
 
@@ -165,7 +165,7 @@
         };
         Snapshot {
             last,
-            voters: self.history.at(self.applied).clone(),
+            voters: self.history.voters_at(self.applied).clone(),
             data,
         }
     }
@@ -190,7 +190,7 @@
         Status {
             id: self.id,
             cluster: self.cluster,
-            part: self.part(),
+            role: self.role(),
             term: self.hard.term,
             leader: self.leader,
             commit: self.commit,
@@ -204,12 +204,12 @@
         }
     }
 
-    const fn part(&self) -> Part {
-        match self.role {
-            Role::Follower(_) => Part::Follower,
-            Role::PreCandidate(_) => Part::PreCandidate,
-            Role::Candidate(_) => Part::Candidate,
-            Role::Leader(_) => Part::Leader,
+    const fn role(&self) -> Role {
+        match self.state {
+            State::Follower(_) => Role::Follower,
+            State::PreCandidate(_) => Role::PreCandidate,
+            State::Candidate(_) => Role::Candidate,
+            State::Leader(_) => Role::Leader,
         }
     }
 
@@ -235,7 +235,7 @@
         })
     }
 
-    fn remember(&mut self, hard: Hard) {
+    fn set_hard_state(&mut self, hard: HardState) {
         self.hard = hard;
         self.pending.hard = Some(hard);
     }
@@ -244,20 +244,20 @@
     ///
     /// A part of a snapshot is forgotten too: another leader may write the same state in other bytes,
     /// and one put together from both would be garbage with the right length.
-    fn follow(&mut self, term: Term, leader: Option<Id>, now: Instant) {
+    fn become_follower(&mut self, term: Term, leader: Option<Id>, now: Instant) {
         let new = term > self.hard.term;
         if new {
-            self.remember(Hard { term, vote: None });
+            self.set_hard_state(HardState { term, vote: None });
         }
-        if new || !matches!(self.role, Role::Follower(_)) {
-            self.role = Role::Follower(Follower::default());
+        if new || !matches!(self.state, State::Follower(_)) {
+            self.state = State::Follower(Follower::default());
         }
         self.leader = leader;
-        self.wait(now);
+        self.reset_election_timer(now);
     }
 
     /// Starts to wait anew before the next campaign.
-    fn wait(&mut self, now: Instant) {
-        self.campaign_at = now + self.timing.campaign(&mut self.rng);
+    fn reset_election_timer(&mut self, now: Instant) {
+        self.campaign_at = now + self.timing.random_election_timeout(&mut self.rng);
     }
 }
--- a/crates/zinniastall-coord/src/replica/builder.rs
+++ b/crates/zinniastall-coord/src/replica/builder.rs
@@ -10,8 +10,8 @@
 use super::history::History;
 use super::ready::{Ready, Restored};
 use super::survey::Survey;
-use super::{Follower, Id, Replica, Role};
-use crate::election::{Fault, Timing};
+use super::{Follower, Id, Replica, State};
+use crate::election::{Error, Timing};
 use crate::log::Log;
 
 /// Bounds on what a replica keeps and sends.
@@ -104,8 +104,8 @@
     ///
     /// # Errors
     ///
-    /// [`Fault`] when the timings can't keep a group safe.
-    pub fn build(self, now: Instant) -> Result<Replica, Fault> {
+    /// [`Error`] when the timings can't keep a group safe.
+    pub fn build(self, now: Instant) -> Result<Replica, Error> {
         self.timing.check()?;
         let mut rng = StdRng::seed_from_u64(self.seed);
         let Restored {
@@ -123,18 +123,18 @@
         let mut log = Log::new(base);
         let mut history = History::new(base.index, voters.unwrap_or_default());
         for entry in entries {
-            history.note(&entry);
+            history.record(&entry);
             log.push(entry);
         }
-        let first = self.timing.campaign(&mut rng);
-        let (heard, wait) = if self.leases {
-            (now, first)
+        let first_timeout = self.timing.random_election_timeout(&mut rng);
+        let (leader_heard_at, delay) = if self.leases {
+            (now, first_timeout)
         } else {
             let early = now.checked_sub(self.timing.election).unwrap_or(now);
             // Links have to open before anybody can be asked.
             (
                 early,
-                first.saturating_sub(self.timing.election) / 2 + self.timing.heartbeat * 2,
+                first_timeout.saturating_sub(self.timing.election) / 2 + self.timing.heartbeat * 2,
             )
         };
         Ok(Replica {
@@ -149,11 +149,11 @@
             commit: base.index,
             applied: base.index,
             snapshot,
-            role: Role::Follower(Follower::default()),
+            state: State::Follower(Follower::default()),
             leader: None,
-            heard,
-            removed_at: 0,
-            campaign_at: now + wait,
+            leader_heard_at,
+            removal_index: 0,
+            campaign_at: now + delay,
             survey: Some(Survey::default()),
             surveyed: None,
             rng,
--- a/crates/zinniastall-coord/src/replica/campaign.rs
+++ b/crates/zinniastall-coord/src/replica/campaign.rs
@@ -4,8 +4,8 @@
 
 use super::inbox::Vote;
 use super::message::Body;
-use super::{Hard, Id, Index, Replica, Role, Term};
-use crate::election::{Ballot, Count};
+use super::{HardState, Id, Index, Replica, State, Term};
+use crate::election::{Tally, Votes};
 use crate::log::Position;
 
 impl Replica {
@@ -14,15 +14,15 @@
     /// A replica that was cut off would otherwise raise its term again and again, and on its return
     /// every other replica, the leader included, would have to follow into that term: operators
     /// would see commands fail each time a link heals.
-    pub(super) fn ask_pre_votes(&mut self, now: Instant) {
-        self.wait(now);
+    pub(super) fn start_pre_vote(&mut self, now: Instant) {
+        self.reset_election_timer(now);
         if !self.history.current().is_voter(self.id) || self.is_removed() {
             return;
         }
         self.leader = None;
-        let mut ballot = Ballot::default();
-        ballot.note(self.id, true);
-        self.role = Role::PreCandidate(ballot);
+        let mut votes = Votes::default();
+        votes.record(self.id, true);
+        self.state = State::PreCandidate(votes);
         let last = self.log.last();
         for id in self.other_voters() {
             self.send(id, Body::PreVote { last });
@@ -30,14 +30,14 @@
         self.count_pre_votes(now);
     }
 
-    pub(super) fn pre_vote_asked(&mut self, from: Id, term: Term, last: Position, now: Instant) {
-        if let Some(index) = self.history.removed(from, self.commit) {
+    pub(super) fn on_pre_vote(&mut self, from: Id, term: Term, last: Position, now: Instant) {
+        if let Some(index) = self.history.removal(from, self.commit) {
             // The answer follows all the same: this set may be behind, and the asking replica may
             // have been admitted since and be the only one that can lead.
             self.send(from, Body::Removed { index });
         }
         let granted =
-            term >= self.hard.term && !self.is_bound(now) && last.covers(&self.log.last());
+            term >= self.hard.term && !self.refuses_votes(now) && last.covers(&self.log.last());
         self.send(
             from,
             Body::PreVoteAnswer {
@@ -47,22 +47,22 @@
         );
     }
 
-    pub(super) fn pre_vote_granted(&mut self, from: Id, proposed: Term, now: Instant) {
+    pub(super) fn on_pre_vote_granted(&mut self, from: Id, proposed: Term, now: Instant) {
         if proposed != self.hard.term + 1 {
             return;
         }
-        if let Role::PreCandidate(ballot) = &mut self.role {
-            ballot.note(from, true);
+        if let State::PreCandidate(votes) = &mut self.state {
+            votes.record(from, true);
             self.count_pre_votes(now);
         }
     }
 
     fn count_pre_votes(&mut self, now: Instant) {
-        let Role::PreCandidate(ballot) = &self.role else {
+        let State::PreCandidate(votes) = &self.state else {
             return;
         };
-        if ballot.count(self.history.current()) == Count::Won {
-            self.ask_votes(false, now);
+        if votes.result(self.history.current()) == Tally::Won {
+            self.start_election(false, now);
         }
     }
 
@@ -70,14 +70,14 @@
     ///
     /// The requests and the vote for itself leave only once the vote is synced: a candidate that
     /// restarted and had forgotten it could vote for another in the same term.
-    fn ask_votes(&mut self, transfer: bool, now: Instant) {
-        self.wait(now);
+    fn start_election(&mut self, transfer: bool, now: Instant) {
+        self.reset_election_timer(now);
         self.leader = None;
-        self.remember(Hard {
+        self.set_hard_state(HardState {
             term: self.hard.term + 1,
             vote: Some(self.id),
         });
-        self.role = Role::Candidate(Ballot::default());
+        self.state = State::Candidate(Votes::default());
         let last = self.log.last();
         for id in self.other_voters() {
             self.send_synced(id, Body::Vote { last, transfer });
@@ -90,41 +90,41 @@
     /// A learner votes too if it is asked: it may have been promoted by an entry that it doesn't hold
     /// yet, and the group may need its vote to elect the one that does. Whether a vote counts is for
     /// the candidate to say, whose set of voters a wiped disk's new id is not in.
-    pub(super) fn vote_asked(&mut self, from: Id, vote: Vote, now: Instant) {
-        if self.is_bound(now) && !vote.transfer {
+    pub(super) fn on_vote(&mut self, from: Id, vote: Vote, now: Instant) {
+        if self.refuses_votes(now) && !vote.transfer {
             return;
         }
         if vote.term > self.hard.term {
-            self.follow(vote.term, None, now);
+            self.become_follower(vote.term, None, now);
         }
-        let free = self.hard.vote.is_none_or(|id| id == from);
-        let granted = vote.term == self.hard.term && free && vote.last.covers(&self.log.last());
+        let may_vote = self.hard.vote.is_none_or(|id| id == from);
+        let granted = vote.term == self.hard.term && may_vote && vote.last.covers(&self.log.last());
         if granted {
-            self.remember(Hard {
+            self.set_hard_state(HardState {
                 term: vote.term,
                 vote: Some(from),
             });
-            self.wait(now);
+            self.reset_election_timer(now);
         }
         self.send_synced(from, Body::VoteAnswer { granted });
     }
 
-    pub(super) fn vote_answered(&mut self, from: Id, granted: bool, now: Instant) {
-        let Role::Candidate(ballot) = &mut self.role else {
+    pub(super) fn on_vote_answer(&mut self, from: Id, granted: bool, now: Instant) {
+        let State::Candidate(votes) = &mut self.state else {
             return;
         };
-        ballot.note(from, granted);
-        match ballot.count(self.history.current()) {
-            Count::Won => self.lead(now),
-            Count::Lost => self.follow(self.hard.term, None, now),
-            Count::Open => {}
+        votes.record(from, granted);
+        match votes.result(self.history.current()) {
+            Tally::Won => self.become_leader(now),
+            Tally::Lost => self.become_follower(self.hard.term, None, now),
+            Tally::Pending => {}
         }
     }
 
     /// Campaigns at once because the leader has stopped for this replica.
-    pub(super) fn transfer_received(&mut self, from: Id, now: Instant) {
+    pub(super) fn on_transfer(&mut self, from: Id, now: Instant) {
         if self.leader == Some(from) && self.history.current().is_voter(self.id) {
-            self.ask_votes(true, now);
+            self.start_election(true, now);
         }
     }
 
@@ -134,22 +134,22 @@
     /// else for an election timeout. A restart forgets when a leader was heard, so a replica that
     /// has just started is bound as if it had heard one; without that, a restarted follower could
     /// help to elect a second leader whose lease overlaps the first.
-    fn is_bound(&self, now: Instant) -> bool {
-        let leads = matches!(self.role, Role::Leader(_));
-        leads || now < self.heard + self.timing.election
+    fn refuses_votes(&self, now: Instant) -> bool {
+        let leads = matches!(self.state, State::Leader(_));
+        leads || now < self.leader_heard_at + self.timing.election
     }
 
     /// Notes that a committed set has removed this replica.
     ///
     /// A replica that was away when it was removed is sent nothing more. It would ask for pre-votes
     /// for ever, and its operator would see a follower that waits for a leader.
-    pub(super) fn removal_told(&mut self, index: Index) {
-        self.removed_at = self.removed_at.max(index);
+    pub(super) fn on_removed(&mut self, index: Index) {
+        self.removal_index = self.removal_index.max(index);
     }
 
     /// Tells whether this replica was removed after the latest set that it holds.
     pub(super) fn is_removed(&self) -> bool {
-        self.removed_at > self.history.index()
+        self.removal_index > self.history.index()
     }
 
     pub(super) fn other_voters(&self) -> Vec<Id> {
--- a/crates/zinniastall-coord/src/replica/follower.rs
+++ b/crates/zinniastall-coord/src/replica/follower.rs
@@ -5,19 +5,19 @@
 
 use super::history::History;
 use super::message::{Append, Body, Chunk, Outcome};
-use super::snapshot::{Incoming, Snapshot};
-use super::{Id, Index, Replica, Role};
+use super::snapshot::{Reassembly, Snapshot};
+use super::{Id, Index, Replica, State};
 use crate::log::{Entry, Log};
 
 /// What a follower keeps beside the log.
 #[derive(Debug, Default)]
 pub(super) struct Follower {
-    incoming: Option<Incoming>,
+    incoming: Option<Reassembly>,
 }
 
 impl Replica {
-    pub(super) fn append_received(&mut self, from: Id, append: Append, now: Instant) {
-        if !append.is_gapless() || !self.hear_leader(from, now) {
+    pub(super) fn on_append(&mut self, from: Id, append: Append, now: Instant) {
+        if !append.is_gapless() || !self.record_leader_contact(from, now) {
             return;
         }
         let round = append.round;
@@ -35,7 +35,7 @@
         let commit = append.commit;
         let matched = self.append_entries(previous.index, append.entries);
         self.commit = self.commit.max(commit.min(matched));
-        self.accept(from, round, matched);
+        self.acknowledge(from, round, matched);
     }
 
     /// Appends what is new and returns the last place known to equal the leader's log.
@@ -55,7 +55,7 @@
     }
 
     pub(super) fn append(&mut self, entry: Entry) {
-        self.history.note(&entry);
+        self.history.record(&entry);
         self.log.push(entry.clone());
         self.pending.append.push(entry);
     }
@@ -69,33 +69,33 @@
         self.pending.truncate_from = Some(earlier.min(from));
     }
 
-    pub(super) fn chunk_received(&mut self, from: Id, chunk: &Chunk, now: Instant) {
-        if !self.hear_leader(from, now) {
+    pub(super) fn on_chunk(&mut self, from: Id, chunk: &Chunk, now: Instant) {
+        if !self.record_leader_contact(from, now) {
             return;
         }
         let last = chunk.last;
         if last.index <= self.commit || self.log.matches(last) {
             self.commit = self.commit.max(last.index);
-            self.accept(from, chunk.round, last.index);
+            self.acknowledge(from, chunk.round, last.index);
             return;
         }
-        let Role::Follower(follower) = &mut self.role else {
+        let State::Follower(follower) = &mut self.state else {
             return;
         };
         if !follower
             .incoming
             .as_ref()
-            .is_some_and(|incoming| incoming.is_of(chunk))
+            .is_some_and(|incoming| incoming.matches(chunk))
         {
-            follower.incoming = Incoming::begin(chunk);
+            follower.incoming = Reassembly::start(chunk);
         }
         let received = follower.incoming.as_mut().map_or(0, |incoming| {
-            incoming.take(chunk);
+            incoming.append(chunk);
             incoming.received()
         });
         let round = chunk.round;
-        let whole = follower.incoming.take_if(|incoming| incoming.is_whole());
-        let Some(incoming) = whole else {
+        let complete = follower.incoming.take_if(|incoming| incoming.is_complete());
+        let Some(incoming) = complete else {
             self.send(
                 from,
                 Body::ChunkAnswer {
@@ -106,11 +106,11 @@
             );
             return;
         };
-        self.install(incoming.into_snapshot());
-        self.accept(from, round, last.index);
+        self.install_snapshot(incoming.into_snapshot());
+        self.acknowledge(from, round, last.index);
     }
 
-    fn install(&mut self, snapshot: Snapshot) {
+    fn install_snapshot(&mut self, snapshot: Snapshot) {
         let last = snapshot.last;
         let snapshot = Arc::new(snapshot);
         self.log = Log::new(last);
@@ -130,8 +130,8 @@
     /// The answer at once says that the leader was heard. Were it held back behind a slow disk, a
     /// leader that everybody hears would lose its quorum and its lease whenever syncs take longer
     /// than an election timeout, and operators would be told that nobody leads.
-    fn accept(&mut self, to: Id, round: u64, matched: Index) {
-        let synced = matched.min(self.durable.upto());
+    fn acknowledge(&mut self, to: Id, round: u64, matched: Index) {
+        let synced = matched.min(self.durable.synced_index());
         let accepted = |matched| Body::AppendAnswer {
             round,
             outcome: Outcome::Accepted { matched },
@@ -143,12 +143,12 @@
     }
 
     /// Notes that the leader of this term was heard.
-    fn hear_leader(&mut self, from: Id, now: Instant) -> bool {
-        if matches!(self.role, Role::Leader(_)) {
+    fn record_leader_contact(&mut self, from: Id, now: Instant) -> bool {
+        if matches!(self.state, State::Leader(_)) {
             return false;
         }
-        self.heard = now;
-        self.follow(self.hard.term, Some(from), now);
+        self.leader_heard_at = now;
+        self.become_follower(self.hard.term, Some(from), now);
         true
     }
 }
--- a/crates/zinniastall-coord/src/replica/history.rs
+++ b/crates/zinniastall-coord/src/replica/history.rs
@@ -10,19 +10,19 @@
 #[derive(Debug)]
 pub(super) struct History {
     sets: Vec<(Index, Voters)>,
-    none: Voters,
+    empty: Voters,
 }
 
 impl History {
     pub(super) fn new(index: Index, voters: Voters) -> Self {
         Self {
             sets: vec![(index, voters)],
-            none: Voters::default(),
+            empty: Voters::default(),
         }
     }
 
     pub(super) fn current(&self) -> &Voters {
-        self.sets.last().map_or(&self.none, |(_, voters)| voters)
+        self.sets.last().map_or(&self.empty, |(_, voters)| voters)
     }
 
     /// Returns the place of the current set.
@@ -30,18 +30,18 @@
         self.sets.last().map_or(0, |(index, _)| *index)
     }
 
-    pub(super) fn at(&self, index: Index) -> &Voters {
-        let held = self.sets.iter().rev().find(|(at, _)| *at <= index);
-        held.map_or(&self.none, |(_, voters)| voters)
+    pub(super) fn voters_at(&self, index: Index) -> &Voters {
+        let set = self.sets.iter().rev().find(|(at, _)| *at <= index);
+        set.map_or(&self.empty, |(_, voters)| voters)
     }
 
     /// Returns the place of the committed set if it has members and a replica is none of them.
-    pub(super) fn removed(&self, id: Id, commit: Index) -> Option<Index> {
+    pub(super) fn removal(&self, id: Id, commit: Index) -> Option<Index> {
         let (index, voters) = self.sets.iter().rev().find(|(at, _)| *at <= commit)?;
         (!voters.voters.is_empty() && !voters.is_member(id)).then_some(*index)
     }
 
-    pub(super) fn note(&mut self, entry: &Entry) {
+    pub(super) fn record(&mut self, entry: &Entry) {
         if let Payload::Voters(voters) = &entry.payload {
             self.sets.push((entry.index, voters.clone()));
         }
@@ -52,11 +52,11 @@
     }
 
     /// Forgets the sets that a later one up to `upto` has replaced.
-    pub(super) fn compact(&mut self, upto: Index) {
+    pub(super) fn compact(&mut self, last: Index) {
         let replaced = self
             .sets
             .iter()
-            .rposition(|(index, _)| *index <= upto)
+            .rposition(|(index, _)| *index <= last)
             .unwrap_or(0);
         self.sets.drain(..replaced);
     }
--- a/crates/zinniastall-coord/src/replica/inbox.rs
+++ b/crates/zinniastall-coord/src/replica/inbox.rs
@@ -12,20 +12,20 @@
     /// Messages may be lost, doubled, late or out of order. One for another replica or of another
     /// cluster is dropped.
     pub fn receive(&mut self, from: Id, message: Message, now: Instant) {
-        if message.to != self.id || !self.is_of_cluster(&message) {
+        if message.to != self.id || !self.accepts_cluster(&message) {
             return;
         }
         let Message { term, body, .. } = message;
         match body {
-            Body::PreVote { last } => self.pre_vote_asked(from, term, last, now),
+            Body::PreVote { last } => self.on_pre_vote(from, term, last, now),
             Body::PreVoteAnswer {
                 proposed,
                 granted: true,
             } => {
-                self.pre_vote_granted(from, proposed, now);
+                self.on_pre_vote_granted(from, proposed, now);
             }
             Body::Vote { last, transfer } => {
-                self.vote_asked(
+                self.on_vote(
                     from,
                     Vote {
                         term,
@@ -35,15 +35,15 @@
                     now,
                 );
             }
-            Body::Removed { index } => self.removal_told(index),
-            Body::Survey { number } => self.survey_asked(from, number),
-            Body::Standing { number, last } => self.survey_answered(from, term, number, last),
+            Body::Removed { index } => self.on_removed(index),
+            Body::Survey { number } => self.on_survey(from, number),
+            Body::SurveyAnswer { number, last } => self.on_survey_answer(from, term, number, last),
             body => self.receive_in_term(from, term, body, now),
         }
     }
 
     /// Checks the cluster; a fresh replica joins that of the first leader that addresses it.
-    fn is_of_cluster(&mut self, message: &Message) -> bool {
+    fn accepts_cluster(&mut self, message: &Message) -> bool {
         if let Some(cluster) = self.cluster {
             return message.cluster == cluster;
         }
@@ -57,32 +57,32 @@
 
     fn receive_in_term(&mut self, from: Id, term: Term, body: Body, now: Instant) {
         if term < self.hard.term {
-            self.refuse_outdated(from, &body);
+            self.reject_stale_term(from, &body);
             return;
         }
         if term > self.hard.term {
-            self.follow(term, None, now);
+            self.become_follower(term, None, now);
         }
         match body {
-            Body::Append(append) => self.append_received(from, append, now),
+            Body::Append(append) => self.on_append(from, append, now),
             Body::AppendAnswer { round, outcome } => {
-                self.append_answered(from, round, outcome, now);
+                self.on_append_answer(from, round, outcome, now);
             }
-            Body::Chunk(chunk) => self.chunk_received(from, &chunk, now),
+            Body::Chunk(chunk) => self.on_chunk(from, &chunk, now),
             Body::ChunkAnswer {
                 round,
                 last,
                 received,
             } => {
-                self.chunk_answered(from, round, (last, received), now);
+                self.on_chunk_answer(from, round, (last, received), now);
             }
-            Body::VoteAnswer { granted } => self.vote_answered(from, granted, now),
-            Body::Transfer => self.transfer_received(from, now),
+            Body::VoteAnswer { granted } => self.on_vote_answer(from, granted, now),
+            Body::Transfer => self.on_transfer(from, now),
             Body::PreVote { .. }
             | Body::PreVoteAnswer { .. }
             | Body::Vote { .. }
             | Body::Survey { .. }
-            | Body::Standing { .. }
+            | Body::SurveyAnswer { .. }
             | Body::Removed { .. } => {}
         }
     }
@@ -91,7 +91,7 @@
     ///
     /// Without an answer it would go on sending to this replica, which could never follow it, and
     /// a group that needs this replica for its majority would stand still.
-    fn refuse_outdated(&mut self, from: Id, body: &Body) {
+    fn reject_stale_term(&mut self, from: Id, body: &Body) {
         if matches!(body, Body::Append(_) | Body::Chunk(_)) {
             let outcome = Outcome::Rejected {
                 previous: 0,
--- a/crates/zinniastall-coord/src/replica/leader.rs
+++ b/crates/zinniastall-coord/src/replica/leader.rs
@@ -4,13 +4,13 @@
 use std::time::Instant;
 
 use super::message::{Body, Message, Outcome};
-use super::progress::{Peers, Progress, Source};
-use super::{Id, Index, Replica, Role};
+use super::progress::{Context, Peers, Progress};
+use super::{Id, Index, Replica, State};
 use crate::election::Timing;
 use crate::log::{Entry, Payload};
 
 /// Rounds remembered in the time of a heartbeat.
-const ROUNDS_PER_HEARTBEAT: u32 = 16;
+const ROUNDS_KEPT_PER_HEARTBEAT: u32 = 16;
 
 /// What a leader keeps beside the log.
 #[derive(Debug)]
@@ -18,16 +18,16 @@
     /// When it began to lead.
     pub(super) since: Instant,
     /// Place of the entry with which its term began.
-    pub(super) first: Index,
+    pub(super) first_index: Index,
     pub(super) peers: Peers,
     /// Bytes of entries that wait to be committed.
-    pub(super) waiting: usize,
+    pub(super) uncommitted_bytes: usize,
     /// Successor that is being brought up to date, until when.
-    pub(super) handover: Option<(Id, Instant)>,
+    pub(super) transfer: Option<(Id, Instant)>,
     /// Number of the present heartbeat round.
     pub(super) round: u64,
     rounds: VecDeque<(u64, Instant)>,
-    beat_at: Instant,
+    heartbeat_at: Instant,
 }
 
 impl Leader {
@@ -38,7 +38,7 @@
     /// lease shorter by a part of a heartbeat and never longer.
     fn open_round(&mut self, timing: &Timing, now: Instant) {
         self.round += 1;
-        let apart = timing.heartbeat / ROUNDS_PER_HEARTBEAT;
+        let spacing = timing.heartbeat / ROUNDS_KEPT_PER_HEARTBEAT;
         while self
             .rounds
             .front()
@@ -49,16 +49,16 @@
         if self
             .rounds
             .back()
-            .is_none_or(|(_, opened)| *opened + apart <= now)
+            .is_none_or(|(_, opened)| *opened + spacing <= now)
         {
             self.rounds.push_back((self.round, now));
         }
     }
 
     /// Notes that a member was heard, and from which round on it follows.
-    fn hear(&mut self, from: Id, round: u64, now: Instant) -> Option<&mut Progress> {
+    fn record_response(&mut self, from: Id, round: u64, now: Instant) -> Option<&mut Progress> {
         let progress = self.peers.get_mut(&from)?;
-        progress.heard = Some(now);
+        progress.heard_at = Some(now);
         if round > progress.round {
             let opened = self
                 .rounds
@@ -66,7 +66,7 @@
                 .rev()
                 .find(|(number, _)| *number <= round);
             progress.round = round;
-            progress.acked = opened.map(|(_, opened)| *opened).or(progress.acked);
+            progress.acked_at = opened.map(|(_, opened)| *opened).or(progress.acked_at);
         }
         Some(progress)
     }
@@ -74,65 +74,65 @@
 
 impl Replica {
     /// Begins to lead with an entry of its own term, which commits all that came before.
-    pub(super) fn lead(&mut self, now: Instant) {
+    pub(super) fn become_leader(&mut self, now: Instant) {
         let last = self.log.last().index;
         let others = self.history.current().members().filter(|id| *id != self.id);
         let peers = others.map(|id| (id, Progress::new(last))).collect();
-        let waiting = self.log.bytes(self.commit + 1, last);
+        let uncommitted_bytes = self.log.bytes(self.commit + 1, last);
         self.leader = Some(self.id);
-        self.role = Role::Leader(Box::new(Leader {
+        self.state = State::Leader(Box::new(Leader {
             since: now,
-            first: last + 1,
+            first_index: last + 1,
             peers,
-            waiting,
-            handover: None,
+            uncommitted_bytes,
+            transfer: None,
             round: 0,
             rounds: VecDeque::new(),
-            beat_at: now,
+            heartbeat_at: now,
         }));
-        self.append_own(Payload::Noop);
-        self.beat(now);
+        self.append_as_leader(Payload::Noop);
+        self.broadcast_heartbeat(now);
     }
 
     pub(super) fn tick_leader(&mut self, now: Instant) {
         if !self.has_quorum(now) {
-            self.follow(self.hard.term, None, now);
+            self.become_follower(self.hard.term, None, now);
             return;
         }
-        let Role::Leader(leader) = &mut self.role else {
+        let State::Leader(leader) = &mut self.state else {
             return;
         };
-        leader.handover.take_if(|(_, until)| now >= *until);
-        if now >= leader.beat_at {
-            self.beat(now);
+        leader.transfer.take_if(|(_, until)| now >= *until);
+        if now >= leader.heartbeat_at {
+            self.broadcast_heartbeat(now);
         }
     }
 
     /// Opens a heartbeat round and sends to every member.
-    pub(super) fn beat(&mut self, now: Instant) {
-        if let Role::Leader(leader) = &mut self.role {
+    pub(super) fn broadcast_heartbeat(&mut self, now: Instant) {
+        if let State::Leader(leader) = &mut self.state {
             leader.open_round(&self.timing, now);
-            leader.beat_at = now + self.timing.heartbeat;
+            leader.heartbeat_at = now + self.timing.heartbeat;
         }
-        self.send_next(None, now, Progress::heartbeat);
+        self.send_to_peers(None, now, Progress::heartbeat);
     }
 
     /// Sends new entries to every member that may be sent more.
     pub(super) fn replicate(&mut self, now: Instant) {
-        self.send_next(None, now, Progress::entries);
+        self.send_to_peers(None, now, Progress::entries);
     }
 
     /// Sends to one peer or to all what `next` makes for each.
-    fn send_next<Bodies: IntoIterator<Item = Body>>(
+    fn send_to_peers<Bodies: IntoIterator<Item = Body>>(
         &mut self,
         only: Option<Id>,
         now: Instant,
-        mut next: impl FnMut(&mut Progress, &Source<'_>) -> Bodies,
+        mut next: impl FnMut(&mut Progress, &Context<'_>) -> Bodies,
     ) {
-        let (Role::Leader(leader), Some(cluster)) = (&mut self.role, self.cluster) else {
+        let (State::Leader(leader), Some(cluster)) = (&mut self.state, self.cluster) else {
             return;
         };
-        let source = Source {
+        let context = Context {
             log: &self.log,
             snapshot: self.snapshot.as_ref(),
             commit: self.commit,
@@ -144,7 +144,7 @@
         let term = self.hard.term;
         let peers = leader.peers.iter_mut();
         for (to, progress) in peers.filter(|(id, _)| only.is_none_or(|only| only == **id)) {
-            for body in next(progress, &source) {
+            for body in next(progress, &context) {
                 self.pending.messages.push((
                     *to,
                     Message {
@@ -158,57 +158,63 @@
         }
     }
 
-    pub(super) fn append_answered(&mut self, from: Id, round: u64, outcome: Outcome, now: Instant) {
+    pub(super) fn on_append_answer(
+        &mut self,
+        from: Id,
+        round: u64,
+        outcome: Outcome,
+        now: Instant,
+    ) {
         let last = self.log.last().index;
-        let Role::Leader(leader) = &mut self.role else {
+        let State::Leader(leader) = &mut self.state else {
             return;
         };
-        let Some(progress) = leader.hear(from, round, now) else {
+        let Some(progress) = leader.record_response(from, round, now) else {
             return;
         };
         match outcome {
             Outcome::Accepted { matched } => {
-                if progress.accepted(matched.min(last), now) {
+                if progress.record_accepted(matched.min(last), now) {
                     self.advance_commit(now);
                 }
                 self.replicate(now);
-                self.hand_over(now);
+                self.complete_transfer(now);
             }
             Outcome::Rejected { previous, hint } => {
-                if progress.rejected(previous, hint, &self.log) {
-                    self.send_next(Some(from), now, Progress::heartbeat);
+                if progress.record_rejected(previous, hint, &self.log) {
+                    self.send_to_peers(Some(from), now, Progress::heartbeat);
                 }
             }
         }
     }
 
-    pub(super) fn chunk_answered(
+    pub(super) fn on_chunk_answer(
         &mut self,
         from: Id,
         round: u64,
         (last, received): (Index, u64),
         now: Instant,
     ) {
-        let Role::Leader(leader) = &mut self.role else {
+        let State::Leader(leader) = &mut self.state else {
             return;
         };
-        if leader.hear(from, round, now).is_some() {
-            self.send_next(Some(from), now, |progress, source| {
-                progress.chunk_taken(last, received, source)
+        if leader.record_response(from, round, now).is_some() {
+            self.send_to_peers(Some(from), now, |progress, context| {
+                progress.next_chunk(last, received, context)
             });
         }
     }
 
     /// Appends an entry of the leader's own term.
-    pub(super) fn append_own(&mut self, payload: Payload) -> Index {
+    pub(super) fn append_as_leader(&mut self, payload: Payload) -> Index {
         let index = self.log.last().index + 1;
         let entry = Entry {
             term: self.hard.term,
             index,
             payload,
         };
-        if let Role::Leader(leader) = &mut self.role {
-            leader.waiting += entry.size();
+        if let State::Leader(leader) = &mut self.state {
+            leader.uncommitted_bytes += entry.size();
         }
         self.append(entry);
         index
@@ -225,27 +231,27 @@
         if index <= self.commit || self.log.term(index) != Some(self.hard.term) {
             return;
         }
-        let Role::Leader(leader) = &mut self.role else {
+        let State::Leader(leader) = &mut self.state else {
             return;
         };
         let committed = self.log.bytes(self.commit + 1, index);
-        leader.waiting = leader.waiting.saturating_sub(committed);
+        leader.uncommitted_bytes = leader.uncommitted_bytes.saturating_sub(committed);
         self.commit = index;
-        self.beat(now);
+        self.broadcast_heartbeat(now);
         if self.history.index() <= index {
-            self.settle_voters(now);
+            self.apply_committed_voters(now);
         }
     }
 
     /// Lets go of members that a committed change removed, and steps down if this is one.
-    fn settle_voters(&mut self, now: Instant) {
+    fn apply_committed_voters(&mut self, now: Instant) {
         let voters = self.history.current();
-        let Role::Leader(leader) = &mut self.role else {
+        let State::Leader(leader) = &mut self.state else {
             return;
         };
         leader.peers.retain(|id, _| voters.is_member(*id));
         if !voters.is_voter(self.id) {
-            self.step_down_for(self.successor(now), now);
+            self.step_down(self.successor(now), now);
         }
     }
 
@@ -253,20 +259,20 @@
     ///
     /// The lease ends here: the others may elect the successor although they heard this leader a
     /// moment ago.
-    pub(super) fn step_down_for(&mut self, successor: Option<Id>, now: Instant) {
+    pub(super) fn step_down(&mut self, successor: Option<Id>, now: Instant) {
         if let Some(id) = successor {
             self.send(id, Body::Transfer);
         }
-        self.follow(self.hard.term, None, now);
+        self.become_follower(self.hard.term, None, now);
     }
 
     /// Hands leadership over once the chosen successor holds everything.
-    pub(super) fn hand_over(&mut self, now: Instant) {
+    pub(super) fn complete_transfer(&mut self, now: Instant) {
         let last = self.log.last().index;
-        let Role::Leader(leader) = &self.role else {
+        let State::Leader(leader) = &self.state else {
             return;
         };
-        let Some((id, _)) = leader.handover else {
+        let Some((id, _)) = leader.transfer else {
             return;
         };
         if leader
@@ -274,7 +280,7 @@
             .get(&id)
             .is_some_and(|progress| progress.matched == last)
         {
-            self.step_down_for(Some(id), now);
+            self.step_down(Some(id), now);
         }
     }
 }
--- a/crates/zinniastall-coord/src/replica/message.rs
+++ b/crates/zinniastall-coord/src/replica/message.rs
@@ -78,7 +78,8 @@
         number: u64,
     },
     /// Answers [`Body::Survey`]; the message's term is a part of the answer.
-    Standing {
+    #[serde(rename = "Standing")]
+    SurveyAnswer {
         /// Number of the question.
         number: u64,
         /// Last entry that the sender has synced.
--- a/crates/zinniastall-coord/src/replica/progress.rs
+++ b/crates/zinniastall-coord/src/replica/progress.rs
@@ -14,11 +14,11 @@
 use crate::log::{Entry, Log, Position};
 
 /// Longest wait before a chunk is sent again, in election timeouts.
-const LONGEST_WAIT: u32 = 8;
+const MAX_RESEND_ELECTION_TIMEOUTS: u32 = 8;
 
 /// What a message to a follower is made from.
 #[derive(Debug, Clone, Copy)]
-pub(super) struct Source<'a> {
+pub(super) struct Context<'a> {
     pub(super) log: &'a Log,
     pub(super) snapshot: Option<&'a Arc<Snapshot>>,
     pub(super) commit: Index,
@@ -33,11 +33,11 @@
     /// Last place that the follower has synced.
     pub(super) matched: Index,
     /// When the follower was last heard.
-    pub(super) heard: Option<Instant>,
+    pub(super) heard_at: Option<Instant>,
     /// Latest round that the follower answered.
     pub(super) round: u64,
     /// When that round was opened, which is before its messages left.
-    pub(super) acked: Option<Instant>,
+    pub(super) acked_at: Option<Instant>,
     next: Index,
     mode: Mode,
 }
@@ -47,101 +47,101 @@
     /// Looks for the place up to which the logs are equal, one empty message at a time.
     Probe,
     /// Sends entries ahead of their acknowledgement, up to a window of bytes.
-    Stream(Window),
+    Replicate(Inflight),
     /// Sends a snapshot, one chunk at a time.
-    Install(Install),
+    Snapshot(Transfer),
 }
 
 #[derive(Debug)]
-struct Window {
+struct Inflight {
     sent: VecDeque<(Index, usize)>,
     bytes: usize,
-    moved: Instant,
+    progressed_at: Instant,
 }
 
 #[derive(Debug)]
-struct Install {
+struct Transfer {
     snapshot: Arc<Snapshot>,
     offset: u64,
-    wait: Duration,
-    again_at: Instant,
+    resend_delay: Duration,
+    resend_at: Instant,
     /// Whether the chunk was sent again.
-    again: bool,
+    resent: bool,
 }
 
 impl Progress {
     pub(super) const fn new(last: Index) -> Self {
         Self {
             matched: 0,
-            heard: None,
+            heard_at: None,
             round: 0,
-            acked: None,
+            acked_at: None,
             next: last + 1,
             mode: Mode::Probe,
         }
     }
 
     pub(super) fn is_reachable(&self, timing: &Timing, now: Instant) -> bool {
-        self.heard
-            .is_some_and(|heard| now < heard + timing.election)
+        self.heard_at
+            .is_some_and(|heard_at| now < heard_at + timing.election)
     }
 
     /// Returns the message that keeps the follower from campaigning.
-    pub(super) fn heartbeat(&mut self, source: &Source<'_>) -> Option<Body> {
-        if let Mode::Stream(window) = &self.mode
-            && !window.sent.is_empty()
-            && source.now > window.moved + source.timing.election
+    pub(super) fn heartbeat(&mut self, context: &Context<'_>) -> Option<Body> {
+        if let Mode::Replicate(inflight) = &self.mode
+            && !inflight.sent.is_empty()
+            && context.now > inflight.progressed_at + context.timing.election
         {
-            self.probe(self.matched + 1);
+            self.start_probe(self.matched + 1);
         }
-        if let Mode::Install(install) = &mut self.mode {
-            return Some(install.heartbeat(source));
+        if let Mode::Snapshot(transfer) = &mut self.mode {
+            return Some(transfer.heartbeat(context));
         }
-        let Some(previous) = self.previous(source) else {
-            return self.install(source);
+        let Some(previous) = self.previous(context) else {
+            return self.start_snapshot(context);
         };
-        Some(append(source, previous, Vec::new()))
+        Some(append(context, previous, Vec::new()))
     }
 
     /// Returns messages with the next entries, as many as the window permits.
-    pub(super) fn entries(&mut self, source: &Source<'_>) -> Vec<Body> {
-        std::iter::from_fn(|| self.next_entries(source)).collect()
+    pub(super) fn entries(&mut self, context: &Context<'_>) -> Vec<Body> {
+        std::iter::from_fn(|| self.next_entries(context)).collect()
     }
 
-    fn next_entries(&mut self, source: &Source<'_>) -> Option<Body> {
-        let last = source.log.last().index;
-        let Mode::Stream(window) = &self.mode else {
+    fn next_entries(&mut self, context: &Context<'_>) -> Option<Body> {
+        let last = context.log.last().index;
+        let Mode::Replicate(inflight) = &self.mode else {
             return None;
         };
-        if self.next > last || window.bytes >= source.limits.window {
+        if self.next > last || inflight.bytes >= context.limits.window {
             return None;
         }
-        let Some(previous) = self.previous(source) else {
-            return self.install(source);
+        let Some(previous) = self.previous(context) else {
+            return self.start_snapshot(context);
         };
-        let entries = source.log.slice(self.next, last, source.limits.message);
+        let entries = context.log.slice(self.next, last, context.limits.message);
         let sent = entries.last()?.index;
-        let Mode::Stream(window) = &mut self.mode else {
+        let Mode::Replicate(inflight) = &mut self.mode else {
             return None;
         };
-        window.push(sent, entries.iter().map(Entry::size).sum(), source.now);
+        inflight.push(sent, entries.iter().map(Entry::size).sum(), context.now);
         self.next = sent + 1;
-        Some(append(source, previous, entries))
+        Some(append(context, previous, entries))
     }
 
     /// Notes an acknowledgement; returns whether it brought anything new.
-    pub(super) fn accepted(&mut self, matched: Index, now: Instant) -> bool {
+    pub(super) fn record_accepted(&mut self, matched: Index, now: Instant) -> bool {
         let advanced = matched > self.matched;
         self.matched = self.matched.max(matched);
         self.next = self.next.max(self.matched + 1);
         match &mut self.mode {
-            Mode::Probe => self.stream(now),
-            Mode::Stream(window) => window.acknowledge(self.matched, now),
-            Mode::Install(install) if matched >= install.snapshot.last.index => {
+            Mode::Probe => self.start_replication(now),
+            Mode::Replicate(inflight) => inflight.acknowledge(self.matched, now),
+            Mode::Snapshot(transfer) if matched >= transfer.snapshot.last.index => {
                 self.next = self.matched + 1;
-                self.stream(now);
+                self.start_replication(now);
             }
-            Mode::Install(_) => {}
+            Mode::Snapshot(_) => {}
         }
         advanced
     }
@@ -151,14 +151,14 @@
     /// A rejection of the very place that was acknowledged last means that the follower has lost
     /// what it acknowledged, if nothing is on its way. It is then looked for again: a follower that
     /// is believed to hold it would refuse every message from here on.
-    pub(super) fn rejected(&mut self, previous: Index, hint: Position, log: &Log) -> bool {
+    pub(super) fn record_rejected(&mut self, previous: Index, hint: Position, log: &Log) -> bool {
         let answers_last = previous + 1 == self.next;
-        let current = match self.mode {
+        let is_current = match self.mode {
             Mode::Probe => answers_last,
-            Mode::Stream(_) => answers_last || previous > self.matched,
-            Mode::Install(_) => false,
+            Mode::Replicate(_) => answers_last || previous > self.matched,
+            Mode::Snapshot(_) => false,
         };
-        if !current || previous < self.matched || previous == 0 {
+        if !is_current || previous < self.matched || previous == 0 {
             return false;
         }
         let equal = log
@@ -168,67 +168,68 @@
         if previous == self.matched {
             self.matched = equal;
         }
-        self.probe(equal.max(self.matched) + 1);
+        self.start_probe(equal.max(self.matched) + 1);
         true
     }
 
     /// Notes how much of a snapshot has arrived and returns the next chunk.
-    pub(super) fn chunk_taken(
+    pub(super) fn next_chunk(
         &mut self,
         last: Index,
         received: u64,
-        source: &Source<'_>,
+        context: &Context<'_>,
     ) -> Option<Body> {
-        let Mode::Install(install) = &mut self.mode else {
+        let Mode::Snapshot(transfer) = &mut self.mode else {
             return None;
         };
-        let current = install.snapshot.last.index == last && install.is_news(received);
-        current.then(|| install.at(received, source))
+        let is_current =
+            transfer.snapshot.last.index == last && transfer.needs_next_chunk(received);
+        is_current.then(|| transfer.chunk_at(received, context))
     }
 
-    fn previous(&self, source: &Source<'_>) -> Option<Position> {
+    fn previous(&self, context: &Context<'_>) -> Option<Position> {
         let index = self.next - 1;
         Some(Position {
             index,
-            term: source.log.term(index)?,
+            term: context.log.term(index)?,
         })
     }
 
-    fn probe(&mut self, next: Index) {
+    fn start_probe(&mut self, next: Index) {
         self.next = next;
         self.mode = Mode::Probe;
     }
 
-    fn stream(&mut self, now: Instant) {
-        let window = Window {
+    fn start_replication(&mut self, now: Instant) {
+        let inflight = Inflight {
             sent: VecDeque::new(),
             bytes: 0,
-            moved: now,
+            progressed_at: now,
         };
-        self.mode = Mode::Stream(window);
+        self.mode = Mode::Replicate(inflight);
     }
 
     /// Starts to send the snapshot, because the entries that are missing are gone.
-    fn install(&mut self, source: &Source<'_>) -> Option<Body> {
-        let snapshot = Arc::clone(source.snapshot?);
-        let wait = source.timing.election;
-        let mut install = Install {
+    fn start_snapshot(&mut self, context: &Context<'_>) -> Option<Body> {
+        let snapshot = Arc::clone(context.snapshot?);
+        let resend_delay = context.timing.election;
+        let mut transfer = Transfer {
             snapshot,
             offset: 0,
-            wait,
-            again_at: source.now,
-            again: false,
+            resend_delay,
+            resend_at: context.now,
+            resent: false,
         };
-        let body = install.at(0, source);
-        self.mode = Mode::Install(install);
+        let body = transfer.chunk_at(0, context);
+        self.mode = Mode::Snapshot(transfer);
         Some(body)
     }
 }
 
-impl Window {
+impl Inflight {
     fn push(&mut self, last: Index, bytes: usize, now: Instant) {
         if self.sent.is_empty() {
-            self.moved = now;
+            self.progressed_at = now;
         }
         self.sent.push_back((last, bytes));
         self.bytes += bytes;
@@ -237,19 +238,19 @@
     fn acknowledge(&mut self, matched: Index, now: Instant) {
         while let Some((_, bytes)) = self.sent.pop_front_if(|(last, _)| *last <= matched) {
             self.bytes -= bytes;
-            self.moved = now;
+            self.progressed_at = now;
         }
     }
 }
 
-impl Install {
+impl Transfer {
     /// Returns the chunk at an offset and waits for its answer.
-    fn at(&mut self, offset: u64, source: &Source<'_>) -> Body {
+    fn chunk_at(&mut self, offset: u64, context: &Context<'_>) -> Body {
         self.offset = offset;
-        self.wait = source.timing.election;
-        self.again_at = source.now + self.wait;
-        self.again = false;
-        self.chunk(source)
+        self.resend_delay = context.timing.election;
+        self.resend_at = context.now + self.resend_delay;
+        self.resent = false;
+        self.chunk(context)
     }
 
     /// Tells whether an answer calls for another chunk.
@@ -257,38 +258,39 @@
     /// A doubled or late answer names a place that was passed. It counts only after the chunk was
     /// sent again, as when the follower restarted and lost what it had; otherwise each doubled
     /// answer would bring about a chunk, whose answer is doubled in turn, without end.
-    const fn is_news(&self, received: u64) -> bool {
-        received > self.offset || (self.again && received < self.offset)
+    const fn needs_next_chunk(&self, received: u64) -> bool {
+        received > self.offset || (self.resent && received < self.offset)
     }
 
     /// Returns the same chunk again when it is overdue, else an empty message.
     ///
     /// The wait doubles each time: a follower on a slow link that can't keep up would otherwise be
     /// sent the same bytes faster than it takes them.
-    fn heartbeat(&mut self, source: &Source<'_>) -> Body {
-        if source.now < self.again_at {
-            return append(source, self.snapshot.last, Vec::new());
+    fn heartbeat(&mut self, context: &Context<'_>) -> Body {
+        if context.now < self.resend_at {
+            return append(context, self.snapshot.last, Vec::new());
         }
-        self.wait = (self.wait * 2).min(source.timing.election * LONGEST_WAIT);
-        self.again_at = source.now + self.wait;
-        self.again = true;
-        self.chunk(source)
+        self.resend_delay =
+            (self.resend_delay * 2).min(context.timing.election * MAX_RESEND_ELECTION_TIMEOUTS);
+        self.resend_at = context.now + self.resend_delay;
+        self.resent = true;
+        self.chunk(context)
     }
 
-    fn chunk(&self, source: &Source<'_>) -> Body {
+    fn chunk(&self, context: &Context<'_>) -> Body {
         Body::Chunk(
             self.snapshot
-                .chunk(source.round, self.offset, source.limits.message),
+                .chunk(context.round, self.offset, context.limits.message),
         )
     }
 }
 
-fn append(source: &Source<'_>, previous: Position, entries: Vec<Entry>) -> Body {
+fn append(context: &Context<'_>, previous: Position, entries: Vec<Entry>) -> Body {
     Body::Append(Append {
-        round: source.round,
+        round: context.round,
         previous,
         entries,
-        commit: source.commit,
+        commit: context.commit,
     })
 }
 
--- a/crates/zinniastall-coord/src/replica/proposal.rs
+++ b/crates/zinniastall-coord/src/replica/proposal.rs
@@ -4,7 +4,7 @@
 
 use super::leader::Leader;
 use super::progress::Progress;
-use super::{Id, Index, Refusal, Replica, Role, Term};
+use super::{Id, Index, Refusal, Replica, State, Term};
 use crate::log::Payload;
 use crate::voters::{Change, Voters};
 
@@ -30,21 +30,21 @@
     /// [`Refusal`] when this replica doesn't lead, hands over, or a bound is reached. Nothing was
     /// appended then.
     pub fn propose(&mut self, command: Vec<u8>, now: Instant) -> Result<(Term, Index), Refusal> {
-        let leader = self.leading()?;
-        let (bytes, waiting) = (command.len(), leader.waiting);
+        let leader = self.require_leader()?;
+        let (bytes, uncommitted_bytes) = (command.len(), leader.uncommitted_bytes);
         if bytes > self.limits.command {
             return Err(Refusal::TooLarge {
                 bytes,
                 limit: self.limits.command,
             });
         }
-        if waiting + bytes > self.limits.uncommitted {
+        if uncommitted_bytes + bytes > self.limits.uncommitted {
             return Err(Refusal::Busy {
-                bytes: waiting,
+                bytes: uncommitted_bytes,
                 limit: self.limits.uncommitted,
             });
         }
-        let index = self.append_own(Payload::Command(command));
+        let index = self.append_as_leader(Payload::Command(command));
         self.replicate(now);
         Ok((self.hard.term, index))
     }
@@ -64,8 +64,8 @@
         change: &Change,
         now: Instant,
     ) -> Result<(Term, Index), Refusal> {
-        let leader = self.leading()?;
-        if self.commit < leader.first {
+        let leader = self.require_leader()?;
+        if self.commit < leader.first_index {
             return Err(Refusal::Unready);
         }
         if self.history.index() > self.commit {
@@ -77,10 +77,10 @@
         if let Change::Promote { id } = change {
             self.check_caught_up(*id, now)?;
         }
-        self.check_reachable(change, &voters, now)?;
-        self.meet(&voters);
-        let index = self.append_own(Payload::Voters(voters));
-        self.beat(now);
+        self.check_quorum_after(change, &voters, now)?;
+        self.track_members(&voters);
+        let index = self.append_as_leader(Payload::Voters(voters));
+        self.broadcast_heartbeat(now);
         self.replicate(now);
         Ok((self.hard.term, index))
     }
@@ -94,13 +94,13 @@
     ///
     /// [`Refusal::NoSuccessor`] when no other voter answers.
     pub fn transfer(&mut self, now: Instant) -> Result<Id, Refusal> {
-        self.leading()?;
+        self.require_leader()?;
         let id = self.successor(now).ok_or(Refusal::NoSuccessor)?;
-        if let Role::Leader(leader) = &mut self.role {
-            leader.handover = Some((id, now + self.timing.election));
+        if let State::Leader(leader) = &mut self.state {
+            leader.transfer = Some((id, now + self.timing.election));
         }
         self.replicate(now);
-        self.hand_over(now);
+        self.complete_transfer(now);
         Ok(id)
     }
 
@@ -110,12 +110,12 @@
     ///
     /// [`Refusal`] when this replica doesn't lead or doesn't know yet what is committed.
     pub fn barrier(&mut self, now: Instant) -> Result<Barrier, Refusal> {
-        let leader = self.leading()?;
-        if self.commit < leader.first {
+        let leader = self.require_leader()?;
+        if self.commit < leader.first_index {
             return Err(Refusal::Unready);
         }
-        self.beat(now);
-        let leader = self.leading()?;
+        self.broadcast_heartbeat(now);
+        let leader = self.require_leader()?;
         Ok(Barrier {
             term: self.hard.term,
             round: leader.round,
@@ -129,7 +129,7 @@
     ///
     /// [`Refusal::NotLeader`] when the leader that made it leads no more: the read must start anew.
     pub fn passed(&self, barrier: &Barrier) -> Result<bool, Refusal> {
-        let Role::Leader(leader) = &self.role else {
+        let State::Leader(leader) = &self.state else {
             return Err(self.not_leader());
         };
         if self.hard.term != barrier.term {
@@ -144,7 +144,7 @@
     /// Returns how many voters may be lost at once without stopping the group or losing a change, by
     /// what they answered since a barrier was made.
     ///
-    /// [`Status::spare`](super::Status::spare) counts voters that were heard within an election
+    /// [`Status::failure_tolerance`](super::Status::failure_tolerance) counts voters that were heard within an election
     /// timeout. One that was lost a moment ago is among them, and an operator who took another one
     /// down on that word would stop the group. Zero here may mean that answers are still on their way:
     /// ask again while there is time.
@@ -152,8 +152,8 @@
     /// # Errors
     ///
     /// [`Refusal::NotLeader`] when the leader that made the barrier leads no more.
-    pub fn spare_since(&self, barrier: &Barrier) -> Result<usize, Refusal> {
-        let Role::Leader(leader) = &self.role else {
+    pub fn failure_tolerance_since(&self, barrier: &Barrier) -> Result<usize, Refusal> {
+        let State::Leader(leader) = &self.state else {
             return Err(self.not_leader());
         };
         if self.hard.term != barrier.term {
@@ -163,20 +163,20 @@
             return Ok(0);
         }
         let voters = self.history.current();
-        let is_whole = |id: &Id| {
+        let is_up_to_date = |id: &Id| {
             let answered = |progress: &Progress| {
                 progress.round >= barrier.round && progress.matched >= barrier.index
             };
             *id == self.id || leader.peers.get(id).is_some_and(answered)
         };
-        let whole = voters.voters.keys().filter(|id| is_whole(id)).count();
-        Ok(whole.saturating_sub(voters.majority()))
+        let up_to_date = voters.voters.keys().filter(|id| is_up_to_date(id)).count();
+        Ok(up_to_date.saturating_sub(voters.majority()))
     }
 
-    fn leading(&self) -> Result<&Leader, Refusal> {
-        match &self.role {
-            Role::Leader(leader) if leader.handover.is_some() => Err(Refusal::Transferring),
-            Role::Leader(leader) => Ok(leader),
+    fn require_leader(&self) -> Result<&Leader, Refusal> {
+        match &self.state {
+            State::Leader(leader) if leader.transfer.is_some() => Err(Refusal::Transferring),
+            State::Leader(leader) => Ok(leader),
             _ => Err(self.not_leader()),
         }
     }
@@ -189,7 +189,7 @@
 
     /// Checks that a learner would make the group safer as a voter, and not only larger.
     fn check_caught_up(&self, id: Id, now: Instant) -> Result<(), Refusal> {
-        let progress = self.leading()?.peers.get(&id);
+        let progress = self.require_leader()?.peers.get(&id);
         let matched = progress.map_or(0, |progress| progress.matched);
         if matched + self.limits.lag < self.commit || matched == 0 {
             return Err(Refusal::Behind {
@@ -203,7 +203,7 @@
         Ok(())
     }
 
-    fn check_reachable(
+    fn check_quorum_after(
         &self,
         change: &Change,
         voters: &Voters,
@@ -212,7 +212,7 @@
         if matches!(change, Change::Admit { .. } | Change::Move { .. }) {
             return Ok(());
         }
-        let (reachable, needed) = (self.reachable(voters, now), voters.majority());
+        let (reachable, needed) = (self.count_reachable(voters, now), voters.majority());
         if reachable < needed {
             return Err(Refusal::Unreachable { reachable, needed });
         }
@@ -220,10 +220,10 @@
     }
 
     /// Begins to send to members that are new in a set.
-    fn meet(&mut self, voters: &Voters) {
+    fn track_members(&mut self, voters: &Voters) {
         let last = self.log.last().index;
         let id = self.id;
-        let Role::Leader(leader) = &mut self.role else {
+        let State::Leader(leader) = &mut self.state else {
             return;
         };
         for member in voters.members().filter(|member| *member != id) {
--- a/crates/zinniastall-coord/src/replica/quorum.rs
+++ b/crates/zinniastall-coord/src/replica/quorum.rs
@@ -5,7 +5,7 @@
 use indexmap::IndexMap;
 
 use super::leader::Leader;
-use super::{Id, Index, Peer, Replica, Role};
+use super::{Id, Index, Peer, Replica, State};
 use crate::lease::Lease;
 use crate::voters::Voters;
 
@@ -16,16 +16,16 @@
     /// know which of its predecessors' entries were committed, and could answer without one that
     /// an operator was told of.
     pub fn lease(&self, now: Instant) -> Option<Lease> {
-        let Role::Leader(leader) = &self.role else {
+        let State::Leader(leader) = &self.state else {
             return None;
         };
-        if self.applied < leader.first || leader.handover.is_some() {
+        if self.applied < leader.first_index || leader.transfer.is_some() {
             return None;
         }
-        let gained = self.majority_acked(leader, now)?;
+        let acked_at = self.majority_acked(leader, now)?;
         let lease = Lease {
             term: self.hard.term,
-            until: gained + self.timing.lease(),
+            until: acked_at + self.timing.lease(),
         };
         lease.holds(now).then_some(lease)
     }
@@ -35,7 +35,7 @@
     /// A leader on the small side of a partition would otherwise go on taking commands that it can
     /// never commit, and its callers would wait instead of being sent to the other side.
     pub(super) fn has_quorum(&self, now: Instant) -> bool {
-        let Role::Leader(leader) = &self.role else {
+        let State::Leader(leader) = &self.state else {
             return false;
         };
         let heard = self
@@ -51,7 +51,7 @@
             if id == self.id {
                 Some(now)
             } else {
-                leader.peers.get(&id)?.acked
+                leader.peers.get(&id)?.acked_at
             }
         })
         .flatten()
@@ -59,12 +59,12 @@
 
     /// Returns the last place that a majority has synced, on a leader.
     pub(super) fn majority_matched(&self) -> Option<Index> {
-        let Role::Leader(leader) = &self.role else {
+        let State::Leader(leader) = &self.state else {
             return None;
         };
         self.majority(|id| {
             if id == self.id {
-                self.durable.upto()
+                self.durable.synced_index()
             } else {
                 leader.peers.get(&id).map_or(0, |progress| progress.matched)
             }
@@ -91,8 +91,8 @@
     }
 
     /// Counts the voters of a set that answered within an election timeout.
-    pub(super) fn reachable(&self, voters: &Voters, now: Instant) -> usize {
-        let Role::Leader(leader) = &self.role else {
+    pub(super) fn count_reachable(&self, voters: &Voters, now: Instant) -> usize {
+        let State::Leader(leader) = &self.state else {
             return 0;
         };
         let answers = |id: &Id| {
@@ -107,27 +107,28 @@
 
     /// Returns the voter that has most of the log among those that answer.
     pub(super) fn successor(&self, now: Instant) -> Option<Id> {
-        let Role::Leader(leader) = &self.role else {
+        let State::Leader(leader) = &self.state else {
             return None;
         };
         let voters = self.history.current();
-        let able = leader.peers.iter().filter(|(id, progress)| {
+        let candidates = leader.peers.iter().filter(|(id, progress)| {
             voters.is_voter(**id) && progress.is_reachable(&self.timing, now)
         });
-        able.max_by_key(|(_, progress)| progress.matched)
+        candidates
+            .max_by_key(|(_, progress)| progress.matched)
             .map(|(id, _)| *id)
     }
 
     pub(super) fn peers(&self, now: Instant) -> IndexMap<Id, Peer> {
-        let Role::Leader(leader) = &self.role else {
+        let State::Leader(leader) = &self.state else {
             return IndexMap::new();
         };
         let view = leader.peers.iter().map(|(id, progress)| {
             let peer = Peer {
                 matched: progress.matched,
                 silent: progress
-                    .heard
-                    .map(|heard| now.saturating_duration_since(heard)),
+                    .heard_at
+                    .map(|heard_at| now.saturating_duration_since(heard_at)),
                 reachable: progress.is_reachable(&self.timing, now),
             };
             (*id, peer)
--- a/crates/zinniastall-coord/src/replica/ready.rs
+++ b/crates/zinniastall-coord/src/replica/ready.rs
@@ -12,7 +12,7 @@
 
 /// What a replica must remember of elections.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Hard {
+pub struct HardState {
     /// Latest term seen.
     pub term: Term,
     /// Replica voted for in that term.
@@ -25,7 +25,7 @@
     /// Cluster that the data folder belongs to, if any.
     pub cluster: Option<Cluster>,
     /// Term and vote.
-    pub hard: Hard,
+    pub hard: HardState,
     /// Latest whole snapshot.
     pub snapshot: Option<Snapshot>,
     /// Entries behind the snapshot.
@@ -41,7 +41,7 @@
         let voters = Voters::founding(id, address);
         Self {
             cluster: Some(cluster),
-            hard: Hard {
+            hard: HardState {
                 term: 1,
                 vote: Some(id),
             },
@@ -69,7 +69,7 @@
     /// Cluster that this replica has joined, to be recorded for good.
     pub cluster: Option<Cluster>,
     /// Term and vote, if they changed.
-    pub hard: Option<Hard>,
+    pub hard: Option<HardState>,
     /// Snapshot that takes the place of the whole log.
     pub install: Option<Arc<Snapshot>>,
     /// First place to drop from the log before the append.
--- a/crates/zinniastall-coord/src/replica/refusal.rs
+++ b/crates/zinniastall-coord/src/replica/refusal.rs
@@ -3,7 +3,7 @@
 use thiserror::Error;
 
 use super::{Id, Index};
-use crate::voters::Fault;
+use crate::voters::Error;
 
 /// Why a proposal, a change of voters or a barrier was refused; nothing of it took effect.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
@@ -44,7 +44,7 @@
     },
     /// The change doesn't fit the present set.
     #[error(transparent)]
-    Voters(#[from] Fault),
+    Voters(#[from] Error),
     /// The learner has not caught up.
     #[error("the learner holds entries up to {matched}, committed is {commit}")]
     Behind {
@@ -74,7 +74,7 @@
 
 impl Refusal {
     /// Tells whether the same proposal may be taken later without any change to it.
-    pub const fn is_passing(&self) -> bool {
+    pub const fn is_transient(&self) -> bool {
         !matches!(self, Self::TooLarge { .. } | Self::Voters(_))
     }
 }
--- a/crates/zinniastall-coord/src/replica/snapshot.rs
+++ b/crates/zinniastall-coord/src/replica/snapshot.rs
@@ -25,31 +25,31 @@
 
     /// Cuts the part at an offset, shorter at the end and empty behind it.
     pub(super) fn chunk(&self, round: u64, offset: u64, bytes: usize) -> Chunk {
-        let from = usize::try_from(offset)
+        let start = usize::try_from(offset)
             .unwrap_or(usize::MAX)
             .min(self.data.len());
-        let upto = from.saturating_add(bytes).min(self.data.len());
+        let end = start.saturating_add(bytes).min(self.data.len());
         Chunk {
             round,
             last: self.last,
             voters: self.voters.clone(),
             total: self.size(),
-            offset: from as u64,
-            data: self.data[from..upto].to_vec(),
+            offset: start as u64,
+            data: self.data[start..end].to_vec(),
         }
     }
 }
 
 /// A snapshot of which parts are still to come.
 #[derive(Debug)]
-pub(super) struct Incoming {
+pub(super) struct Reassembly {
     total: u64,
     snapshot: Snapshot,
 }
 
-impl Incoming {
+impl Reassembly {
     /// Begins with a first chunk; any other chunk begins nothing.
-    pub(super) fn begin(chunk: &Chunk) -> Option<Self> {
+    pub(super) fn start(chunk: &Chunk) -> Option<Self> {
         (chunk.offset == 0).then(|| Self {
             total: chunk.total,
             snapshot: Snapshot {
@@ -60,12 +60,12 @@
         })
     }
 
-    pub(super) fn is_of(&self, chunk: &Chunk) -> bool {
+    pub(super) fn matches(&self, chunk: &Chunk) -> bool {
         self.snapshot.last == chunk.last && self.total == chunk.total
     }
 
     /// Takes a chunk that continues what is there; doubled and early ones change nothing.
-    pub(super) fn take(&mut self, chunk: &Chunk) {
+    pub(super) fn append(&mut self, chunk: &Chunk) {
         let fits = self.received() + chunk.data.len() as u64 <= self.total;
         if chunk.offset == self.received() && fits {
             self.snapshot.data.extend_from_slice(&chunk.data);
@@ -76,7 +76,7 @@
         self.snapshot.size()
     }
 
-    pub(super) fn is_whole(&self) -> bool {
+    pub(super) fn is_complete(&self) -> bool {
         self.received() == self.total
     }
 
--- a/crates/zinniastall-coord/src/replica/status.rs
+++ b/crates/zinniastall-coord/src/replica/status.rs
@@ -9,7 +9,7 @@
 
 /// What a replica does at present.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Part {
+pub enum Role {
     /// Follows a leader or waits for one.
     Follower,
     /// Asks whether a campaign would be granted.
@@ -39,7 +39,7 @@
     /// Its cluster, unless it is fresh.
     pub cluster: Option<Cluster>,
     /// What it does.
-    pub part: Part,
+    pub role: Role,
     /// Its term.
     pub term: Term,
     /// The leader it knows.
@@ -66,24 +66,24 @@
     /// Returns how many voters may be lost at once without stopping the group or losing a change.
     ///
     /// Counts the voters that were heard within an election timeout and hold every committed entry, less
-    /// a majority; [`Replica::spare_since`](super::Replica::spare_since) asks anew. It is known
+    /// a majority; [`Replica::failure_tolerance_since`](super::Replica::failure_tolerance_since) asks anew. It is known
     /// on a leader only, and zero while a change of voters isn't committed: an operator who repairs
     /// a group waits until it is above zero before the next loss is safe.
-    pub fn spare(&self) -> usize {
-        if self.part != Part::Leader || self.voters_index > self.commit {
+    pub fn failure_tolerance(&self) -> usize {
+        if self.role != Role::Leader || self.voters_index > self.commit {
             return 0;
         }
-        let whole = self
+        let up_to_date = self
             .voters
             .voters
             .keys()
-            .filter(|id| self.is_whole(**id))
+            .filter(|id| self.is_up_to_date(**id))
             .count();
-        whole.saturating_sub(self.voters.majority())
+        up_to_date.saturating_sub(self.voters.majority())
     }
 
-    fn is_whole(&self, id: Id) -> bool {
-        let whole = |peer: &Peer| peer.reachable && peer.matched >= self.commit;
-        id == self.id || self.peers.get(&id).is_some_and(whole)
+    fn is_up_to_date(&self, id: Id) -> bool {
+        let up_to_date = |peer: &Peer| peer.reachable && peer.matched >= self.commit;
+        id == self.id || self.peers.get(&id).is_some_and(up_to_date)
     }
 }
--- a/crates/zinniastall-coord/src/replica/survey.rs
+++ b/crates/zinniastall-coord/src/replica/survey.rs
@@ -19,7 +19,7 @@
 use indexmap::IndexMap;
 
 use super::message::Body;
-use super::{Id, Replica, Role, Term};
+use super::{Id, Replica, State, Term};
 use crate::log::Position;
 
 /// Number of a survey, random.
@@ -29,12 +29,12 @@
 #[derive(Debug)]
 pub(super) struct Survey {
     number: Number,
-    answers: IndexMap<Id, Standing>,
+    answers: IndexMap<Id, Answer>,
 }
 
 /// Where a voter stands.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-struct Standing {
+struct Answer {
     term: Term,
     last: Position,
 }
@@ -59,7 +59,7 @@
         let survey = Survey::default();
         let number = survey.number;
         self.survey = Some(survey);
-        self.survey();
+        self.poll_survey();
         // The only voter knows at once.
         let is_begun = self.survey.is_some() || self.surveyed == Some(number);
         is_begun.then_some(number)
@@ -73,8 +73,9 @@
     /// Asks the other voters where they stand, until it is known or a leader says what is committed.
     ///
     /// Asked again at each tick: who starts later hasn't heard the first question.
-    pub(super) fn survey(&mut self) {
-        if self.leader.is_some() || !matches!(self.role, Role::Follower(_) | Role::PreCandidate(_))
+    pub(super) fn poll_survey(&mut self) {
+        if self.leader.is_some()
+            || !matches!(self.state, State::Follower(_) | State::PreCandidate(_))
         {
             self.survey = None;
         }
@@ -86,30 +87,30 @@
         for id in self.other_voters() {
             self.send(id, Body::Survey { number });
         }
-        self.count_survey();
+        self.conclude_survey();
     }
 
     /// Tells another replica where this one stands, once that is synced.
-    pub(super) fn survey_asked(&mut self, from: Id, number: u64) {
+    pub(super) fn on_survey(&mut self, from: Id, number: u64) {
         let last = self.log.last();
-        self.send_synced(from, Body::Standing { number, last });
+        self.send_synced(from, Body::SurveyAnswer { number, last });
     }
 
-    pub(super) fn survey_answered(&mut self, from: Id, term: Term, number: u64, last: Position) {
+    pub(super) fn on_survey_answer(&mut self, from: Id, term: Term, number: u64, last: Position) {
         let Some(survey) = &mut self.survey else {
             return;
         };
         if survey.number != number {
             return;
         }
-        survey.answers.insert(from, Standing { term, last });
-        self.count_survey();
+        survey.answers.insert(from, Answer { term, last });
+        self.conclude_survey();
     }
 
     /// Commits this replica's log where a majority holds it and a majority holds no more.
-    fn count_survey(&mut self) {
+    fn conclude_survey(&mut self) {
         let (term, last) = (self.hard.term, self.log.last());
-        let is_synced = self.durable.upto() == last.index;
+        let is_synced = self.durable.synced_index() == last.index;
         let Some(survey) = &self.survey else { return };
         if last.term != term || !is_synced {
             return;
@@ -119,11 +120,17 @@
             .answers
             .iter()
             .filter(|(id, answer)| voters.is_voter(**id) && answer.term == term);
-        let places: Vec<Position> = answers.map(|(_, answer)| answer.last).collect();
-        let holding = places.iter().filter(|place| place.covers(&last)).count();
-        let behind = places.iter().filter(|place| last.covers(place)).count();
+        let positions: Vec<Position> = answers.map(|(_, answer)| answer.last).collect();
+        let holding = positions
+            .iter()
+            .filter(|position| position.covers(&last))
+            .count();
+        let not_ahead = positions
+            .iter()
+            .filter(|position| last.covers(position))
+            .count();
         // This replica itself belongs to both.
-        if holding.min(behind) + 1 >= voters.majority() {
+        if holding.min(not_ahead) + 1 >= voters.majority() {
             self.commit = self.commit.max(last.index);
             self.surveyed = Some(survey.number);
             self.survey = None;
--- a/crates/zinniastall-coord/src/ticket/issuer.rs
+++ b/crates/zinniastall-coord/src/ticket/issuer.rs
@@ -5,9 +5,9 @@
 /// Separates a ticket's fields; names of places and instances never contain it.
 const SEPARATOR: char = '~';
 /// Fields of a ticket.
-const FIELDS: usize = 7;
+const FIELD_COUNT: usize = 7;
 /// Longest text that is looked at as a ticket, in bytes.
-const LONGEST: usize = 512;
+const MAX_TICKET_BYTES: usize = 512;
 
 /// Who issued a ticket, as other instances find it.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -48,9 +48,9 @@
     pub id: u64,
     /// When it expires, on the issuer's clock. Clocks of different instances are never compared.
     pub expiry: Duration,
-    /// Text that the authentication code covers; it names the ticket in a [`super::Marks`].
+    /// Text that the authentication code covers; it names the ticket in a [`super::Registry`].
     pub name: String,
-    code: String,
+    mac: String,
 }
 
 /// Why a ticket cannot be used here.
@@ -64,7 +64,7 @@
     Forged,
     /// Another instance, or an earlier run of this one, issued it.
     #[error("issued by {} of {}/{}", .0.instance, .0.region, .0.zone)]
-    Elsewhere(Box<Address>),
+    OtherIssuer(Box<Address>),
     /// It has expired.
     #[error("expired")]
     Expired,
@@ -77,10 +77,10 @@
     ///
     /// [`Invalid::Malformed`].
     pub fn parse(text: &str) -> Result<Self, Invalid> {
-        if text.len() > LONGEST {
+        if text.len() > MAX_TICKET_BYTES {
             return Err(Invalid::Malformed);
         }
-        let (name, code) = text.rsplit_once(SEPARATOR).ok_or(Invalid::Malformed)?;
+        let (name, mac) = text.rsplit_once(SEPARATOR).ok_or(Invalid::Malformed)?;
         let fields: Vec<_> = name.split(SEPARATOR).collect();
         let [region, zone, instance, incarnation, id, expiry] = fields[..] else {
             return Err(Invalid::Malformed);
@@ -89,11 +89,11 @@
             return Err(Invalid::Malformed);
         }
         Ok(Self {
-            issuer: Address::new(region, zone, instance, number(incarnation)?),
-            id: number(id)?,
-            expiry: Duration::from_millis(number(expiry)?),
+            issuer: Address::new(region, zone, instance, parse_hex(incarnation)?),
+            id: parse_hex(id)?,
+            expiry: Duration::from_millis(parse_hex(expiry)?),
             name: name.to_owned(),
-            code: code.to_owned(),
+            mac: mac.to_owned(),
         })
     }
 }
@@ -130,7 +130,7 @@
             incarnation,
         } = &self.address;
         let expiry = u64::try_from((now + self.validity).as_millis()).unwrap_or(u64::MAX);
-        let parts: [String; FIELDS - 1] = [
+        let parts: [String; FIELD_COUNT - 1] = [
             region.clone(),
             zone.clone(),
             instance.clone(),
@@ -139,8 +139,8 @@
             format!("{expiry:x}"),
         ];
         let name = parts.join(&SEPARATOR.to_string());
-        let code = self.code(&name);
-        format!("{name}{SEPARATOR}{}", code.to_hex())
+        let mac = self.mac(&name);
+        format!("{name}{SEPARATOR}{}", mac.to_hex())
     }
 
     /// Checks that a ticket was made by this issuer and is valid.
@@ -151,11 +151,11 @@
     pub fn check(&self, text: &str, now: Duration) -> Result<Ticket, Invalid> {
         let ticket = Ticket::parse(text)?;
         if ticket.issuer != self.address {
-            return Err(Invalid::Elsewhere(Box::new(ticket.issuer)));
+            return Err(Invalid::OtherIssuer(Box::new(ticket.issuer)));
         }
         // Comparing hashes of this type takes the same time wherever they differ.
-        let code = blake3::Hash::from_hex(&ticket.code).map_err(|_| Invalid::Malformed)?;
-        if code != self.code(&ticket.name) {
+        let mac = blake3::Hash::from_hex(&ticket.mac).map_err(|_| Invalid::Malformed)?;
+        if mac != self.mac(&ticket.name) {
             return Err(Invalid::Forged);
         }
         if ticket.expiry <= now {
@@ -164,11 +164,11 @@
         Ok(ticket)
     }
 
-    fn code(&self, name: &str) -> blake3::Hash {
+    fn mac(&self, name: &str) -> blake3::Hash {
         blake3::keyed_hash(&self.key, name.as_bytes())
     }
 }
 
-fn number(text: &str) -> Result<u64, Invalid> {
+fn parse_hex(text: &str) -> Result<u64, Invalid> {
     u64::from_str_radix(text, 16).map_err(|_| Invalid::Malformed)
 }
--- a/crates/zinniastall-coord/src/ticket/mod.rs
+++ b/crates/zinniastall-coord/src/ticket/mod.rs
@@ -3,11 +3,11 @@
 //! A caller who loses an answer cannot know whether its request ran. A ticket makes the resend
 //! safe. [`Issuer`] makes tickets without keeping any state: a ticket names its issuer and carries
 //! a message authentication code. The issuer alone may run a ticket's request, and it enters the
-//! ticket in its [`Marks`] before the first byte leaves for a target. A second arrival finds the
+//! ticket in its [`Registry`] before the first byte leaves for a target. A second arrival finds the
 //! mark and joins the first, or gets its recorded end.
 //!
 //! The key is made per run of the issuer's process. After a restart the marks are gone; the old
-//! tickets then fail with [`Invalid::Elsewhere`] instead of running a second time.
+//! tickets then fail with [`Invalid::OtherIssuer`] instead of running a second time.
 //!
 //! # Example
 //!
@@ -23,7 +23,7 @@
 //! ```
 
 mod issuer;
-mod marks;
+mod registry;
 
 pub use issuer::{Address, Invalid, Issuer, Ticket};
-pub use marks::{Entry, Marks, Use, Verdict};
+pub use registry::{Entry, Redemption, Registry, Use};
--- a/crates/zinniastall-coord/src/ticket/marks.rs
+++ b/crates/zinniastall-coord/src/ticket/registry.rs
@@ -24,13 +24,13 @@
 
 /// What the table says to an arrival.
 #[derive(Debug, PartialEq, Eq)]
-pub enum Verdict<T> {
+pub enum Redemption<T> {
     /// The first use: the mark is set and the request may run.
     First(T),
     /// The same use again: it must not run.
-    Again(T),
+    Repeated(T),
     /// The ticket was used for something else: it must not run.
-    Different,
+    Mismatch,
     /// The table is full: the request must not run.
     Full,
 }
@@ -41,12 +41,12 @@
 /// table is asked. Dropping one earlier would let a late resend run a second time; when the table is full it
 /// therefore refuses new work instead of forgetting old.
 #[derive(Debug)]
-pub struct Marks<T> {
+pub struct Registry<T> {
     entries: IndexMap<String, Entry<T>>,
     limit: usize,
 }
 
-impl<T: Clone> Marks<T> {
+impl<T: Clone> Registry<T> {
     /// Creates a table that holds at most `limit` marks.
     pub fn new(limit: usize) -> Self {
         Self {
@@ -58,26 +58,26 @@
     /// Marks a ticket as used; `make` creates the record of a first use.
     ///
     /// `until` is when the ticket expires and `now` the present, both on this instance's clock.
-    pub fn mark(
+    pub fn redeem(
         &mut self,
         name: &str,
         usage: Use,
         until: Duration,
         now: Duration,
         make: impl FnOnce() -> T,
-    ) -> Verdict<T> {
+    ) -> Redemption<T> {
         if let Some(entry) = self.entries.get(name) {
             return if entry.usage == usage {
-                Verdict::Again(entry.record.clone())
+                Redemption::Repeated(entry.record.clone())
             } else {
-                Verdict::Different
+                Redemption::Mismatch
             };
         }
         if self.entries.len() >= self.limit {
             self.expire(now);
         }
         if self.entries.len() >= self.limit {
-            return Verdict::Full;
+            return Redemption::Full;
         }
         let record = make();
         let entry = Entry {
@@ -86,7 +86,7 @@
             record: record.clone(),
         };
         self.entries.insert(name.to_owned(), entry);
-        Verdict::First(record)
+        Redemption::First(record)
     }
 
     /// Returns whether a ticket is marked.
--- a/crates/zinniastall-coord/src/voters.rs
+++ b/crates/zinniastall-coord/src/voters.rs
@@ -54,7 +54,7 @@
 
 /// A change that doesn't fit the present set.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
-pub enum Fault {
+pub enum Error {
     /// The replica is a member already.
     #[error("replica {0} is a member already")]
     Member(Id),
@@ -107,8 +107,8 @@
     ///
     /// # Errors
     ///
-    /// [`Fault`] when the change names a replica that is in the wrong place for it.
-    pub fn after(&self, change: &Change) -> Result<Self, Fault> {
+    /// [`Error`] when the change names a replica that is in the wrong place for it.
+    pub fn after(&self, change: &Change) -> Result<Self, Error> {
         let mut next = self.clone();
         match change {
             Change::Admit { id, address } => next.admit(*id, address.clone())?,
@@ -119,37 +119,37 @@
         Ok(next)
     }
 
-    fn admit(&mut self, id: Id, address: Address) -> Result<(), Fault> {
+    fn admit(&mut self, id: Id, address: Address) -> Result<(), Error> {
         if self.is_member(id) {
-            return Err(Fault::Member(id));
+            return Err(Error::Member(id));
         }
         self.learners.insert(id, address);
         Ok(())
     }
 
-    fn promote(&mut self, id: Id) -> Result<(), Fault> {
-        let address = self.learners.shift_remove(&id).ok_or(Fault::Learner(id))?;
+    fn promote(&mut self, id: Id) -> Result<(), Error> {
+        let address = self.learners.shift_remove(&id).ok_or(Error::Learner(id))?;
         self.voters.insert(id, address);
         Ok(())
     }
 
-    fn remove(&mut self, id: Id) -> Result<(), Fault> {
+    fn remove(&mut self, id: Id) -> Result<(), Error> {
         if self.is_voter(id) && self.voters.len() == 1 {
-            return Err(Fault::Last(id));
+            return Err(Error::Last(id));
         }
         let voter = self.voters.shift_remove(&id);
         voter
             .or_else(|| self.learners.shift_remove(&id))
-            .ok_or(Fault::Unknown(id))?;
+            .ok_or(Error::Unknown(id))?;
         Ok(())
     }
 
-    fn relocate(&mut self, id: Id, address: Address) -> Result<(), Fault> {
+    fn relocate(&mut self, id: Id, address: Address) -> Result<(), Error> {
         let held = self
             .voters
             .get_mut(&id)
             .or_else(|| self.learners.get_mut(&id));
-        *held.ok_or(Fault::Unknown(id))? = address;
+        *held.ok_or(Error::Unknown(id))? = address;
         Ok(())
     }
 }
--- a/crates/zinniastall-coord/tests/digest.rs
+++ b/crates/zinniastall-coord/tests/digest.rs
@@ -38,9 +38,9 @@
 fn late_item_does_not_replace_a_newer_one() {
     let now = Instant::now();
     let mut table = Facts::new(HORIZON);
-    assert!(table.take(item(1, 7, 2, 0, 20), now));
-    assert!(!table.take(item(1, 7, 1, 0, 10), now));
-    assert!(!table.take(item(1, 7, 2, 0, 20), now));
+    assert!(table.apply(item(1, 7, 2, 0, 20), now));
+    assert!(!table.apply(item(1, 7, 1, 0, 10), now));
+    assert!(!table.apply(item(1, 7, 2, 0, 20), now));
     assert_eq!(value(&table, 1, now), Some(20));
 }
 
@@ -50,7 +50,7 @@
 fn silent_maker_ages_out() {
     let now = Instant::now();
     let mut table = Facts::new(HORIZON);
-    table.take(item(1, 7, 1, 4_000, 10), now);
+    table.apply(item(1, 7, 1, 4_000, 10), now);
     assert_eq!(value(&table, 1, now + Duration::from_secs(6)), Some(10));
     assert_eq!(value(&table, 1, now + Duration::from_secs(7)), None);
     let renewal = Renewal {
@@ -73,10 +73,10 @@
 fn another_maker_takes_over() {
     let now = Instant::now();
     let mut table = Facts::new(HORIZON);
-    table.take(item(1, 7, 900, 0, 10), now);
+    table.apply(item(1, 7, 900, 0, 10), now);
     let later = now + Duration::from_secs(3);
-    assert!(table.take(item(1, 8, 1, 0, 20), later));
-    assert!(!table.take(item(1, 7, 901, 3_500, 11), later));
+    assert!(table.apply(item(1, 8, 1, 0, 20), later));
+    assert!(!table.apply(item(1, 7, 901, 3_500, 11), later));
     assert_eq!(value(&table, 1, later), Some(20));
 }
 
@@ -88,7 +88,7 @@
     let mut table = Facts::new(HORIZON);
     let mut outbox = Outbox::default();
     for (key, maker) in [(1, 7), (2, 8)] {
-        table.take(item(key, maker, 1, 0, 10), now);
+        table.apply(item(key, maker, 1, 0, 10), now);
         let renewal = Renewal {
             maker,
             incarnation: 1,
@@ -116,7 +116,7 @@
     let mut table = Facts::new(HORIZON);
     let mut outbox = Outbox::default();
     for sequence in 1..=3 {
-        table.take(
+        table.apply(
             item(1, 7, sequence, 0, 10 * u32::try_from(sequence).unwrap()),
             now,
         );
@@ -141,27 +141,27 @@
 /// Nodes of one zone that pass facts on to their successors.
 struct Zone {
     tables: Vec<Facts>,
-    boxes: IndexMap<(u32, u32), Outbox<u32, u32>>,
+    outboxes: IndexMap<(u32, u32), Outbox<u32, u32>>,
 }
 
 impl Zone {
     fn new(count: u32) -> Self {
         let names: Vec<u32> = (0..count).collect();
-        let mut boxes = IndexMap::new();
+        let mut outboxes = IndexMap::new();
         for own in &names {
             for to in overlay::successors(own, &names) {
-                boxes.insert((*own, *to), Outbox::default());
+                outboxes.insert((*own, *to), Outbox::default());
             }
         }
         Self {
             tables: names.iter().map(|_| Facts::new(HORIZON)).collect(),
-            boxes,
+            outboxes,
         }
     }
 
     fn learn(&mut self, at: u32, item: Item<u32, u32, u32>, now: Instant) {
         let key = item.key;
-        if self.tables[at as usize].take(item, now) {
+        if self.tables[at as usize].apply(item, now) {
             self.push(at, |outbox| outbox.push(key));
         }
     }
@@ -173,7 +173,7 @@
     }
 
     fn push(&mut self, at: u32, put: impl Fn(&mut Outbox<u32, u32>)) {
-        for ((from, _), outbox) in &mut self.boxes {
+        for ((from, _), outbox) in &mut self.outboxes {
             if *from == at {
                 put(outbox);
             }
@@ -182,17 +182,17 @@
 
     /// Sends one batch on every link; `lost` links lose their state and start anew.
     fn pass(&mut self, bytes: u64, lost: impl Fn(u32, u32) -> bool, now: Instant) -> usize {
-        let mut under_way = Vec::new();
-        for ((from, to), outbox) in &mut self.boxes {
+        let mut in_flight = Vec::new();
+        for ((from, to), outbox) in &mut self.outboxes {
             let table = &self.tables[*from as usize];
             if lost(*from, *to) {
-                *outbox = Outbox::whole(table, |_| true, |_| true);
+                *outbox = Outbox::from_table(table, |_| true, |_| true);
             } else {
-                under_way.push((*to, outbox.take(table, bytes, |_| 100, now)));
+                in_flight.push((*to, outbox.take(table, bytes, |_| 100, now)));
             }
         }
-        let sent = under_way.iter().map(|(_, batch)| batch.items.len()).sum();
-        for (to, batch) in under_way {
+        let sent = in_flight.iter().map(|(_, batch)| batch.items.len()).sum();
+        for (to, batch) in in_flight {
             for item in batch.items {
                 self.learn(to, item, now);
             }
@@ -234,9 +234,9 @@
 #[test]
 fn speakers_follow_from_the_members() {
     let members = ["a", "b", "c"];
-    assert_eq!(overlay::rank(&"a", &members), Some(0));
-    assert_eq!(overlay::rank(&"b", &members), Some(1));
-    assert_eq!(overlay::rank(&"c", &members), None);
+    assert_eq!(overlay::speaker_rank(&"a", &members), Some(0));
+    assert_eq!(overlay::speaker_rank(&"b", &members), Some(1));
+    assert_eq!(overlay::speaker_rank(&"c", &members), None);
     assert_eq!(overlay::counterpart(1, &["x"]), Some(&"x"));
     assert_eq!(overlay::counterpart::<&str>(0, &[]), None);
 }
@@ -300,7 +300,7 @@
         fn $name() {
             let site = |(region, group)| overlay::Site { region, group };
             let own = site(("athens", "a"));
-            let passes = overlay::passes(own, site($about), site($from), site($to));
+            let passes = overlay::forwards(own, site($about), site($from), site($to));
             assert_eq!(passes, $passes);
         }
     )*};
@@ -310,9 +310,9 @@
 // between regions, and the cost of a speaker would grow with the square of the regions.
 passing! {
     own_facts_go_to_the_region: about ("athens", "a"), from ("athens", "a"), to ("athens", "b") => true;
-    own_facts_go_abroad: about ("athens", "a"), from ("athens", "a"), to ("patras", "a") => true;
-    the_regions_facts_go_abroad: about ("athens", "b"), from ("athens", "b"), to ("patras", "a") => true;
-    the_regions_facts_stay_with_their_zone:
+    own_facts_go_to_other_regions: about ("athens", "a"), from ("athens", "a"), to ("patras", "a") => true;
+    facts_of_the_region_go_to_other_regions: about ("athens", "b"), from ("athens", "b"), to ("patras", "a") => true;
+    facts_of_the_region_stay_with_their_zone:
         about ("athens", "b"), from ("athens", "b"), to ("athens", "c") => false;
     all_facts_go_to_the_own_zone: about ("patras", "a"), from ("athens", "b"), to ("athens", "a") => true;
     foreign_facts_go_to_the_region_where_they_come_in:
@@ -338,12 +338,12 @@
 // An instance of athens/a. A group's own facts would cost every region zones times models; what the
 // region sums up is of no use to the region itself, which knows its groups one by one.
 admitting! {
-    summed_up_goes_abroad: Abroad of ("athens", "a"), to ("patras", "a") => true;
-    summed_up_goes_to_the_second_speaker: Abroad of ("athens", "a"), to ("athens", "a") => true;
-    summed_up_stays_out_of_its_region: Abroad of ("athens", "a"), to ("athens", "b") => false;
-    summed_up_reaches_foreign_groups: Abroad of ("patras", "a"), to ("athens", "b") => true;
-    single_goes_to_the_region: Region of ("athens", "b"), to ("athens", "a") => true;
-    single_stays_in_its_region: Region of ("athens", "a"), to ("patras", "a") => false;
-    single_is_of_no_use_abroad: Region of ("patras", "a"), to ("athens", "b") => false;
-    doors_go_everywhere: Everywhere of ("athens", "a"), to ("patras", "a") => true;
+    summary_goes_to_other_regions: OtherRegions of ("athens", "a"), to ("patras", "a") => true;
+    summary_goes_to_the_second_speaker: OtherRegions of ("athens", "a"), to ("athens", "a") => true;
+    summary_stays_out_of_its_region: OtherRegions of ("athens", "a"), to ("athens", "b") => false;
+    foreign_summary_reaches_the_groups: OtherRegions of ("patras", "a"), to ("athens", "b") => true;
+    regional_fact_goes_to_its_region: Region of ("athens", "b"), to ("athens", "a") => true;
+    regional_fact_stays_in_its_region: Region of ("athens", "a"), to ("patras", "a") => false;
+    foreign_regional_fact_is_not_passed_on: Region of ("patras", "a"), to ("athens", "b") => false;
+    global_fact_goes_everywhere: Everywhere of ("athens", "a"), to ("patras", "a") => true;
 }
--- a/crates/zinniastall-coord/tests/group/watch.rs
+++ b/crates/zinniastall-coord/tests/group/invariants.rs
@@ -2,17 +2,17 @@
 
 use std::time::Duration;
 
-use zinniastall_coord::replica::{Body, Part, Status};
+use zinniastall_coord::replica::{Body, Role, Status};
 
-use crate::net::Net;
+use crate::network::Network;
 
 /// Surveys that are watched; most are given up.
-const SURVEYS: usize = 64;
+const MAX_WATCHED_SURVEYS: usize = 64;
 
-impl Net {
-    pub(crate) fn check(&mut self) {
+impl Network {
+    pub(crate) fn check_invariants(&mut self) {
         let statuses = (0..self.nodes.len()).filter_map(|place| Some((place, self.status(place)?)));
-        let leads = |(_, status): &(usize, Status)| status.part == Part::Leader;
+        let leads = |(_, status): &(usize, Status)| status.role == Role::Leader;
         let leaders: Vec<(usize, Status)> = statuses.filter(leads).collect();
         for (place, status) in &leaders {
             let first = *self.leaders.entry(status.term).or_insert(status.id);
@@ -33,29 +33,29 @@
         }
         self.check_surveys();
         let nodes = &self.nodes;
-        self.reads.retain(|(place, barrier, least)| {
+        self.reads.retain(|(place, barrier, expected)| {
             let Some(replica) = &nodes[*place].replica else {
                 return false;
             };
             let passed = replica.passed(barrier).unwrap_or(false);
             assert!(
-                !passed || nodes[*place].applied.len() >= *least,
+                !passed || nodes[*place].applied.len() >= *expected,
                 "a read would be stale"
             );
             !passed && replica.passed(barrier).is_ok()
         });
-        self.surveys.retain(|(place, number, least)| {
+        self.surveys.retain(|(place, number, expected)| {
             let Some(replica) = &nodes[*place].replica else {
                 return false;
             };
             let answered = replica.surveyed() == Some(*number);
             assert!(
-                !answered || nodes[*place].applied.len() >= *least,
+                !answered || nodes[*place].applied.len() >= *expected,
                 "a survey would hand out an older state"
             );
             !answered
         });
-        let surplus = self.surveys.len().saturating_sub(SURVEYS);
+        let surplus = self.surveys.len().saturating_sub(MAX_WATCHED_SURVEYS);
         self.surveys.drain(..surplus);
     }
 
@@ -67,7 +67,7 @@
                 continue;
             };
             let node = &mut self.nodes[place];
-            node.start.led |= status.leader.is_some() || status.part == Part::Leader;
+            node.start.led |= status.leader.is_some() || status.role == Role::Leader;
             if !node.start.led && status.commit > node.start.known {
                 assert!(
                     node.applied.len() >= node.start.committed,
@@ -118,7 +118,7 @@
     /// Returns the place of the leader with the latest term.
     pub(crate) fn leader(&self) -> Option<usize> {
         let statuses = (0..self.nodes.len()).filter_map(|place| Some((place, self.status(place)?)));
-        let leaders = statuses.filter(|(_, status)| status.part == Part::Leader);
+        let leaders = statuses.filter(|(_, status)| status.role == Role::Leader);
         leaders
             .max_by_key(|(_, status)| status.term)
             .map(|(place, _)| place)
@@ -129,7 +129,7 @@
     }
 
     /// Tells whether a message from a place is on its way.
-    pub(crate) fn is_on_its_way(&self, from: usize, is: impl Fn(&Body) -> bool) -> bool {
+    pub(crate) fn is_in_flight(&self, from: usize, is: impl Fn(&Body) -> bool) -> bool {
         let id = self.nodes[from].id;
         self.packets
             .iter()
@@ -137,7 +137,7 @@
     }
 
     /// Returns the leader's place and those of the others.
-    pub(crate) fn parts(&self) -> (usize, Vec<usize>) {
+    pub(crate) fn leader_and_followers(&self) -> (usize, Vec<usize>) {
         let leader = self.leader().expect("somebody leads");
         (
             leader,
@@ -148,7 +148,7 @@
     }
 
     /// Runs until a condition holds, for at most a minute of the group's time.
-    pub(crate) fn until(&mut self, what: &str, condition: impl Fn(&Self) -> bool) {
+    pub(crate) fn run_until(&mut self, what: &str, condition: impl Fn(&Self) -> bool) {
         let end = self.time + Duration::from_mins(1);
         while !condition(self) {
             assert!(self.time < end, "not within a minute: {what}");
@@ -157,7 +157,7 @@
     }
 
     /// Tells whether every place votes, all lost ids are removed, and a loss is safe.
-    pub(crate) fn is_whole(&self) -> bool {
+    pub(crate) fn is_healthy(&self) -> bool {
         let Some(status) = self.leader_status() else {
             return false;
         };
@@ -165,6 +165,6 @@
             .nodes
             .iter()
             .all(|node| status.voters.is_voter(node.id));
-        all && status.voters.voters.len() == self.nodes.len() && status.spare() > 0
+        all && status.voters.voters.len() == self.nodes.len() && status.failure_tolerance() > 0
     }
 }
--- a/crates/zinniastall-coord/tests/group/main.rs
+++ b/crates/zinniastall-coord/tests/group/main.rs
@@ -4,10 +4,10 @@
 //! `ZINNIASTALL_RUNS` sets the number of random schedules, `ZINNIASTALL_SEED` their seed.
 
 mod failures;
-mod net;
+mod invariants;
+mod network;
 mod node;
 mod operators;
-mod watch;
 
 use std::time::Duration;
 
@@ -17,10 +17,10 @@
 
 use zinniastall_coord::Replica;
 
-use net::{CALM, Net, Weather};
+use network::{Conditions, Network, RELIABLE};
 
-const RUNS: u32 = 48;
-const SEED: u64 = 20_261_202;
+const DEFAULT_RUNS: u32 = 48;
+const DEFAULT_SEED: u64 = 20_261_202;
 
 #[derive(Debug, Clone, Copy)]
 enum Fault {
@@ -58,8 +58,8 @@
     ]
 }
 
-fn weather() -> impl Strategy<Value = Weather> {
-    (0.0..0.2, 0.0..0.1, 1..60_u64, 0..30_u64).prop_map(|(loss, doubled, delay, sync)| Weather {
+fn conditions() -> impl Strategy<Value = Conditions> {
+    (0.0..0.2, 0.0..0.1, 1..60_u64, 0..30_u64).prop_map(|(loss, doubled, delay, sync)| Conditions {
         loss,
         doubled,
         delay,
@@ -67,7 +67,7 @@
     })
 }
 
-fn bring_about(net: &mut Net, fault: Fault) {
+fn inject(net: &mut Network, fault: Fault) {
     let size = net.nodes.len();
     match fault {
         Fault::Crash(place, away) => net.crash(place % size, Duration::from_millis(away)),
@@ -84,14 +84,14 @@
             .extend((0..size).map(|other| (place % size, other))),
         Fault::SlowLink(from, to, span) => {
             let span = Duration::from_millis(span);
-            net.slow.insert((from % size, to % size), span);
+            net.link_delays.insert((from % size, to % size), span);
         }
         Fault::SlowDisk(place, span) => {
-            net.slow_disks
+            net.disk_delays
                 .insert(place % size, Duration::from_millis(span));
         }
         Fault::Blackout(away) => net.blackout(Duration::from_millis(away)),
-        Fault::Heal => net.mend(),
+        Fault::Heal => net.restore_links(),
         Fault::Compact(place) => net.nodes[place % size].compact(),
         Fault::Transfer => {
             if let Some(place) = net.leader() {
@@ -101,31 +101,31 @@
     }
 }
 
-fn heal(net: &mut Net) {
-    net.mend();
-    net.weather = CALM;
-    net.until("the group is whole", Net::is_whole);
+fn recover(net: &mut Network) {
+    net.restore_links();
+    net.conditions = RELIABLE;
+    net.run_until("the group is whole", Network::is_healthy);
     let goal = net.committed.len();
-    net.until("all have caught up", |net| {
+    net.run_until("all have caught up", |net| {
         net.nodes.iter().all(|node| node.applied.len() >= goal)
     });
     net.check_logs();
 }
 
-fn from_environment<T: std::str::FromStr>(name: &str, otherwise: T) -> T {
+fn from_environment<T: std::str::FromStr>(name: &str, default: T) -> T {
     std::env::var(name)
         .ok()
         .and_then(|value| value.parse().ok())
-        .unwrap_or(otherwise)
+        .unwrap_or(default)
 }
 
 // Any of the faults may come at any moment, together or twice. If one schedule of them could make
 // the group lose, replace or reorder a committed entry, elect two leaders, or let two answer at
 // once, an operator would see a change that was accepted revert.
 #[test]
-fn no_schedule_of_faults_breaks_a_promise() {
-    let seed = from_environment("ZINNIASTALL_SEED", SEED);
-    let cases = from_environment("ZINNIASTALL_RUNS", RUNS);
+fn no_fault_schedule_breaks_an_invariant() {
+    let seed = from_environment("ZINNIASTALL_SEED", DEFAULT_SEED);
+    let cases = from_environment("ZINNIASTALL_RUNS", DEFAULT_RUNS);
     println!("ZINNIASTALL_SEED={seed} ZINNIASTALL_RUNS={cases}");
     let config = Config {
         cases,
@@ -137,18 +137,18 @@
     let schedule = vec((0..600_u64, fault()), 0..30);
     let cases = (
         prop_oneof![Just(3_usize), Just(5)],
-        weather(),
+        conditions(),
         any::<u64>(),
         schedule,
     );
-    let run = TestRunner::new(config).run(&cases, |(size, weather, seed, schedule)| {
-        let mut net = Net::whole(size, seed);
-        net.weather = weather;
+    let run = TestRunner::new(config).run(&cases, |(size, conditions, seed, schedule)| {
+        let mut net = Network::healthy(size, seed);
+        net.conditions = conditions;
         for (gap, fault) in schedule {
             net.run(Duration::from_millis(gap));
-            bring_about(&mut net, fault);
+            inject(&mut net, fault);
         }
-        heal(&mut net);
+        recover(&mut net);
         Ok(())
     });
     if let Err(failure) = run {
--- a/crates/zinniastall-coord/tests/group/net.rs
+++ b/crates/zinniastall-coord/tests/group/network.rs
@@ -15,14 +15,14 @@
 
 /// How bad the network and the disks are.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct Weather {
+pub(crate) struct Conditions {
     pub(crate) loss: f64,
     pub(crate) doubled: f64,
     pub(crate) delay: u64,
     pub(crate) sync: u64,
 }
 
-pub(crate) const CALM: Weather = Weather {
+pub(crate) const RELIABLE: Conditions = Conditions {
     loss: 0.0,
     doubled: 0.0,
     delay: 10,
@@ -39,18 +39,18 @@
 
 /// Replicas by place; a lost disk puts a replica with another id at the same place.
 #[derive(Debug)]
-pub(crate) struct Net {
+pub(crate) struct Network {
     pub(crate) time: Duration,
     pub(crate) nodes: Vec<Node>,
-    pub(crate) weather: Weather,
+    pub(crate) conditions: Conditions,
     /// Directions in which nothing passes, by place.
     pub(crate) cuts: IndexSet<(usize, usize)>,
     /// Directions in which everything takes longer, by place.
-    pub(crate) slow: IndexMap<(usize, usize), Duration>,
+    pub(crate) link_delays: IndexMap<(usize, usize), Duration>,
     /// Places whose disk takes longer.
-    pub(crate) slow_disks: IndexMap<usize, Duration>,
+    pub(crate) disk_delays: IndexMap<usize, Duration>,
     /// Whether operators send commands and repair the group.
-    pub(crate) operated: bool,
+    pub(crate) operators_active: bool,
     /// Every entry that was ever handed out as committed.
     pub(crate) committed: IndexMap<u64, Entry>,
     pub(crate) leaders: IndexMap<Term, Id>,
@@ -63,17 +63,17 @@
     pub(crate) sent: u32,
 }
 
-impl Net {
+impl Network {
     /// Founds a group at the first place; the others start fresh.
-    pub(crate) fn new(size: usize, weather: Weather, seed: u64) -> Self {
+    pub(crate) fn new(size: usize, conditions: Conditions, seed: u64) -> Self {
         let mut net = Self {
             time: Duration::ZERO,
             nodes: Vec::new(),
-            weather,
+            conditions,
             cuts: IndexSet::new(),
-            slow: IndexMap::new(),
-            slow_disks: IndexMap::new(),
-            operated: true,
+            link_delays: IndexMap::new(),
+            disk_delays: IndexMap::new(),
+            operators_active: true,
             committed: IndexMap::new(),
             leaders: IndexMap::new(),
             places: IndexMap::new(),
@@ -93,9 +93,9 @@
     }
 
     /// Founds a group and runs it until every place votes.
-    pub(crate) fn whole(size: usize, seed: u64) -> Self {
-        let mut net = Self::new(size, CALM, seed);
-        net.until("the group is whole", Self::is_whole);
+    pub(crate) fn healthy(size: usize, seed: u64) -> Self {
+        let mut net = Self::new(size, RELIABLE, seed);
+        net.run_until("the group is whole", Self::is_healthy);
         net
     }
 
@@ -119,7 +119,7 @@
                 .get(id)
                 .is_some_and(|at| self.nodes[*at].id == *id)
         };
-        if status.spare() == 0 || !status.voters.members().all(|id| intact(&id)) {
+        if status.failure_tolerance() == 0 || !status.voters.members().all(|id| intact(&id)) {
             return false;
         }
         self.replace_disk(place);
@@ -153,11 +153,11 @@
             }
         }
         self.deliver();
-        if self.operated {
+        if self.operators_active {
             self.survey();
             self.operate();
         }
-        self.check();
+        self.check_invariants();
     }
 
     /// Lets some replica ask anew what a majority holds.
@@ -166,15 +166,15 @@
         if !self.nodes[place].is_up(self.time) {
             return;
         }
-        let least = self.committed.len();
+        let committed = self.committed.len();
         let begun = self.call(place, |replica, _| replica.begin_survey());
         self.surveys
-            .extend(begun.map(|number| (place, number, least)));
+            .extend(begun.map(|number| (place, number, committed)));
     }
 
     pub(crate) fn drain(&mut self, place: usize) {
-        let slow = self.slow_disks.get(&place).copied().unwrap_or_default();
-        let delay = slow + Duration::from_millis(self.rng.random_range(0..=self.weather.sync));
+        let slow = self.disk_delays.get(&place).copied().unwrap_or_default();
+        let delay = slow + Duration::from_millis(self.rng.random_range(0..=self.conditions.sync));
         let node = &mut self.nodes[place];
         let from = node.id;
         let before = node.applied.len();
@@ -182,14 +182,18 @@
             let Some(at) = self.places.get(&to).copied() else {
                 continue;
             };
-            let copies = 1 + usize::from(self.rng.random_bool(self.weather.doubled));
+            let copies = 1 + usize::from(self.rng.random_bool(self.conditions.doubled));
             for _ in 0..copies {
-                let lost = self.rng.random_bool(self.weather.loss);
+                let lost = self.rng.random_bool(self.conditions.loss);
                 if lost || self.cuts.contains(&(place, at)) {
                     continue;
                 }
-                let delay = Duration::from_millis(self.rng.random_range(0..=self.weather.delay));
-                let slow = self.slow.get(&(place, at)).copied().unwrap_or_default();
+                let delay = Duration::from_millis(self.rng.random_range(0..=self.conditions.delay));
+                let slow = self
+                    .link_delays
+                    .get(&(place, at))
+                    .copied()
+                    .unwrap_or_default();
                 let due = self.time + slow + delay;
                 self.packets.push(Packet {
                     due,
@@ -235,10 +239,10 @@
     }
 
     /// Mends all links and disks.
-    pub(crate) fn mend(&mut self) {
+    pub(crate) fn restore_links(&mut self) {
         self.cuts.clear();
-        self.slow.clear();
-        self.slow_disks.clear();
+        self.link_delays.clear();
+        self.disk_delays.clear();
     }
 
     pub(crate) fn isolate(&mut self, place: usize) {
--- a/crates/zinniastall-coord/tests/group/operators.rs
+++ b/crates/zinniastall-coord/tests/group/operators.rs
@@ -2,9 +2,9 @@
 
 use zinniastall_coord::voters::Change;
 
-use crate::net::Net;
+use crate::network::Network;
 
-impl Net {
+impl Network {
     /// Does what operators do: sends commands, reads, and repairs the group after a lost disk.
     pub(crate) fn operate(&mut self) {
         let Some(place) = self.leader() else { return };
--- a/crates/zinniastall-coord/tests/membership.rs
+++ b/crates/zinniastall-coord/tests/membership.rs
@@ -7,7 +7,7 @@
     test_runner::{Config as RunnerConfig, RngAlgorithm, TestRng, TestRunner},
 };
 use rand::{Rng, SeedableRng, rngs::StdRng};
-use zinniastall_coord::membership::{Beat, Bounds, Config, Heard, Roster};
+use zinniastall_coord::membership::{Bounds, Config, Heard, Heartbeat, Roster};
 
 const SEED: [u8; 32] = *b"zinniastall membership seed 0001";
 const NODES: usize = 4;
@@ -18,15 +18,15 @@
 
 /// What the links do to heartbeats.
 #[derive(Debug, Clone, Copy)]
-struct Weather {
+struct Conditions {
     loss: f64,
-    doubling: f64,
+    duplication: f64,
     delay: (u64, u64),
 }
 
-const CALM: Weather = Weather {
+const RELIABLE: Conditions = Conditions {
     loss: 0.0,
-    doubling: 0.0,
+    duplication: 0.0,
     delay: (0, 5),
 };
 
@@ -37,7 +37,7 @@
     bounds: Bounds,
 }
 
-const NEAR: Pace = Pace {
+const SAME_REGION: Pace = Pace {
     periods: 1,
     bounds: Bounds {
         floor: millis(1_500),
@@ -46,7 +46,7 @@
 };
 
 /// Between regions.
-const FAR: Pace = Pace {
+const OTHER_REGION: Pace = Pace {
     periods: 3,
     bounds: Bounds {
         floor: millis(4_500),
@@ -60,8 +60,8 @@
     start: Instant,
     now: Duration,
     rosters: Vec<Roster<usize>>,
-    flying: Vec<(Duration, usize, usize, Beat)>,
-    weather: Weather,
+    in_flight: Vec<(Duration, usize, usize, Heartbeat)>,
+    conditions: Conditions,
     pace: Pace,
     ticks: [u64; NODES],
     cut: Vec<(usize, usize)>,
@@ -71,7 +71,7 @@
 }
 
 impl Net {
-    fn new(weather: Weather, seed: u64) -> Self {
+    fn new(conditions: Conditions, seed: u64) -> Self {
         let start = Instant::now();
         let roster = |own| Roster::new(own, 1, Config::default(), start);
         Self {
@@ -79,9 +79,9 @@
             start,
             now: Duration::ZERO,
             rosters: (0..NODES).map(roster).collect(),
-            flying: Vec::new(),
-            weather,
-            pace: NEAR,
+            in_flight: Vec::new(),
+            conditions,
+            pace: SAME_REGION,
             ticks: [0; NODES],
             cut: Vec::new(),
             frozen: Vec::new(),
@@ -111,21 +111,21 @@
                     }
                 }
             }
-            self.note();
+            self.count_changes();
         }
     }
 
     fn send(&mut self, from: usize) {
         for to in (0..NODES).filter(|to| *to != from) {
-            if self.cut.contains(&(from, to)) || self.random.random_bool(self.weather.loss) {
+            if self.cut.contains(&(from, to)) || self.random.random_bool(self.conditions.loss) {
                 continue;
             }
-            let copies = 1 + u32::from(self.random.random_bool(self.weather.doubling));
+            let copies = 1 + u32::from(self.random.random_bool(self.conditions.duplication));
             for _ in 0..copies {
-                let (low, high) = self.weather.delay;
+                let (low, high) = self.conditions.delay;
                 let due = self.now + millis(self.random.random_range(low..=high));
-                let beat = self.rosters[from].beat(&to);
-                self.flying.push((due, from, to, beat));
+                let beat = self.rosters[from].heartbeat(&to);
+                self.in_flight.push((due, from, to, beat));
             }
         }
     }
@@ -134,19 +134,20 @@
     fn deliver(&mut self) {
         let now = self.now;
         let frozen = self.frozen.clone();
-        let due = |flight: &(Duration, usize, usize, Beat)| {
+        let due = |flight: &(Duration, usize, usize, Heartbeat)| {
             flight.0 <= now && !frozen.contains(&flight.2)
         };
-        let (due, rest): (Vec<_>, Vec<_>) =
-            std::mem::take(&mut self.flying).into_iter().partition(due);
-        self.flying = rest;
+        let (due, rest): (Vec<_>, Vec<_>) = std::mem::take(&mut self.in_flight)
+            .into_iter()
+            .partition(due);
+        self.in_flight = rest;
         let now = self.at();
         for (_, from, to, beat) in due {
             self.rosters[to].hear_within(&from, beat, self.pace.bounds, now);
         }
     }
 
-    fn note(&mut self) {
+    fn count_changes(&mut self) {
         for a in 0..NODES {
             for b in 0..NODES {
                 let alive = self.alive(a, b);
@@ -164,7 +165,7 @@
     }
 
     /// Cuts both directions between two nodes and returns when both ends have seen it.
-    fn time_to_find(&mut self) -> Duration {
+    fn time_to_detect_cut(&mut self) -> Duration {
         let cut_at = self.now;
         self.cut.extend([(0, 1), (1, 0)]);
         while self.alive(0, 1) || self.alive(1, 0) {
@@ -180,17 +181,17 @@
 }
 
 macro_rules! steady {
-    ($($name:ident: $weather:expr, $pace:expr;)*) => {$(
+    ($($name:ident: $conditions:expr, $pace:expr;)*) => {$(
         #[test]
         fn $name() {
-            let mut net = Net::new($weather, 11);
+            let mut net = Net::new($conditions, 11);
             net.pace = $pace;
             net.run(Duration::from_secs(20));
             assert!(net.all_alive());
             net.changes = 0;
             net.run(Duration::from_mins(10));
             let changes = net.changes;
-            let found = net.time_to_find();
+            let found = net.time_to_detect_cut();
             let name = stringify!($name);
             println!("{name}: {changes} changes of 12 pairs in 600 s, cut found in {found:?}");
             assert_eq!(changes, 0);
@@ -202,23 +203,23 @@
 // A link that is slow, loses or reorders isn't a dead peer. If it were taken for one, callers would
 // be sent to and fro and every change would be told to everybody.
 steady! {
-    calm_link_does_not_flap: CALM, NEAR;
-    slow_link_does_not_flap: Weather { delay: (300, 700), ..CALM }, NEAR;
-    very_slow_link_does_not_flap: Weather { delay: (600, 1_200), ..CALM }, NEAR;
-    lossy_link_does_not_flap: Weather { loss: 0.1, ..CALM }, NEAR;
-    doubling_and_reordering_link_does_not_flap: Weather { doubling: 0.5, delay: (0, 900), ..CALM }, NEAR;
-    calm_link_between_regions_does_not_flap: CALM, FAR;
-    slow_link_between_regions_does_not_flap: Weather { delay: (300, 700), ..CALM }, FAR;
-    very_slow_link_between_regions_does_not_flap: Weather { delay: (600, 1_200), ..CALM }, FAR;
-    lossy_link_between_regions_does_not_flap: Weather { loss: 0.1, ..CALM }, FAR;
-    doubling_and_reordering_link_between_regions_does_not_flap: Weather { doubling: 0.5, delay: (0, 900), ..CALM }, FAR;
+    calm_link_does_not_flap: RELIABLE, SAME_REGION;
+    slow_link_does_not_flap: Conditions { delay: (300, 700), ..RELIABLE }, SAME_REGION;
+    very_slow_link_does_not_flap: Conditions { delay: (600, 1_200), ..RELIABLE }, SAME_REGION;
+    lossy_link_does_not_flap: Conditions { loss: 0.1, ..RELIABLE }, SAME_REGION;
+    doubling_and_reordering_link_does_not_flap: Conditions { duplication: 0.5, delay: (0, 900), ..RELIABLE }, SAME_REGION;
+    calm_link_between_regions_does_not_flap: RELIABLE, OTHER_REGION;
+    slow_link_between_regions_does_not_flap: Conditions { delay: (300, 700), ..RELIABLE }, OTHER_REGION;
+    very_slow_link_between_regions_does_not_flap: Conditions { delay: (600, 1_200), ..RELIABLE }, OTHER_REGION;
+    lossy_link_between_regions_does_not_flap: Conditions { loss: 0.1, ..RELIABLE }, OTHER_REGION;
+    doubling_and_reordering_link_between_regions_does_not_flap: Conditions { duplication: 0.5, delay: (0, 900), ..RELIABLE }, OTHER_REGION;
 }
 
 // One direction of a link is cut. The instance that still hears would go on sending requests to a
 // peer that never gets them; callers would see them time out.
 #[test]
 fn one_way_cut_is_seen_at_both_ends() {
-    let mut net = Net::new(CALM, 1);
+    let mut net = Net::new(RELIABLE, 1);
     net.run(Duration::from_secs(20));
     net.cut.push((0, 1));
     net.run(Duration::from_secs(4));
@@ -237,7 +238,7 @@
 // so to itself everybody looks alive, whoever died meanwhile.
 #[test]
 fn thawed_instance_believes_nothing_old() {
-    let mut net = Net::new(CALM, 2);
+    let mut net = Net::new(RELIABLE, 2);
     net.run(Duration::from_secs(20));
     net.frozen.push(0);
     net.run(Duration::from_secs(30));
@@ -268,17 +269,17 @@
     let mut peer = Roster::new("peer", 5, Config::default(), start);
     let mut former = Roster::new("entry", 100, Config::default(), start);
     former.tick(start);
-    peer.hear(&"entry", former.beat(&"peer"), start);
+    peer.hear(&"entry", former.heartbeat(&"peer"), start);
     let mut restarted = Roster::new("entry", 40, Config::default(), start);
     restarted.tick(start);
     assert_eq!(
-        peer.hear(&"entry", restarted.beat(&"peer"), start),
+        peer.hear(&"entry", restarted.heartbeat(&"peer"), start),
         Heard::Stale(100)
     );
-    restarted.raise(100);
+    restarted.raise_incarnation(100);
     assert_eq!(
-        peer.hear(&"entry", restarted.beat(&"peer"), start),
-        Heard::Run
+        peer.hear(&"entry", restarted.heartbeat(&"peer"), start),
+        Heard::NewRun
     );
     assert_eq!(peer.run(&"entry"), Some(101));
 }
@@ -289,17 +290,17 @@
 fn late_frame_of_a_former_run_is_refused() {
     let start = Instant::now();
     let mut roster = Roster::new(0, 1, Config::default(), start);
-    let beat = |incarnation, sequence| Beat {
+    let beat = |incarnation, sequence| Heartbeat {
         incarnation,
         sequence,
         echo: None,
     };
-    assert_eq!(roster.hear(&1, beat(7, 1), start), Heard::Run);
-    assert_eq!(roster.hear(&1, beat(8, 1), start), Heard::Run);
+    assert_eq!(roster.hear(&1, beat(7, 1), start), Heard::NewRun);
+    assert_eq!(roster.hear(&1, beat(8, 1), start), Heard::NewRun);
     assert_eq!(roster.hear(&1, beat(7, 99), start), Heard::Stale(8));
     roster.forget(&1, start);
     assert_eq!(roster.hear(&1, beat(7, 100), start), Heard::Stale(8));
-    assert_eq!(roster.hear(&1, beat(8, 2), start), Heard::Run);
+    assert_eq!(roster.hear(&1, beat(8, 2), start), Heard::NewRun);
 }
 
 // At the target size 3,700 instances a day are restarted or replaced. Each that left something
@@ -311,7 +312,7 @@
     for name in 1..=3_700_u64 {
         let now = start + Duration::from_secs(name * 23);
         roster.tick(now);
-        let beat = Beat {
+        let beat = Heartbeat {
             incarnation: name,
             sequence: 1,
             echo: None,
@@ -366,9 +367,9 @@
     );
     let outcome = runner.run(&schedule, |(faults, loss, delay, seed)| {
         let mut net = Net::new(
-            Weather {
+            Conditions {
                 loss,
-                doubling: 0.1,
+                duplication: 0.1,
                 delay: (0, delay),
             },
             seed,
--- a/crates/zinniastall-coord/tests/parts.rs
+++ b/crates/zinniastall-coord/tests/parts.rs
@@ -3,7 +3,7 @@
 use std::time::{Duration, Instant};
 
 use zinniastall_coord::command::{Outcome, Table, digest};
-use zinniastall_coord::election::{Fault, Timing};
+use zinniastall_coord::election::{Error, Timing};
 use zinniastall_coord::fence::{Fence, Gate, Overflow, Stale};
 use zinniastall_coord::lease::Lease;
 
@@ -59,24 +59,24 @@
     assert_eq!(timing.check(), Ok(()));
     assert_eq!(
         Timing::new(millis(0), millis(500)).check(),
-        Err(Fault::Heartbeat)
+        Err(Error::Heartbeat)
     );
     assert_eq!(
         Timing::new(millis(50), millis(149)).check(),
-        Err(Fault::Election)
+        Err(Error::Election)
     );
     let wide = Timing {
         margin: millis(460),
         ..timing
     };
-    assert_eq!(wide.check(), Err(Fault::Margin));
+    assert_eq!(wide.check(), Err(Error::Margin));
     assert_eq!(
         Timing {
             margin: millis(0),
             ..timing
         }
         .check(),
-        Err(Fault::Margin)
+        Err(Error::Margin)
     );
 });
 
--- a/crates/zinniastall-coord/tests/quarantine.rs
+++ b/crates/zinniastall-coord/tests/quarantine.rs
@@ -3,15 +3,15 @@
 use std::time::{Duration, Instant};
 
 use proptest::prelude::*;
-use zinniastall_coord::quarantine::{LIMIT, Run, Suspicion, Table};
+use zinniastall_coord::quarantine::{CRASH_LIMIT, Run, Suspicion, Table};
 
 type Key = [u8; 1];
 
 const KEY: Key = [7];
-const ROOM: usize = 64;
+const CAPACITY: usize = 64;
 
 fn table() -> Table<Key> {
-    Table::new(ROOM)
+    Table::new(CAPACITY)
 }
 
 /// What happens to a request, in order.
@@ -42,7 +42,7 @@
                 apply(&mut table, KEY, event, now);
             }
             assert_eq!(table.crashes(KEY), $count);
-            assert_eq!(table.is_quarantined(KEY), $count == LIMIT);
+            assert_eq!(table.is_quarantined(KEY), $count == CRASH_LIMIT);
         })*
     };
 }
@@ -76,7 +76,7 @@
     other.merge(KEY, &late, now);
     other.finish(KEY, now);
     let merged = other.merge(KEY, &late, now);
-    assert!(!merged.is_news && merged.is_behind);
+    assert!(!merged.is_changed && merged.is_behind);
     assert_eq!(other.crashes(KEY), 0);
 }
 
@@ -167,7 +167,7 @@
                 table.merge(KEY, suspicion, now);
             }
         }
-        let sums: Vec<u64> = tables.iter().map(Table::sum).collect();
+        let sums: Vec<u64> = tables.iter().map(Table::digest).collect();
         prop_assert!(sums.windows(2).all(|pair| pair[0] == pair[1]), "{tables:?}");
     }
 }
