--- a/crates/zinniastall-coord/tests/replica.rs
+++ b/crates/zinniastall-coord/tests/replica.rs
@@ -6,9 +6,9 @@
 use zinniastall_coord::election::Timing;
 use zinniastall_coord::log::{Entry, Payload, Position};
 use zinniastall_coord::replica::{
-    Append, Body, Cluster, Hard, Limits, Message, Outcome, Part, Refusal, Replica, Restored,
+    Append, Body, Cluster, HardState, Limits, Message, Outcome, Refusal, Replica, Restored, Role,
 };
-use zinniastall_coord::voters::{Change, Fault, Voters};
+use zinniastall_coord::voters::{Change, Error, Voters};
 
 const CLUSTER: Cluster = [7; 16];
 const LIMITS: Limits = Limits {
@@ -21,7 +21,7 @@
 };
 
 /// A replica with id 1 whose every batch is synced at once, and the round it is in.
-struct Bench {
+struct Harness {
     replica: Replica,
     now: Instant,
     commands: Vec<Vec<u8>>,
@@ -29,7 +29,7 @@
     round: u64,
 }
 
-impl Bench {
+impl Harness {
     fn new(restored: Restored) -> Self {
         let now = Instant::now();
         let timing = Timing::new(Duration::from_millis(50), Duration::from_millis(500));
@@ -66,18 +66,18 @@
                 payload: Payload::Command(vec![2]),
             },
         ];
-        let hard = Hard {
+        let hard = HardState {
             term: 2,
             vote: None,
         };
-        let mut bench = Self::new(Restored {
+        let mut harness = Self::new(Restored {
             cluster: Some(CLUSTER),
             hard,
             snapshot: None,
             entries,
         });
-        bench.wait(Duration::from_secs(1));
-        bench.hear(
+        harness.wait(Duration::from_secs(1));
+        harness.hear(
             2,
             2,
             Body::PreVoteAnswer {
@@ -85,9 +85,9 @@
                 granted: true,
             },
         );
-        bench.hear(2, 3, Body::VoteAnswer { granted: true });
-        assert_eq!(bench.replica.status(bench.now).part, Part::Leader);
-        bench
+        harness.hear(2, 3, Body::VoteAnswer { granted: true });
+        assert_eq!(harness.replica.status(harness.now).role, Role::Leader);
+        harness
     }
 
     fn wait(&mut self, span: Duration) {
@@ -157,35 +157,42 @@
 
 /// Names a case and gives it a bench.
 macro_rules! case {
-    ($name:ident, $bench:expr, |$held:ident| $body:block) => {
+    ($name:ident, $harness:expr, |$held:ident| $body:block) => {
         #[test]
         fn $name() {
-            let mut $held = $bench;
+            let mut $held = $harness;
             $body
         }
     };
 }
 
-fn founder() -> Bench {
-    Bench::new(Restored::founding(CLUSTER, 1, "1"))
+fn founder() -> Harness {
+    Harness::new(Restored::founding(CLUSTER, 1, "1"))
 }
 
-fn fresh() -> Bench {
-    Bench::new(Restored::default())
+fn fresh() -> Harness {
+    Harness::new(Restored::default())
 }
 
-case!(a_founder_alone_commits_and_may_answer, founder(), |bench| {
-    bench.wait(Duration::from_secs(1));
-    bench.replica.propose(b"one".to_vec(), bench.now).unwrap();
-    bench.drain();
-    assert_eq!(bench.commands, [b"one"]);
-    assert!(bench.replica.lease(bench.now).is_some());
-});
+case!(
+    a_founder_alone_commits_and_may_answer,
+    founder(),
+    |harness| {
+        harness.wait(Duration::from_secs(1));
+        harness
+            .replica
+            .propose(b"one".to_vec(), harness.now)
+            .unwrap();
+        harness.drain();
+        assert_eq!(harness.commands, [b"one"]);
+        assert!(harness.replica.lease(harness.now).is_some());
+    }
+);
 
 // A disk was lost and the instance came back with another id. If it campaigned, or took what was
 // meant for the id before it, it would act for a replica whose votes and entries it has forgotten.
-case!(a_fresh_replica_does_nothing_by_itself, fresh(), |bench| {
-    bench.wait(Duration::from_mins(1));
+case!(a_fresh_replica_does_nothing_by_itself, fresh(), |harness| {
+    harness.wait(Duration::from_mins(1));
     let body = Body::Append(Append {
         round: 1,
         previous: Position::default(),
@@ -198,8 +205,8 @@
         term: 1,
         body,
     };
-    bench.replica.receive(2, message, bench.now);
-    bench.hear(
+    harness.replica.receive(2, message, harness.now);
+    harness.hear(
         2,
         5,
         Body::Vote {
@@ -207,95 +214,98 @@
             transfer: true,
         },
     );
-    assert_eq!(bench.drain(), 0);
-    assert_eq!(bench.replica.status(bench.now).cluster, None);
+    assert_eq!(harness.drain(), 0);
+    assert_eq!(harness.replica.status(harness.now).cluster, None);
 });
 
 // A majority holds an entry of an earlier term, but a replica with a later entry could still be
 // elected and replace it. An operator told "accepted" now would see the change vanish.
 case!(
     an_earlier_terms_entry_commits_with_one_of_this_term,
-    Bench::elected(),
-    |bench| {
-        bench.acknowledge(2);
-        assert_eq!(bench.commit(), 0);
-        assert!(bench.replica.lease(bench.now).is_none());
-        bench.acknowledge(3);
-        assert_eq!(bench.commit(), 3);
-        assert!(bench.replica.lease(bench.now).is_some());
+    Harness::elected(),
+    |harness| {
+        harness.acknowledge(2);
+        assert_eq!(harness.commit(), 0);
+        assert!(harness.replica.lease(harness.now).is_none());
+        harness.acknowledge(3);
+        assert_eq!(harness.commit(), 3);
+        assert!(harness.replica.lease(harness.now).is_some());
     }
 );
 
 // Two changes of voters at once, or one before the leader knows what is committed, can give two
 // leaders majorities that share no replica.
-case!(voters_change_one_at_a_time, Bench::elected(), |bench| {
+case!(voters_change_one_at_a_time, Harness::elected(), |harness| {
     let admit = Change::Admit {
         id: 4,
         address: "4".into(),
     };
-    assert_eq!(bench.change(&admit), Err(Refusal::Unready));
-    bench.acknowledge(3);
-    assert_eq!(bench.change(&admit), Ok((3, 4)));
+    assert_eq!(harness.change(&admit), Err(Refusal::Unready));
+    harness.acknowledge(3);
+    assert_eq!(harness.change(&admit), Ok((3, 4)));
     let remove = Change::Remove { id: 4 };
-    assert_eq!(bench.change(&remove), Err(Refusal::Pending { index: 4 }));
-    bench.acknowledge(4);
-    assert_eq!(bench.change(&admit), Err(Refusal::Voters(Fault::Member(4))));
-    assert_eq!(bench.change(&remove), Ok((3, 5)));
+    assert_eq!(harness.change(&remove), Err(Refusal::Pending { index: 4 }));
+    harness.acknowledge(4);
+    assert_eq!(
+        harness.change(&admit),
+        Err(Refusal::Voters(Error::Member(4)))
+    );
+    assert_eq!(harness.change(&remove), Ok((3, 5)));
 });
 
 // An operator promotes a replica that hasn't caught up, or removes one without which no majority
 // answers. Either would leave the group unable to bear the next loss, or any command at all.
 case!(
     changes_that_would_stop_the_group_are_refused,
-    Bench::elected(),
-    |bench| {
-        bench.acknowledge(3);
-        bench
+    Harness::elected(),
+    |harness| {
+        harness.acknowledge(3);
+        harness
             .change(&Change::Admit {
                 id: 4,
                 address: "4".into(),
             })
             .unwrap();
-        bench.acknowledge(4);
+        harness.acknowledge(4);
         let behind = Refusal::Behind {
             matched: 0,
             commit: 4,
         };
-        assert_eq!(bench.change(&Change::Promote { id: 4 }), Err(behind));
+        assert_eq!(harness.change(&Change::Promote { id: 4 }), Err(behind));
         let unreachable = Refusal::Unreachable {
             reachable: 1,
             needed: 2,
         };
-        assert_eq!(bench.change(&Change::Remove { id: 2 }), Err(unreachable));
+        assert_eq!(harness.change(&Change::Remove { id: 2 }), Err(unreachable));
     }
 );
 
 // A learner caught up and then fell silent. As a voter it would only raise the majority.
 case!(
     a_silent_learner_is_not_promoted,
-    Bench::elected(),
-    |bench| {
-        bench.acknowledge(3);
-        bench
+    Harness::elected(),
+    |harness| {
+        harness.acknowledge(3);
+        harness
             .change(&Change::Admit {
                 id: 4,
                 address: "4".into(),
             })
             .unwrap();
-        bench.acknowledge(4);
+        harness.acknowledge(4);
         let outcome = Outcome::Accepted { matched: 4 };
-        bench.hear(4, 3, Body::AppendAnswer { round: 1, outcome });
+        harness.hear(4, 3, Body::AppendAnswer { round: 1, outcome });
         for _ in 0..2 {
-            bench.wait(Duration::from_millis(300));
-            bench.acknowledge(4);
-            bench.hear(3, 3, Body::AppendAnswer { round: 1, outcome });
+            harness.wait(Duration::from_millis(300));
+            harness.acknowledge(4);
+            harness.hear(3, 3, Body::AppendAnswer { round: 1, outcome });
         }
         assert_eq!(
-            bench.change(&Change::Promote { id: 4 }),
+            harness.change(&Change::Promote { id: 4 }),
             Err(Refusal::Silent { id: 4 })
         );
-        bench.hear(4, 3, Body::AppendAnswer { round: 1, outcome });
-        assert_eq!(bench.change(&Change::Promote { id: 4 }), Ok((3, 5)));
+        harness.hear(4, 3, Body::AppendAnswer { round: 1, outcome });
+        assert_eq!(harness.change(&Change::Promote { id: 4 }), Ok((3, 5)));
     }
 );
 
@@ -303,63 +313,67 @@
 // the new one holds everything, and it needs the vote of this one, which has never heard of it.
 case!(
     a_replica_that_is_behind_votes_for_one_it_does_not_know,
-    Bench::elected(),
-    |bench| {
-        bench.acknowledge(3);
-        bench.wait(Duration::from_secs(2));
+    Harness::elected(),
+    |harness| {
+        harness.acknowledge(3);
+        harness.wait(Duration::from_secs(2));
         let last = Position { index: 9, term: 4 };
-        bench.hear(9, 4, Body::PreVote { last });
+        harness.hear(9, 4, Body::PreVote { last });
         let granted = Body::PreVoteAnswer {
             proposed: 5,
             granted: true,
         };
         let answered = |(to, message): &(u64, Message)| *to == 9 && message.body == granted;
-        assert!(bench.sent.iter().any(answered), "{:?}", bench.sent.last());
+        assert!(
+            harness.sent.iter().any(answered),
+            "{:?}",
+            harness.sent.last()
+        );
     }
 );
 
 // Reads come by the thousand while a heartbeat is on its way over a slow link. The answer to it must
 // still count, or a busy leader that everybody follows would lose its quorum.
 case!(
-    thousands_of_reads_cost_no_quorum,
-    Bench::elected(),
-    |bench| {
-        bench.acknowledge(3);
-        bench.wait(Duration::from_millis(300));
-        let round = bench.round;
+    thousands_of_reads_do_not_cost_the_quorum,
+    Harness::elected(),
+    |harness| {
+        harness.acknowledge(3);
+        harness.wait(Duration::from_millis(300));
+        let round = harness.round;
         for _ in 0..3000 {
-            bench.replica.barrier(bench.now).unwrap();
+            harness.replica.barrier(harness.now).unwrap();
         }
         let outcome = Outcome::Accepted { matched: 3 };
-        bench.hear(2, 3, Body::AppendAnswer { round, outcome });
-        bench.wait(Duration::from_millis(300));
-        assert_eq!(bench.replica.status(bench.now).part, Part::Leader);
+        harness.hear(2, 3, Body::AppendAnswer { round, outcome });
+        harness.wait(Duration::from_millis(300));
+        assert_eq!(harness.replica.status(harness.now).role, Role::Leader);
     }
 );
 
 // Both others answered a moment ago, and one of them is lost now. Who asks whether another one may
 // be taken down must be told no, although the lost one was heard within the election timeout.
 case!(
-    a_spare_voter_has_answered_since,
-    Bench::elected(),
-    |bench| {
+    failure_tolerance_since_counts_later_answers_only,
+    Harness::elected(),
+    |harness| {
         let outcome = Outcome::Accepted { matched: 3 };
-        let round = bench.round;
-        bench.hear(3, 3, Body::AppendAnswer { round, outcome });
-        bench.acknowledge(3);
-        assert_eq!(bench.replica.status(bench.now).spare(), 1);
-        let barrier = bench.replica.barrier(bench.now).unwrap();
-        bench.drain();
-        bench.acknowledge(3);
-        assert_eq!(bench.replica.spare_since(&barrier), Ok(0));
-        let (round, outcome) = (bench.round, Outcome::Accepted { matched: 3 });
-        bench.hear(3, 3, Body::AppendAnswer { round, outcome });
-        assert_eq!(bench.replica.spare_since(&barrier), Ok(1));
+        let round = harness.round;
+        harness.hear(3, 3, Body::AppendAnswer { round, outcome });
+        harness.acknowledge(3);
+        assert_eq!(harness.replica.status(harness.now).failure_tolerance(), 1);
+        let barrier = harness.replica.barrier(harness.now).unwrap();
+        harness.drain();
+        harness.acknowledge(3);
+        assert_eq!(harness.replica.failure_tolerance_since(&barrier), Ok(0));
+        let (round, outcome) = (harness.round, Outcome::Accepted { matched: 3 });
+        harness.hear(3, 3, Body::AppendAnswer { round, outcome });
+        assert_eq!(harness.replica.failure_tolerance_since(&barrier), Ok(1));
     }
 );
 
-case!(proposals_are_bounded, Bench::elected(), |bench| {
-    let large = bench.replica.propose(vec![0; 101], bench.now);
+case!(proposals_are_bounded, Harness::elected(), |harness| {
+    let large = harness.replica.propose(vec![0; 101], harness.now);
     assert_eq!(
         large,
         Err(Refusal::TooLarge {
@@ -367,13 +381,13 @@
             limit: 100
         })
     );
-    while bench.replica.propose(vec![0; 100], bench.now).is_ok() {}
-    let more = bench.replica.propose(vec![0; 100], bench.now);
+    while harness.replica.propose(vec![0; 100], harness.now).is_ok() {}
+    let more = harness.replica.propose(vec![0; 100], harness.now);
     assert!(
         matches!(more, Err(Refusal::Busy { limit: 250, .. })),
         "{more:?}"
     );
-    bench.drain();
-    bench.acknowledge(bench.replica.status(bench.now).last);
-    assert!(bench.replica.propose(vec![0; 100], bench.now).is_ok());
+    harness.drain();
+    harness.acknowledge(harness.replica.status(harness.now).last);
+    assert!(harness.replica.propose(vec![0; 100], harness.now).is_ok());
 });
--- a/crates/zinniastall-coord/tests/start.rs
+++ b/crates/zinniastall-coord/tests/start.rs
@@ -5,7 +5,7 @@
 use zinniastall_coord::{
     Replica,
     election::Timing,
-    replica::{Part, Restored},
+    replica::{Restored, Role},
 };
 
 const HEARTBEAT: Duration = Duration::from_millis(150);
@@ -24,7 +24,7 @@
     };
     let mut replica = builder.build(start).expect("the timing is sound");
     let mut now = start;
-    while replica.status(now).part != Part::Leader {
+    while replica.status(now).role != Role::Leader {
         now += Duration::from_millis(5);
         replica.tick(now);
         while let Some(ready) = replica.ready() {
--- a/crates/zinniastall-coord/tests/ticket.rs
+++ b/crates/zinniastall-coord/tests/ticket.rs
@@ -6,7 +6,7 @@
     prelude::*,
     test_runner::{Config, RngSeed},
 };
-use zinniastall_coord::ticket::{Address, Invalid, Issuer, Marks, Ticket, Use, Verdict};
+use zinniastall_coord::ticket::{Address, Invalid, Issuer, Redemption, Registry, Ticket, Use};
 
 const SEED: u64 = 0x7a69_6e6e;
 const VALIDITY: Duration = Duration::from_mins(1);
@@ -41,7 +41,7 @@
     expired: |ticket| (issuer(1, 1), ticket, VALIDITY) => Invalid::Expired,
     // A restarted issuer has lost its marks. Taking its old tickets would run billed work
     // twice.
-    issued_by_earlier_run: |ticket| (issuer(2, 2), ticket, Duration::ZERO) => Invalid::Elsewhere(_),
+    issued_by_earlier_run: |ticket| (issuer(2, 2), ticket, Duration::ZERO) => Invalid::OtherIssuer(_),
     other_key: |ticket| (issuer(1, 2), ticket, Duration::ZERO) => Invalid::Forged,
     // A caller who stretches the expiry could run its request after the mark is gone.
     stretched: |ticket| (issuer(1, 1), ticket.replace("~ea60~", "~ffffff~"), Duration::ZERO)
@@ -53,27 +53,27 @@
 
 #[test]
 fn another_use_is_refused() {
-    let mut marks = Marks::new(4);
-    let mut mark = |usage| marks.mark("t", usage, VALIDITY, Duration::ZERO, || ());
-    assert_eq!(mark(usage("a", 1)), Verdict::First(()));
-    assert_eq!(mark(usage("a", 1)), Verdict::Again(()));
-    assert_eq!(mark(usage("a", 2)), Verdict::Different);
-    assert_eq!(mark(usage("b", 1)), Verdict::Different);
+    let mut registry = Registry::new(4);
+    let mut mark = |usage| registry.redeem("t", usage, VALIDITY, Duration::ZERO, || ());
+    assert_eq!(mark(usage("a", 1)), Redemption::First(()));
+    assert_eq!(mark(usage("a", 1)), Redemption::Repeated(()));
+    assert_eq!(mark(usage("a", 2)), Redemption::Mismatch);
+    assert_eq!(mark(usage("b", 1)), Redemption::Mismatch);
 }
 
 // A burst of tickets fills the table. Forgetting the oldest mark to make room would let its resend
 // run a second time, so new work is refused until marks have expired.
 #[test]
 fn full_table_refuses_instead_of_forgetting() {
-    let mut marks = Marks::new(1);
+    let mut registry = Registry::new(1);
     let mut mark = |name, now| {
         let until = Duration::from_secs(1);
-        marks.mark(name, usage("a", 1), until, Duration::from_secs(now), || ())
+        registry.redeem(name, usage("a", 1), until, Duration::from_secs(now), || ())
     };
-    assert_eq!(mark("first", 0), Verdict::First(()));
-    assert_eq!(mark("second", 0), Verdict::Full);
-    assert_eq!(mark("first", 0), Verdict::Again(()));
-    assert_eq!(mark("third", 2), Verdict::First(()));
+    assert_eq!(mark("first", 0), Redemption::First(()));
+    assert_eq!(mark("second", 0), Redemption::Full);
+    assert_eq!(mark("first", 0), Redemption::Repeated(()));
+    assert_eq!(mark("third", 2), Redemption::First(()));
 }
 
 proptest! {
@@ -97,7 +97,7 @@
         limit in 1_usize..4,
     ) {
         let issuer = issuer(1, 1);
-        let mut marks = Marks::new(limit);
+        let mut registry = Registry::new(limit);
         let mut ran = std::collections::HashMap::new();
         let mut arrivals = arrivals;
         arrivals.sort_by_key(|(_, at)| *at);
@@ -105,11 +105,11 @@
             let now = Duration::from_secs(at);
             let text = issuer.issue(Duration::from_secs(id * 20), id);
             let Ok(ticket) = issuer.check(&text, now) else { continue };
-            let verdict = marks.mark(&ticket.name, usage("a", 1), ticket.expiry, now, || ());
-            if verdict == Verdict::First(()) {
+            let verdict = registry.redeem(&ticket.name, usage("a", 1), ticket.expiry, now, || ());
+            if verdict == Redemption::First(()) {
                 *ran.entry(id).or_insert(0) += 1;
             }
-            prop_assert!(marks.len() <= limit);
+            prop_assert!(registry.len() <= limit);
         }
         prop_assert!(ran.values().all(|times| *times == 1), "seed {SEED}: {ran:?}");
     }
--- a/crates/zinniastall-entry/src/callers/ticket/ledger.rs
+++ b/crates/zinniastall-entry/src/callers/ticket/ledger.rs
@@ -5,7 +5,7 @@
     time::{Duration, Instant},
 };
 
-use zinniastall_coord::ticket::{Address, Invalid, Issuer, Marks, Ticket, Use, Verdict};
+use zinniastall_coord::ticket::{Address, Invalid, Issuer, Redemption, Registry, Ticket, Use};
 use zinniastall_route::{
     outcome::{Outcome, Reason, Refusal},
     request::Request,
@@ -36,7 +36,7 @@
 pub struct Ledger {
     issuer: Arc<Issuer>,
     started: Instant,
-    marks: Arc<Mutex<Marks<Arc<Record>>>>,
+    marks: Arc<Mutex<Registry<Arc<Record>>>>,
     settings: Arc<Tickets>,
 }
 
@@ -53,7 +53,7 @@
         Self {
             issuer: Arc::new(issuer),
             started: Instant::now(),
-            marks: Arc::new(Mutex::new(Marks::new(settings.marks))),
+            marks: Arc::new(Mutex::new(Registry::new(settings.marks))),
             settings: Arc::new(settings),
         }
     }
@@ -75,7 +75,7 @@
         };
         match self.issuer.check(text, self.now()) {
             Ok(ticket) => self.mark(&ticket.name, ticket.expiry, parcel, draining),
-            Err(Invalid::Elsewhere(address)) => Ok(Pass::Issuer(*address)),
+            Err(Invalid::OtherIssuer(address)) => Ok(Pass::Issuer(*address)),
             Err(Invalid::Expired) => Err(Refusal::unknown(Reason::TicketExpired)),
             Err(Invalid::Malformed | Invalid::Forged) => {
                 Err(Refusal::not_run(Reason::TicketInvalid))
@@ -130,8 +130,8 @@
         };
         let may_have_run = match self.issuer.check(ticket, self.now()) {
             Ok(ticket) => self.lock().contains(&ticket.name),
-            Err(Invalid::Elsewhere(issuer)) if sender == Some(&*issuer) => self.has_name(ticket),
-            Err(Invalid::Elsewhere(_) | Invalid::Expired) => true,
+            Err(Invalid::OtherIssuer(issuer)) if sender == Some(&*issuer) => self.has_name(ticket),
+            Err(Invalid::OtherIssuer(_) | Invalid::Expired) => true,
             Err(Invalid::Malformed | Invalid::Forged) => false,
         };
         if may_have_run {
@@ -187,12 +187,12 @@
             return Err(Refusal::not_run(Reason::Draining));
         }
         let make = || Arc::new(Record::new(limit));
-        let verdict = marks.mark(name, usage(parcel), until, self.now(), make);
+        let verdict = marks.redeem(name, usage(parcel), until, self.now(), make);
         match verdict {
-            Verdict::First(record) => Ok(Pass::Run(record)),
-            Verdict::Again(record) => Ok(Pass::Join(record)),
-            Verdict::Different => Err(Refusal::not_run(Reason::TicketReused)),
-            Verdict::Full => Err(Refusal::not_run(Reason::TicketsFull).retry(FULL)),
+            Redemption::First(record) => Ok(Pass::Run(record)),
+            Redemption::Repeated(record) => Ok(Pass::Join(record)),
+            Redemption::Mismatch => Err(Refusal::not_run(Reason::TicketReused)),
+            Redemption::Full => Err(Refusal::not_run(Reason::TicketsFull).retry(FULL)),
         }
     }
 
@@ -200,7 +200,7 @@
         self.started.elapsed()
     }
 
-    fn lock(&self) -> MutexGuard<'_, Marks<Arc<Record>>> {
+    fn lock(&self) -> MutexGuard<'_, Registry<Arc<Record>>> {
         // A mark is inserted in one step, so the table is usable after a panic elsewhere.
         self.marks.lock().unwrap_or_else(PoisonError::into_inner)
     }
--- a/crates/zinniastall-entry/src/spread/actor.rs
+++ b/crates/zinniastall-entry/src/spread/actor.rs
@@ -146,7 +146,7 @@
     /// Notices a freeze before the next period does: the messages that waited for its end may be
     /// handled before the timer.
     fn wake(&mut self, now: Instant) {
-        if now.saturating_duration_since(self.swept) > self.settings.membership().freeze {
+        if now.saturating_duration_since(self.swept) > self.settings.membership().freeze_threshold {
             self.begin(now);
         }
     }
@@ -173,7 +173,7 @@
                 continue;
             }
             let heartbeat = Heartbeat {
-                beat: self.roster.beat(&instance),
+                beat: self.roster.heartbeat(&instance),
                 revision: view.state.as_ref().map_or(0, |state| state.revision),
                 draining: view.draining,
                 load: self.around.board.load(),
--- a/crates/zinniastall-entry/src/spread/digests.rs
+++ b/crates/zinniastall-entry/src/spread/digests.rs
@@ -3,7 +3,7 @@
 use std::time::{Duration, Instant};
 
 use indexmap::{IndexMap, IndexSet};
-use zinniastall_coord::digest::Fresh;
+use zinniastall_coord::digest::Entry;
 use zinniastall_model::{id, object::Subject, place::Place};
 use zinniastall_wire::gossip::{self, Fact, Item, Maker, News, Peer, Topic};
 
@@ -138,7 +138,7 @@
             .collect();
         let mut digests: IndexMap<(Place, Subject, String), view::Digest> = IndexMap::new();
         // The own region's zones are known one by one.
-        let summed = |fresh: &Fresh<'_, Topic, Maker, Fact>| matches!(fresh.key, Topic::Region(by, ..) if by.region == self.place.region);
+        let summed = |fresh: &Entry<'_, Topic, Maker, Fact>| matches!(fresh.key, Topic::Region(by, ..) if by.region == self.place.region);
         let single = self.table.fresh(now).filter(|fresh| !summed(fresh));
         for digest in single.filter_map(|fresh| read(&fresh)) {
             let report = &digest.report;
@@ -170,7 +170,7 @@
         if from.is_some() && *topic.place() == self.place && leading {
             return false;
         }
-        if !self.table.take(item, now) {
+        if !self.table.apply(item, now) {
             return false;
         }
         self.ways.learned(&self.table, from, &topic);
@@ -193,7 +193,7 @@
 }
 
 /// Reads a capacity.
-fn read(fresh: &Fresh<'_, Topic, Maker, Fact>) -> Option<view::Digest> {
+fn read(fresh: &Entry<'_, Topic, Maker, Fact>) -> Option<view::Digest> {
     let (place, subject, role, capacity) = match (fresh.key, fresh.value) {
         (Topic::Capacity(place, subject, role), Fact::Capacity(capacity)) => {
             (place.clone(), subject, role, capacity)
--- a/crates/zinniastall-entry/src/spread/passing.rs
+++ b/crates/zinniastall-entry/src/spread/passing.rs
@@ -92,7 +92,7 @@
 
     fn rank(&self, zone: &IndexMap<id::Instance, Peer>) -> Option<usize> {
         let members: Vec<&str> = zone.keys().map(String::as_str).collect();
-        overlay::rank(&self.around.identity.instance(), &members)
+        overlay::speaker_rank(&self.around.identity.instance(), &members)
     }
 
     /// Returns the links on which facts are passed on: to two of the zone, and to all peers of other
--- a/crates/zinniastall-entry/src/spread/peers.rs
+++ b/crates/zinniastall-entry/src/spread/peers.rs
@@ -83,8 +83,8 @@
         let heard = self.roster.hear_within(peer, heartbeat.beat, bounds, now);
         match heard {
             Heard::Stale(known) => self.lines.send(line, gossip::Message::Stale(known)),
-            Heard::Old => {}
-            Heard::Run | Heard::Fresh => self.update((peer, place), heartbeat, now),
+            Heard::Duplicate => {}
+            Heard::NewRun | Heard::Fresh => self.update((peer, place), heartbeat, now),
         }
     }
 
@@ -118,7 +118,7 @@
             return;
         }
         self.raises += 1;
-        self.roster.raise(remembered);
+        self.roster.raise_incarnation(remembered);
         let raised = self.roster.incarnation();
         self.around.identity.raise(raised);
         tracing::warn!(event = "incarnation-raised", remembered, raised);
--- a/crates/zinniastall-entry/src/spread/settings.rs
+++ b/crates/zinniastall-entry/src/spread/settings.rs
@@ -70,7 +70,7 @@
             period: self.period,
             floor: self.floor.max(self.period * 3),
             ceiling: self.ceiling.max(self.floor).max(self.period * 3),
-            freeze: self.period * 3,
+            freeze_threshold: self.period * 3,
             ..membership::Config::default()
         }
     }
--- a/crates/zinniastall-entry/src/spread/ways.rs
+++ b/crates/zinniastall-entry/src/spread/ways.rs
@@ -64,7 +64,7 @@
             if self.boxes.contains_key(line) {
                 continue;
             }
-            let outbox = Outbox::whole(
+            let outbox = Outbox::from_table(
                 table,
                 |topic| self.passes(table, topic, to),
                 |maker| self.passes_renewal(maker, to),
@@ -86,7 +86,7 @@
     /// Tells whether a maker's renewals go to a place.
     fn passes_renewal(&self, maker: &Maker, to: &Place) -> bool {
         let scope = if maker.region {
-            overlay::Scope::Abroad
+            overlay::Scope::OtherRegions
         } else {
             overlay::Scope::Everywhere
         };
@@ -100,7 +100,7 @@
         let (own, to) = (site(&self.place), site(to));
         let about = site(&source.about);
         let from = if source.direct { about } else { own };
-        scope.admits(own, about, to) && overlay::passes(own, about, from, to)
+        scope.admits(own, about, to) && overlay::forwards(own, about, from, to)
     }
 
     /// Tells whether a fact of a maker has come.
@@ -242,7 +242,7 @@
     match topic {
         Topic::Doors(_) => overlay::Scope::Everywhere,
         Topic::Capacity(..) => overlay::Scope::Region,
-        Topic::Region(..) => overlay::Scope::Abroad,
+        Topic::Region(..) => overlay::Scope::OtherRegions,
     }
 }
 
--- a/crates/zinniastall-gateway/src/path/crash.rs
+++ b/crates/zinniastall-gateway/src/path/crash.rs
@@ -11,7 +11,7 @@
 
 use http::HeaderMap;
 use tokio::time;
-use zinniastall_coord::quarantine::{LIMIT, STRONG, Suspicion};
+use zinniastall_coord::quarantine::{CRASH_LIMIT, STRONG_SUSPECT_CRASHES, Suspicion};
 use zinniastall_model::fingerprint::Fingerprint;
 
 use super::{
@@ -75,10 +75,10 @@
     /// Tells whether a request may be sent.
     pub(super) fn clearance(&self, job: &Job) -> Clearance<'_> {
         let crashes = self.crashes(job);
-        if crashes >= LIMIT {
+        if crashes >= CRASH_LIMIT {
             return Clearance::Refused;
         }
-        if crashes < STRONG {
+        if crashes < STRONG_SUSPECT_CRASHES {
             return Clearance::Granted(None);
         }
         let request = job.fingerprint();
--- a/crates/zinniastall-gateway/src/path/run.rs
+++ b/crates/zinniastall-gateway/src/path/run.rs
@@ -7,7 +7,7 @@
 };
 
 use tokio::time;
-use zinniastall_coord::quarantine::STRONG;
+use zinniastall_coord::quarantine::STRONG_SUSPECT_CRASHES;
 use zinniastall_http::server::Reply;
 
 use super::{
@@ -278,7 +278,7 @@
             return false;
         }
         // A suspect that comes again is tried alone; here it would take the next target down at once.
-        if course.has_crashed && self.crashes(job) >= STRONG {
+        if course.has_crashed && self.crashes(job) >= STRONG_SUSPECT_CRASHES {
             return false;
         }
         let instances = self.board.view().instances.by_name().len();
--- a/crates/zinniastall-gateway/src/path/serve.rs
+++ b/crates/zinniastall-gateway/src/path/serve.rs
@@ -13,7 +13,7 @@
     net::{TcpListener, TcpStream},
     time,
 };
-use zinniastall_coord::quarantine::LIMIT;
+use zinniastall_coord::quarantine::CRASH_LIMIT;
 use zinniastall_http::{
     body::Decoder,
     connection::{self, Error, Reader},
@@ -241,7 +241,7 @@
                 "this instance ends before it could",
             ));
         }
-        if self.crashes(job) >= LIMIT {
+        if self.crashes(job) >= CRASH_LIMIT {
             self.note_rejected(job);
             return Err((Refusal::Quarantined, "targets crash under it"));
         }
--- a/crates/zinniastall-gateway/src/suspects.rs
+++ b/crates/zinniastall-gateway/src/suspects.rs
@@ -4,7 +4,7 @@
 
 use http::HeaderValue;
 use indexmap::{IndexMap, IndexSet};
-use zinniastall_coord::quarantine::{self, LIMIT, Merged, Run, Suspicion};
+use zinniastall_coord::quarantine::{self, CRASH_LIMIT, Merged, Run, Suspicion};
 use zinniastall_model::{
     fingerprint::{Fingerprint, Suspect},
     target::Report,
@@ -124,13 +124,16 @@
         now: Instant,
     ) -> Change {
         let before = self.table.crashes(request);
-        let Merged { is_news, is_behind } = self.table.merge(request, suspicion, now);
+        let Merged {
+            is_changed,
+            is_behind,
+        } = self.table.merge(request, suspicion, now);
         if is_behind {
             self.tell(request, Scope::All);
-        } else if let Some(scope) = scope.filter(|_| is_news) {
+        } else if let Some(scope) = scope.filter(|_| is_changed) {
             self.tell(request, scope);
         }
-        if is_news {
+        if is_changed {
             self.change_since(request, before)
         } else {
             Change::None
@@ -158,14 +161,14 @@
         }
         let strong = self.table.strong();
         let new = strong.filter(|(request, suspicion)| {
-            suspicion.crashes() >= LIMIT && !known.contains(request)
+            suspicion.crashes() >= CRASH_LIMIT && !known.contains(request)
         });
         lacking.extend(new.map(|(request, suspicion)| (request, suspicion.clone())));
         lacking
     }
 
     fn change_since(&self, request: Fingerprint, before: usize) -> Change {
-        if before < LIMIT && self.table.is_quarantined(request) {
+        if before < CRASH_LIMIT && self.table.is_quarantined(request) {
             Change::Quarantined
         } else {
             Change::Known
@@ -198,7 +201,7 @@
 
     /// Returns a digest of the strong suspicions; instances that know the same have the same.
     pub fn sum(&self) -> u64 {
-        self.table.sum()
+        self.table.digest()
     }
 
     /// Returns the strong suspects.
--- a/crates/zinniastall-gateway/tests/suspects.rs
+++ b/crates/zinniastall-gateway/tests/suspects.rs
@@ -11,7 +11,7 @@
 };
 
 use rand::{Rng, SeedableRng, rngs::StdRng};
-use zinniastall_coord::quarantine::LIMIT;
+use zinniastall_coord::quarantine::CRASH_LIMIT;
 use zinniastall_gateway::{
     neighbours::{
         Outgoing,
@@ -263,14 +263,18 @@
     for run in 0..3 {
         world.crash(0, 0..1, run);
     }
-    world.until(1_000, |suspects| suspects.crashes(request(0)) >= LIMIT);
+    world.until(1_000, |suspects| {
+        suspects.crashes(request(0)) >= CRASH_LIMIT
+    });
     world.play(1_000);
     for node in [40, 41, 42] {
         world.nodes[node].suspects = Suspects::default();
         world.nodes[node].exchange = Exchange::default();
     }
     // One round, an answer, and one more of each in case a datagram is lost.
-    world.until(1_500, |suspects| suspects.crashes(request(0)) >= LIMIT);
+    world.until(1_500, |suspects| {
+        suspects.crashes(request(0)) >= CRASH_LIMIT
+    });
 }
 
 /// Both sides of a cut learn what the other one has found out meanwhile, and count it together.
@@ -289,7 +293,9 @@
         .map(|node| node.suspects.crashes(request(0)));
     assert!(crashes.into_iter().all(|crashes| crashes == 2));
     world.cut = None;
-    world.until(5_000, |suspects| suspects.crashes(request(0)) >= LIMIT);
+    world.until(5_000, |suspects| {
+        suspects.crashes(request(0)) >= CRASH_LIMIT
+    });
 }
 
 /// A request that was cleared stays suspected where the news was missed.
@@ -299,7 +305,9 @@
     for run in 0..3 {
         world.crash(0, 0..1, run);
     }
-    world.until(1_000, |suspects| suspects.crashes(request(0)) >= LIMIT);
+    world.until(1_000, |suspects| {
+        suspects.crashes(request(0)) >= CRASH_LIMIT
+    });
     world.cut = Some("r2".to_owned());
     let now = world.now();
     assert!(world.nodes[0].suspects.finish(request(0), now));
--- a/crates/zinniastall-model/src/state.rs
+++ b/crates/zinniastall-model/src/state.rs
@@ -4,7 +4,7 @@
 
 use indexmap::{IndexMap, IndexSet};
 use serde::{Deserialize, Serialize};
-use zinniastall_coord::quarantine::{LIMIT, Suspicion};
+use zinniastall_coord::quarantine::{CRASH_LIMIT, Suspicion};
 
 use crate::{
     change::{Answer, Body, Change, Invalid},
@@ -180,7 +180,7 @@
     /// Returns the requests that are not run any more.
     pub fn quarantined(&self) -> impl Iterator<Item = Fingerprint> {
         let held = self.suspects.iter();
-        let quarantined = held.filter(|(_, suspicion)| suspicion.crashes() >= LIMIT);
+        let quarantined = held.filter(|(_, suspicion)| suspicion.crashes() >= CRASH_LIMIT);
         quarantined.map(|(request, _)| *request)
     }
 
@@ -188,7 +188,7 @@
     /// more, or that one which wasn't may run again.
     pub fn lacks(&self, (request, suspicion): &Suspect) -> bool {
         let Some(held) = self.suspects.get(request) else {
-            return suspicion.crashes() >= LIMIT;
+            return suspicion.crashes() >= CRASH_LIMIT;
         };
         let mut merged = held.clone();
         merged.merge(suspicion);
--- a/crates/zinniastall-store/src/journal.rs
+++ b/crates/zinniastall-store/src/journal.rs
@@ -5,7 +5,7 @@
 
 use zinniastall_coord::Index;
 use zinniastall_coord::log::Position;
-use zinniastall_coord::replica::Hard;
+use zinniastall_coord::replica::HardState;
 
 use crate::fault::{Damage, Fault};
 use crate::folder::Folder;
@@ -26,14 +26,14 @@
     closed: VecDeque<Closed>,
     open: Segment,
     last: Position,
-    hard: Hard,
+    hard: HardState,
     limit: u64,
 }
 
 impl Journal {
     /// Creates the first segment of a new folder.
     pub(crate) fn create(folder: &Folder, limit: u64) -> Result<Self, Fault> {
-        let (last, hard) = (Position::default(), Hard::default());
+        let (last, hard) = (Position::default(), HardState::default());
         let open = Segment::create(
             folder,
             1,
--- a/crates/zinniastall-store/src/segment.rs
+++ b/crates/zinniastall-store/src/segment.rs
@@ -7,7 +7,7 @@
 use serde::{Deserialize, Serialize};
 use zinniastall_coord::Index;
 use zinniastall_coord::log::Position;
-use zinniastall_coord::replica::Hard;
+use zinniastall_coord::replica::HardState;
 
 use crate::fault::{Context, Damage, Fault};
 use crate::folder::Folder;
@@ -25,7 +25,7 @@
     /// Last entry before the segment.
     pub(crate) base: Position,
     /// Term and vote when the segment began.
-    pub(crate) hard: Hard,
+    pub(crate) hard: HardState,
 }
 
 /// The segment that is written to.
--- a/crates/zinniastall-store/src/store.rs
+++ b/crates/zinniastall-store/src/store.rs
@@ -3,7 +3,7 @@
 use std::path::Path;
 
 use zinniastall_coord::log::{Entry, Position};
-use zinniastall_coord::replica::{Hard, Ready, Restored, Snapshot};
+use zinniastall_coord::replica::{HardState, Ready, Restored, Snapshot};
 use zinniastall_coord::{Cluster, Id};
 
 use crate::fault::{Damage, Fault};
@@ -190,7 +190,7 @@
     }
 
     /// Stages term and vote for the next [`sync`](Self::sync).
-    pub const fn hard(&mut self, hard: Hard) {
+    pub const fn hard(&mut self, hard: HardState) {
         self.staged.hard = Some(hard);
     }
 
@@ -263,5 +263,5 @@
         return Ok(false);
     }
     let (_, tail) = Journal::load(folder, options.segment)?;
-    Ok(tail.hard != Hard::default() || tail.last() != Position::default())
+    Ok(tail.hard != HardState::default() || tail.last() != Position::default())
 }
--- a/crates/zinniastall-store/src/tail.rs
+++ b/crates/zinniastall-store/src/tail.rs
@@ -3,7 +3,7 @@
 use serde::{Deserialize, Serialize};
 use zinniastall_coord::Index;
 use zinniastall_coord::log::{Entry, Position};
-use zinniastall_coord::replica::Hard;
+use zinniastall_coord::replica::HardState;
 
 use crate::fault::Damage;
 
@@ -13,7 +13,7 @@
 /// a whole record behind a damaged one is always a sign of damage.
 #[derive(Debug, Default, Serialize, Deserialize)]
 pub(crate) struct Batch {
-    pub(crate) hard: Option<Hard>,
+    pub(crate) hard: Option<HardState>,
     /// The log begins anew behind this place.
     pub(crate) reset: Option<Position>,
     pub(crate) entries: Vec<Entry>,
@@ -35,13 +35,13 @@
 /// The log and the hard state, built up batch by batch.
 #[derive(Debug, Default)]
 pub(crate) struct Tail {
-    pub(crate) hard: Hard,
+    pub(crate) hard: HardState,
     base: Position,
     entries: Vec<Entry>,
 }
 
 impl Tail {
-    pub(crate) const fn new(base: Position, hard: Hard) -> Self {
+    pub(crate) const fn new(base: Position, hard: HardState) -> Self {
         Self {
             hard,
             base,
--- a/crates/zinniastall-store/tests/folder/history.rs
+++ b/crates/zinniastall-store/tests/folder/history.rs
@@ -3,7 +3,7 @@
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngSeed, TestRunner};
 use zinniastall_coord::log::{Entry, Position};
-use zinniastall_coord::replica::{Hard, Ready, Snapshot};
+use zinniastall_coord::replica::{HardState, Ready, Snapshot};
 use zinniastall_store::{Fault, Store};
 
 use crate::{SMALL, entry_in, founded, snapshot};
@@ -30,7 +30,7 @@
 /// What a folder must give back.
 #[derive(Default)]
 struct Model {
-    hard: Hard,
+    hard: HardState,
     snapshot: Option<Snapshot>,
     entries: Vec<Entry>,
     term: u64,
@@ -63,7 +63,7 @@
                 }
             }
             Step::Hard(term) => {
-                self.hard = Hard {
+                self.hard = HardState {
                     term,
                     vote: Some(term),
                 };
--- a/crates/zinniastall-store/tests/folder/main.rs
+++ b/crates/zinniastall-store/tests/folder/main.rs
@@ -5,7 +5,7 @@
 
 use tempfile::TempDir;
 use zinniastall_coord::log::{Entry, Payload, Position};
-use zinniastall_coord::replica::{Hard, Ready, Restored, Snapshot};
+use zinniastall_coord::replica::{HardState, Ready, Restored, Snapshot};
 use zinniastall_coord::voters::Voters;
 use zinniastall_store::{Fault, Options, Store};
 
@@ -82,7 +82,7 @@
     assert_eq!(indices(&restored), (1..=20).collect::<Vec<_>>());
     assert!(files(folder.path(), "log-").len() > 3, "segments rotate");
     assert!(matches!(store.found("1"), Err(Fault::Founded)));
-    let hard = Hard {
+    let hard = HardState {
         term: 3,
         vote: Some(9),
     };
@@ -134,7 +134,7 @@
 case!(a_batch_is_synced_once, Options::default(), |folder| {
     let (mut store, _) = Store::open(folder.path()).unwrap();
     let append = (21..=500).map(entry).collect();
-    let hard = Some(Hard {
+    let hard = Some(HardState {
         term: 2,
         vote: None,
     });
--- a/crates/zinniastall-store/tests/replicas.rs
+++ b/crates/zinniastall-store/tests/replicas.rs
@@ -8,7 +8,7 @@
 use zinniastall_coord::Id;
 use zinniastall_coord::election::Timing;
 use zinniastall_coord::log::Entry;
-use zinniastall_coord::replica::{Limits, Message, Part, Replica};
+use zinniastall_coord::replica::{Limits, Message, Replica, Role};
 use zinniastall_coord::voters::Change;
 use zinniastall_store::{Options, Store};
 
@@ -108,7 +108,7 @@
 
     fn leads(&self, now: Instant) -> bool {
         let replica = self.open.as_ref().map(|(_, replica)| replica);
-        replica.is_some_and(|replica| replica.status(now).part == Part::Leader)
+        replica.is_some_and(|replica| replica.status(now).role == Role::Leader)
     }
 }
 
--- a/crates/zinniastall-wire/src/gossip.rs
+++ b/crates/zinniastall-wire/src/gossip.rs
@@ -30,7 +30,7 @@
 pub struct Heartbeat {
     /// Evidence for the membership.
     #[serde(rename = "b")]
-    pub beat: membership::Beat,
+    pub beat: membership::Heartbeat,
     /// Configuration revision that the sender holds.
     #[serde(rename = "r")]
     pub revision: id::Revision,
--- a/crates/zinniastall-wire/tests/codec.rs
+++ b/crates/zinniastall-wire/tests/codec.rs
@@ -4,7 +4,7 @@
     prelude::*,
     test_runner::{Config, RngSeed},
 };
-use zinniastall_coord::membership::Beat;
+use zinniastall_coord::membership::Heartbeat;
 use zinniastall_model::{
     change::{Body, Change, Origin},
     member::Member,
@@ -233,7 +233,7 @@
     let loads = prop::collection::vec(load, 0..4);
     let heartbeat = (any::<[u64; 3]>(), any::<bool>(), any::<u32>(), loads).prop_map(
         |(numbers, draining, load, loads)| gossip::Heartbeat {
-            beat: Beat {
+            beat: Heartbeat {
                 incarnation: numbers[0],
                 sequence: numbers[1],
                 echo: None,
