--- a/crates/zinniastall-gateway/examples/place_cost.rs
+++ b/crates/zinniastall-gateway/examples/place_cost.rs
@@ -10,16 +10,16 @@
 
 use bytes::{Bytes, BytesMut};
 use zinniastall_gateway::{
-    figures::Figures,
     freshness::Trust,
-    names::Names,
+    headers::Names,
+    metrics::Metrics,
     path::{
         Traffic,
         job::{Job, Judged},
         placing::{Claimed, Tried},
     },
     policy::Policy,
-    view::{Board, Target, View},
+    view::{Shared, Target, View},
 };
 use zinniastall_http::head::{Parse, Request};
 use zinniastall_model::{
@@ -38,7 +38,7 @@
 const ROUNDS: u32 = 2_000;
 
 fn main() -> eyre::Result<()> {
-    let board = Board::new(view());
+    let board = Shared::new(view());
     let head = "POST /s0/ HTTP/1.1\r\nhost: all.example\r\nrequest-id: r1\r\n\
                 prompt-parts: shared:2000,own:100\r\n\r\n";
     let mut input = BytesMut::from(head);
@@ -48,7 +48,7 @@
     let names = Names::default();
     let job = judged.job(&names, head, Bytes::new(), Instant::now());
     let mut job = job.map_err(|refusal| eyre::eyre!("{refusal:?}"))?;
-    let traffic = Traffic::new(board, names, Policy::default(), Figures::new());
+    let traffic = Traffic::new(board, names, Policy::default(), Metrics::new());
     // The first choices open an account for each target.
     time(&traffic, &mut job, 50);
     let each = time(&traffic, &mut job, ROUNDS);
@@ -120,7 +120,7 @@
     };
     let target = Target {
         report,
-        heard: Instant::now() + Duration::from_hours(1),
+        heard_at: Instant::now() + Duration::from_hours(1),
         cold_until: None,
         gone_at: None,
     };
--- a/crates/zinniastall-gateway/src/fetching.rs
+++ b/crates/zinniastall-gateway/src/config_fetch.rs
@@ -8,38 +8,38 @@
 //!
 //! ```
 //! use std::time::Instant;
-//! use zinniastall_gateway::fetching::{Fetching, PATIENCE};
+//! use zinniastall_gateway::config_fetch::{Fetch, TIMEOUT};
 //!
-//! let (mut fetching, now) = (Fetching::default(), Instant::now());
-//! assert_eq!(fetching.ask("a", now), Ok(()));
-//! assert_eq!(fetching.ask("b", now), Err(now + PATIENCE));
-//! assert_eq!(fetching.ask("b", now + PATIENCE), Ok(()));
+//! let (mut fetch, now) = (Fetch::default(), Instant::now());
+//! assert_eq!(fetch.begin("a", now), Ok(()));
+//! assert_eq!(fetch.begin("b", now), Err(now + TIMEOUT));
+//! assert_eq!(fetch.begin("b", now + TIMEOUT), Ok(()));
 //! ```
 
 use std::time::{Duration, Instant};
 
-use crate::knowledge::Replica;
+use crate::cluster_state::Replica;
 
 /// Time that a replica has to send the configuration before another one is asked.
-pub const PATIENCE: Duration = Duration::from_secs(1);
+pub const TIMEOUT: Duration = Duration::from_secs(1);
 
 /// The fetch in progress, if there is one.
 #[derive(Debug, Default)]
-pub struct Fetching {
+pub struct Fetch {
     asked: Option<(Replica, Instant)>,
 }
 
-impl Fetching {
+impl Fetch {
     /// Takes the turn for a replica, which is to be asked now.
     ///
     /// # Errors
     ///
     /// The time at which to try again, while another fetch is in progress. The replica that was asked last
     /// comes after all others.
-    pub fn ask(&mut self, replica: &str, now: Instant) -> Result<(), Instant> {
+    pub fn begin(&mut self, replica: &str, now: Instant) -> Result<(), Instant> {
         if let Some((asked, since)) = &self.asked {
             let turns = if asked == replica { 2 } else { 1 };
-            let due = *since + PATIENCE * turns;
+            let due = *since + TIMEOUT * turns;
             if now < due {
                 return Err(due);
             }
@@ -49,7 +49,7 @@
     }
 
     /// Notes that a replica's link is gone; tells whether a fetch ended with it.
-    pub fn lose(&mut self, replica: &str) -> bool {
+    pub fn abandon(&mut self, replica: &str) -> bool {
         let is_asked = self
             .asked
             .as_ref()
--- a/crates/zinniastall-gateway/src/daemon.rs
+++ b/crates/zinniastall-gateway/src/daemon.rs
@@ -22,21 +22,21 @@
 use zinniastall_wire::hello::{Hello, Purpose, VERSION};
 
 use crate::{
-    figures::Figures,
+    cluster_state::{Replica, State},
     freshness::Lease,
-    knowledge::{Knowledge, Replica},
-    names::Names,
-    neighbours::{self, Shared},
+    headers::Names,
+    metrics::Metrics,
+    neighbours::{self, Context},
     path::{Traffic, serve},
     policy::Policy,
     uplink::Uplinks,
-    view::{Board, Drain, View},
+    view::{Drain, Shared, View},
 };
 
 /// Time between two rounds of housekeeping on the traffic thread.
-const HOUSEKEEPING: Duration = Duration::from_millis(250);
+const HOUSEKEEPING_INTERVAL: Duration = Duration::from_millis(250);
 /// Time between two looks at whether nothing is in progress any more.
-const LOOK: Duration = Duration::from_millis(50);
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// What a gateway instance starts from.
 #[derive(Debug, Clone)]
@@ -63,19 +63,19 @@
 #[derive(Debug)]
 pub struct Gateway {
     /// What it knows of the rest of the system.
-    pub board: Board,
+    pub state: Shared,
     /// Links to control replicas.
     pub uplinks: Rc<Uplinks>,
     /// Counters and histograms.
-    pub figures: Figures,
+    pub metrics: Metrics,
     /// Address for callers, as it was bound.
     pub callers: SocketAddr,
-    drain: Option<oneshot::Sender<Ending>>,
+    drain: Option<oneshot::Sender<DrainOrder>>,
 }
 
 /// What the traffic thread tells the control thread.
 #[derive(Debug, Default)]
-struct Told {
+struct SharedLoad {
     load: Mutex<Vec<Load>>,
 }
 
@@ -87,33 +87,39 @@
     /// Fails when an address cannot be bound.
     pub fn start(settings: &Settings) -> std::io::Result<Self> {
         let view = View::new(settings.instance.clone(), settings.place.clone());
-        let board = Board::new(view).leased(Lease::new(settings.policy.lease));
-        let told = Arc::new(Told::default());
-        let figures = Figures::new();
+        let state = Shared::new(view).with_lease(Lease::new(settings.policy.lease));
+        let shared_load = Arc::new(SharedLoad::default());
+        let metrics = Metrics::new();
         let callers = bind(settings.callers)?;
         let forward = bind(settings.forward)?;
         let addresses = (callers.local_addr()?, forward.local_addr()?);
-        let words = std::net::UdpSocket::bind(addresses.1)?;
-        words.set_nonblocking(true)?;
+        let peer_socket = std::net::UdpSocket::bind(addresses.1)?;
+        peer_socket.set_nonblocking(true)?;
         tracing::info!(event = "listening", callers = %addresses.0, forward = %addresses.1);
         let traffic = (
-            board.clone(),
+            state.clone(),
             settings.names.clone(),
             settings.policy,
-            figures.clone(),
+            metrics.clone(),
         );
-        let shared = Arc::clone(&told);
-        let (drain, ordered) = oneshot::channel();
+        let load = Arc::clone(&shared_load);
+        let (drain, drain_orders) = oneshot::channel();
         Arbiter::new().spawn_fn(move || {
-            let (board, names, policy, figures) = traffic;
-            let traffic = Rc::new(Traffic::new(board, names, policy, figures));
-            actix::spawn(run(traffic, [callers, forward], words, shared, ordered));
+            let (state, names, policy, metrics) = traffic;
+            let traffic = Rc::new(Traffic::new(state, names, policy, metrics));
+            actix::spawn(run(
+                traffic,
+                [callers, forward],
+                peer_socket,
+                load,
+                drain_orders,
+            ));
         });
-        let uplinks = link(settings, addresses, &board, &told);
+        let uplinks = start_uplinks(settings, addresses, &state, &shared_load);
         Ok(Self {
-            board,
+            state,
             uplinks,
-            figures,
+            metrics,
             callers: addresses.0,
             drain: Some(drain),
         })
@@ -121,18 +127,18 @@
 
     /// Takes no more requests: says so to all, waits until callers have had time to turn elsewhere and
     /// none is in progress, `longest` at most.
-    pub async fn drain(&mut self, least: Duration, longest: Duration) {
+    pub async fn drain(&mut self, min_wait: Duration, max_wait: Duration) {
         let since = Instant::now();
-        let end = since + longest;
-        self.board.drain(Drain { since, end });
+        let end = since + max_wait;
+        self.state.drain(Drain { since, end });
         self.uplinks.announce();
         let Some(drain) = self.drain.take() else {
             return;
         };
         let (done, ended) = oneshot::channel();
-        let order = Ending {
-            least,
-            longest,
+        let order = DrainOrder {
+            min_wait,
+            max_wait,
             done,
         };
         // Without a traffic thread there is nothing to wait for.
@@ -148,11 +154,11 @@
     Ok(listener)
 }
 
-fn link(
+fn start_uplinks(
     settings: &Settings,
     addresses: (SocketAddr, SocketAddr),
-    board: &Board,
-    told: &Arc<Told>,
+    state: &Shared,
+    shared_load: &Arc<SharedLoad>,
 ) -> Rc<Uplinks> {
     let hello = Hello {
         version: VERSION,
@@ -164,21 +170,25 @@
         links: addresses.1.to_string(),
         service: addresses.0.to_string(),
     };
-    let knowledge = Knowledge::new(settings.instance.clone(), settings.place.clone());
-    let present = present(hello.clone(), board.clone(), Arc::clone(told));
+    let cluster = State::new(settings.instance.clone(), settings.place.clone());
+    let presence = presence_source(hello.clone(), state.clone(), Arc::clone(shared_load));
     let seeds = settings.seeds.clone();
-    Uplinks::start(hello, present, knowledge, board.clone(), seeds)
+    Uplinks::start(hello, presence, cluster, state.clone(), seeds)
 }
 
-fn present(hello: Hello, board: Board, told: Arc<Told>) -> Rc<dyn Fn() -> Presence> {
+fn presence_source(
+    hello: Hello,
+    state: Shared,
+    shared_load: Arc<SharedLoad>,
+) -> Rc<dyn Fn() -> Presence> {
     Rc::new(move || Presence {
         instance: hello.instance.clone(),
         incarnation: hello.incarnation,
         place: hello.place.clone(),
         callers: hello.service.clone(),
         forward: hello.links.clone(),
-        ready: board.is_ready(),
-        load: told
+        ready: state.is_ready(),
+        load: shared_load
             .load
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
@@ -188,9 +198,9 @@
 
 /// Tells the traffic thread to end.
 #[derive(Debug)]
-struct Ending {
-    least: Duration,
-    longest: Duration,
+struct DrainOrder {
+    min_wait: Duration,
+    max_wait: Duration,
     done: oneshot::Sender<()>,
 }
 
@@ -198,9 +208,9 @@
 async fn run(
     traffic: Rc<Traffic>,
     listeners: [Listener; 2],
-    words: std::net::UdpSocket,
-    told: Arc<Told>,
-    mut drain: oneshot::Receiver<Ending>,
+    peer_socket: std::net::UdpSocket,
+    shared_load: Arc<SharedLoad>,
+    mut drain: oneshot::Receiver<DrainOrder>,
 ) {
     let [callers, forward] = listeners.map(TcpListener::from_std);
     let (Ok(callers), Ok(forward)) = (callers, forward) else {
@@ -208,18 +218,18 @@
         actix::System::current().stop_with_code(1);
         return;
     };
-    match UdpSocket::from_std(words) {
+    match UdpSocket::from_std(peer_socket) {
         Ok(socket) => {
-            let shared = Shared {
-                board: traffic.board.clone(),
-                books: Rc::clone(&traffic.books),
+            let context = Context {
+                state: traffic.board.clone(),
+                tracker: Rc::clone(&traffic.books),
                 neighbours: Rc::clone(&traffic.neighbours),
                 claims: Rc::clone(&traffic.claims),
                 quotas: Rc::clone(&traffic.quotas),
                 suspects: Rc::clone(&traffic.suspects),
                 news: Rc::clone(&traffic.news),
             };
-            actix::spawn(neighbours::run(Rc::new(socket), shared));
+            actix::spawn(neighbours::run(Rc::new(socket), context));
         }
         Err(error) => tracing::error!(event = "neighbours-unheard", error = %error),
     }
@@ -227,7 +237,7 @@
         actix::spawn(serve::accept(Rc::clone(&traffic), callers, false)),
         actix::spawn(serve::accept(Rc::clone(&traffic), forward, true)),
     ];
-    let mut tick = time::interval(HOUSEKEEPING);
+    let mut tick = time::interval(HOUSEKEEPING_INTERVAL);
     loop {
         tokio::select! {
             _ = tick.tick() => {
@@ -236,16 +246,16 @@
                 let view = traffic.board.view();
                 let instances = view.instances.by_name().values();
                 let ready = instances.filter(|held| held.ready).count();
-                traffic.figures.know(view.revision(), view.targets.by_name().len(), ready);
-                traffic.figures.connect(traffic.connections.open());
+                traffic.figures.set_known(view.revision(), view.targets.by_name().len(), ready);
+                traffic.figures.set_connections(traffic.connections.open());
                 traffic.keep_suspects();
                 let quarantined = traffic.suspects.borrow().quarantined();
-                traffic.figures.quarantine(quarantined);
-                *told.load.lock().unwrap_or_else(PoisonError::into_inner) = load;
+                traffic.figures.set_quarantined(quarantined);
+                *shared_load.load.lock().unwrap_or_else(PoisonError::into_inner) = load;
             }
             order = &mut drain => {
                 if let Ok(order) = order {
-                    end(&traffic, accepting, order).await;
+                    finish(&traffic, accepting, order).await;
                 }
                 return;
             }
@@ -256,18 +266,18 @@
 /// Ends in order. Connections are taken for as long as callers may not know of the end, and those that
 /// were taken are served to theirs: a process that stopped right after a look at its counts would cut
 /// the request that came between.
-async fn end(traffic: &Traffic, accepting: [JoinHandle<()>; 2], order: Ending) {
+async fn finish(traffic: &Traffic, accepting: [JoinHandle<()>; 2], order: DrainOrder) {
     let since = Instant::now();
     let connections = &traffic.connections;
-    let over = |since: Instant| since.elapsed() >= order.longest;
-    while !over(since) && since.elapsed() < order.least {
-        time::sleep(LOOK).await;
+    let is_expired = |since: Instant| since.elapsed() >= order.max_wait;
+    while !is_expired(since) && since.elapsed() < order.min_wait {
+        time::sleep(POLL_INTERVAL).await;
     }
     for task in accepting {
         task.abort();
     }
-    while !over(since) && connections.open() > 0 {
-        time::sleep(LOOK).await;
+    while !is_expired(since) && connections.open() > 0 {
+        time::sleep(POLL_INTERVAL).await;
     }
     let (requests, open) = (connections.requests(), connections.open());
     tracing::info!(event = "drained", requests, connections = open);
--- a/crates/zinniastall-gateway/src/freshness.rs
+++ b/crates/zinniastall-gateway/src/freshness.rs
@@ -18,9 +18,9 @@
 //!
 //! let mut freshness = Freshness::default();
 //! let asked = Duration::from_secs(9);
-//! freshness.vouch(asked, 7, 6);
+//! freshness.record_answer(asked, 7, 6);
 //! assert_eq!(freshness.confirmed(), None, "revision 7 is not in force yet");
-//! freshness.hold(7);
+//! freshness.set_current(7);
 //! assert_eq!(freshness.confirmed(), Some(asked));
 //! ```
 
@@ -38,7 +38,7 @@
 use crate::clock::Moment;
 
 /// Revisions that are waited for at most; the oldest is dropped.
-const AWAITED: usize = 8;
+const MAX_AWAITED_REVISIONS: usize = 8;
 
 /// Up to when the configuration in force is known to have been the newest.
 #[derive(Debug, Default)]
@@ -50,17 +50,17 @@
 
 impl Freshness {
     /// Takes the group's word that it had reached a revision at a moment.
-    pub fn vouch(&mut self, asked: Moment, reached: id::Revision, held: id::Revision) {
+    pub fn record_answer(&mut self, asked: Moment, reached: id::Revision, held: id::Revision) {
         let moment = self.awaited.entry(reached).or_default();
         *moment = asked.max(*moment);
-        if self.awaited.len() > AWAITED {
+        if self.awaited.len() > MAX_AWAITED_REVISIONS {
             self.awaited.shift_remove_index(0);
         }
-        self.hold(held);
+        self.set_current(held);
     }
 
     /// Notes which revision is in force.
-    pub fn hold(&mut self, held: id::Revision) {
+    pub fn set_current(&mut self, held: id::Revision) {
         self.awaited.retain(|reached, moment| {
             let is_held = *reached <= held;
             if is_held {
--- a/crates/zinniastall-gateway/src/names.rs
+++ b/crates/zinniastall-gateway/src/headers.rs
@@ -5,7 +5,7 @@
 use http::HeaderName;
 
 /// Field that says after which event a stream is to go on, as browsers' event sources send it.
-pub const LAST_EVENT: HeaderName = HeaderName::from_static("last-event-id");
+pub const LAST_EVENT_ID: HeaderName = HeaderName::from_static("last-event-id");
 /// Field between instances: the sender's configuration revision. Its presence marks a request that
 /// was passed on, which the receiver serves itself or not at all.
 pub const REVISION: HeaderName = HeaderName::from_static("zs-revision");
@@ -19,7 +19,7 @@
 /// Field between instances: what is known of a request that is suspected of crashing targets, as JSON.
 pub const SUSPICION: HeaderName = HeaderName::from_static("zs-suspicion");
 /// Prefix of the fields between instances; those that a caller sends are dropped.
-pub const OWN_PREFIX: &str = "zs-";
+pub const INTERNAL_PREFIX: &str = "zs-";
 
 /// Names of header fields.
 #[derive(Debug, Clone)]
--- a/crates/zinniastall-gateway/src/groups.rs
+++ b/crates/zinniastall-gateway/src/index.rs
@@ -14,46 +14,46 @@
 
 /// Places in a list, by region.
 #[derive(Debug, Clone, Default)]
-struct Regions(IndexMap<id::Region, Vec<usize>>);
+struct ByRegion(IndexMap<id::Region, Vec<usize>>);
 
 /// Targets that take requests.
 #[derive(Debug, Clone, Default)]
 pub struct Targets {
     named: IndexMap<id::Target, Target>,
-    services: IndexMap<id::Service, Regions>,
+    services: IndexMap<id::Service, ByRegion>,
 }
 
 /// Gateway instances that are alive.
 #[derive(Debug, Clone, Default)]
 pub struct Instances {
     named: IndexMap<id::Instance, Presence>,
-    regions: Regions,
+    regions: ByRegion,
 }
 
 /// Requests that all instances of a region have at targets of a service.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Sum {
+pub struct Total {
     /// Requests.
-    pub flights: u32,
+    pub in_flight: u32,
     /// Expected time to read the prompts of those whose answers have not begun, in microseconds.
     pub reading_us: u64,
 }
 
 /// Load of all instances of each region.
 #[derive(Debug, Clone, Default)]
-pub struct Loads(IndexMap<id::Service, IndexMap<id::Region, Sum>>);
+pub struct Loads(IndexMap<id::Service, IndexMap<id::Region, Total>>);
 
-impl Regions {
-    fn add(&mut self, region: &str, at: usize) {
+impl ByRegion {
+    fn add(&mut self, region: &str, position: usize) {
         match self.0.get_mut(region) {
-            Some(places) => places.push(at),
+            Some(positions) => positions.push(position),
             None => {
-                self.0.insert(region.to_owned(), vec![at]);
+                self.0.insert(region.to_owned(), vec![position]);
             }
         }
     }
 
-    fn places(&self, region: &str) -> &[usize] {
+    fn positions(&self, region: &str) -> &[usize] {
         self.0.get(region).map_or(&[], Vec::as_slice)
     }
 }
@@ -67,8 +67,8 @@
     /// Returns the targets of a service in a region.
     pub fn of(&self, service: &str, region: &str) -> impl Iterator<Item = &Target> {
         let regions = self.services.get(service);
-        let places = regions.map_or(&[][..], |regions| regions.places(region));
-        places.iter().map(|at| &self.named[*at])
+        let positions = regions.map_or(&[][..], |regions| regions.positions(region));
+        positions.iter().map(|position| &self.named[*position])
     }
 
     /// Returns the regions in which a service has targets.
@@ -81,13 +81,13 @@
 impl FromIterator<(id::Target, Target)> for Targets {
     fn from_iter<I: IntoIterator<Item = (id::Target, Target)>>(targets: I) -> Self {
         let named: IndexMap<id::Target, Target> = targets.into_iter().collect();
-        let mut services: IndexMap<id::Service, Regions> = IndexMap::new();
-        for (at, target) in named.values().enumerate() {
+        let mut services: IndexMap<id::Service, ByRegion> = IndexMap::new();
+        for (position, target) in named.values().enumerate() {
             let report = &target.report;
             if !services.contains_key(&report.service) {
-                services.insert(report.service.clone(), Regions::default());
+                services.insert(report.service.clone(), ByRegion::default());
             }
-            services[&report.service].add(&report.place.region, at);
+            services[&report.service].add(&report.place.region, position);
         }
         Self { named, services }
     }
@@ -101,8 +101,8 @@
 
     /// Returns the instances of a region.
     pub fn in_region(&self, region: &str) -> impl Iterator<Item = &Presence> {
-        let places = self.regions.places(region).iter();
-        places.map(|at| &self.named[*at])
+        let positions = self.regions.positions(region).iter();
+        positions.map(|position| &self.named[*position])
     }
 
     /// Returns the instances of a region that take requests.
@@ -114,9 +114,9 @@
 impl FromIterator<(id::Instance, Presence)> for Instances {
     fn from_iter<I: IntoIterator<Item = (id::Instance, Presence)>>(instances: I) -> Self {
         let named: IndexMap<id::Instance, Presence> = instances.into_iter().collect();
-        let mut regions = Regions::default();
-        for (at, presence) in named.values().enumerate() {
-            regions.add(&presence.place.region, at);
+        let mut regions = ByRegion::default();
+        for (position, presence) in named.values().enumerate() {
+            regions.add(&presence.place.region, position);
         }
         Self { named, regions }
     }
@@ -124,7 +124,7 @@
 
 impl Loads {
     /// Returns the load of a service in a region.
-    pub fn of(&self, service: &str, region: &str) -> Sum {
+    pub fn of(&self, service: &str, region: &str) -> Total {
         let regions = self.0.get(service);
         let sum = regions.and_then(|regions| regions.get(region));
         sum.copied().unwrap_or_default()
@@ -133,11 +133,11 @@
 
 impl FromIterator<RegionLoad> for Loads {
     fn from_iter<I: IntoIterator<Item = RegionLoad>>(loads: I) -> Self {
-        let mut services: IndexMap<id::Service, IndexMap<id::Region, Sum>> = IndexMap::new();
+        let mut services: IndexMap<id::Service, IndexMap<id::Region, Total>> = IndexMap::new();
         for held in loads {
             let regions = services.entry(held.load.service).or_default();
             let sum = regions.entry(held.region).or_default();
-            sum.flights += held.load.flights;
+            sum.in_flight += held.load.flights;
             sum.reading_us += held.load.reading_us;
         }
         Self(services)
--- a/crates/zinniastall-gateway/src/locate.rs
+++ b/crates/zinniastall-gateway/src/locate.rs
@@ -7,13 +7,13 @@
 use crate::view::View;
 
 /// Most addresses of one answer.
-const ADDRESSES: usize = 64;
+const MAX_ADDRESSES: usize = 64;
 /// Instances that a zone needs for its callers to be sent to it alone; a single one would take them
 /// all down with it.
-const ZONE: usize = 3;
+const MIN_ZONE_INSTANCES: usize = 3;
 /// Time for which an answer holds. Callers of an instance that stops come back for another answer
 /// after that at the latest.
-const VALID: Duration = Duration::from_secs(2);
+const LISTING_TTL: Duration = Duration::from_secs(2);
 
 /// Where a caller should connect.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -41,7 +41,7 @@
         .partition(|held| held.ready);
     let own: Vec<&Presence> = within(&ready, |held| held.place.region == region);
     let nearest: Vec<&Presence> = within(&own, |held| held.place.zone == zone);
-    if nearest.len() >= ZONE {
+    if nearest.len() >= MIN_ZONE_INSTANCES {
         return Listing::of(nearest);
     }
     if !own.is_empty() {
@@ -69,10 +69,10 @@
 
 impl Listing {
     fn of(instances: Vec<&Presence>) -> Self {
-        let addresses = instances.into_iter().take(ADDRESSES);
+        let addresses = instances.into_iter().take(MAX_ADDRESSES);
         Self {
             addresses: addresses.map(|held| held.callers.clone()).collect(),
-            valid: VALID,
+            valid: LISTING_TTL,
         }
     }
 }
--- a/crates/zinniastall-gateway/src/figures.rs
+++ b/crates/zinniastall-gateway/src/metrics.rs
@@ -9,76 +9,76 @@
 use prometheus_client::encoding::EncodeLabelSet;
 use zinniastall_settings::scrape::{Builder, Counters, Gauge, Histograms, Page};
 
-use crate::journal::End;
+use crate::request_log::End;
 
 /// Routes that have figures of their own; further ones are counted together. Operators add hundreds
 /// of routes, and each costs some kilobytes in every instance.
-const ROUTES: usize = 64;
+const MAX_ROUTE_LABELS: usize = 64;
 /// Client accounts that have figures of their own; further ones are counted together.
-const ACCOUNTS: usize = 64;
+const MAX_ACCOUNT_LABELS: usize = 64;
 /// Name under which further routes and accounts are counted.
-const OTHER: &str = "other";
+const OTHER_LABEL: &str = "other";
 
 /// Which requests a figure is about.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
-struct Ended {
+struct RequestLabels {
     route: String,
     outcome: &'static str,
 }
 
 /// A route.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
-struct Route {
+struct RouteLabels {
     route: String,
 }
 
 /// Units of a client account's quota.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
-struct Units {
+struct UnitLabels {
     account: String,
     outcome: &'static str,
 }
 
 /// What becomes of requests that are suspected of crashing targets.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
-struct Suspect {
+struct SuspectLabels {
     event: &'static str,
 }
 
 /// How attempts end.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
-struct Attempt {
+struct AttemptLabels {
     outcome: &'static str,
 }
 
 /// Figures of one instance; clones count into the same.
 #[derive(Debug, Clone)]
-pub struct Figures {
+pub struct Metrics {
     page: Page,
     routes: Arc<Mutex<IndexSet<String>>>,
     accounts: Arc<Mutex<IndexSet<String>>>,
-    requests: Counters<Ended>,
-    seconds: Histograms<Route>,
-    first_seconds: Histograms<Route>,
-    pause_seconds: Histograms<Route>,
-    attempts: Counters<Attempt>,
-    units: Counters<Units>,
-    suspects: Counters<Suspect>,
+    requests: Counters<RequestLabels>,
+    seconds: Histograms<RouteLabels>,
+    first_seconds: Histograms<RouteLabels>,
+    pause_seconds: Histograms<RouteLabels>,
+    attempts: Counters<AttemptLabels>,
+    units: Counters<UnitLabels>,
+    suspects: Counters<SuspectLabels>,
     quarantined: Gauge,
     revision: Gauge,
     targets: Gauge,
     instances: Gauge,
     connections: Gauge,
-    counted: Arc<AtomicU64>,
+    request_count: Arc<AtomicU64>,
 }
 
-impl Default for Figures {
+impl Default for Metrics {
     fn default() -> Self {
         Self::new()
     }
 }
 
-impl Figures {
+impl Metrics {
     /// Creates figures that are all zero.
     pub fn new() -> Self {
         let mut page = Builder::new("zinniastall_gateway");
@@ -107,71 +107,75 @@
             page: page.build(),
             routes: Arc::default(),
             accounts: Arc::default(),
-            counted: Arc::default(),
+            request_count: Arc::default(),
         }
     }
 
     /// Counts a request that has ended.
-    pub fn request(&self, route: &str, end: &End<'_>) {
-        let route = bounded(&self.routes, route, ROUTES);
-        self.counted.fetch_add(1, Ordering::Relaxed);
-        let of_route = Route {
+    pub fn count_request(&self, route: &str, end: &End<'_>) {
+        let route = bounded_label(&self.routes, route, MAX_ROUTE_LABELS);
+        self.request_count.fetch_add(1, Ordering::Relaxed);
+        let route_labels = RouteLabels {
             route: route.clone(),
         };
-        if let Some(first) = end.first {
-            let seconds = self.first_seconds.get_or_create(&of_route);
+        if let Some(first) = end.first_byte {
+            let seconds = self.first_seconds.get_or_create(&route_labels);
             seconds.observe(first.as_secs_f64());
         }
-        if !end.pause.is_zero() {
-            let seconds = self.pause_seconds.get_or_create(&of_route);
-            seconds.observe(end.pause.as_secs_f64());
+        if !end.longest_gap.is_zero() {
+            let seconds = self.pause_seconds.get_or_create(&route_labels);
+            seconds.observe(end.longest_gap.as_secs_f64());
         }
-        let seconds = self.seconds.get_or_create(&of_route);
-        seconds.observe(end.took.as_secs_f64());
+        let seconds = self.seconds.get_or_create(&route_labels);
+        seconds.observe(end.duration.as_secs_f64());
         let outcome = end.outcome;
-        self.requests.get_or_create(&Ended { route, outcome }).inc();
+        self.requests
+            .get_or_create(&RequestLabels { route, outcome })
+            .inc();
     }
 
     /// Counts an attempt that has ended.
-    pub fn attempt(&self, outcome: &'static str) {
-        self.attempts.get_or_create(&Attempt { outcome }).inc();
+    pub fn count_attempt(&self, outcome: &'static str) {
+        self.attempts
+            .get_or_create(&AttemptLabels { outcome })
+            .inc();
     }
 
     /// Counts units of a client account's quota that a request was let in or refused for.
-    pub fn charge(&self, account: &str, units: u64, admitted: bool) {
-        let units_of = Units {
-            account: bounded(&self.accounts, account, ACCOUNTS),
+    pub fn count_units(&self, account: &str, units: u64, admitted: bool) {
+        let unit_labels = UnitLabels {
+            account: bounded_label(&self.accounts, account, MAX_ACCOUNT_LABELS),
             outcome: if admitted { "admitted" } else { "exceeded" },
         };
-        self.units.get_or_create(&units_of).inc_by(units);
+        self.units.get_or_create(&unit_labels).inc_by(units);
     }
 
     /// Counts what becomes of a request that is suspected of crashing targets: `crashed`, `cleared`, `quarantined` or
     /// `rejected`.
-    pub fn suspect(&self, event: &'static str) {
-        self.suspects.get_or_create(&Suspect { event }).inc();
+    pub fn count_suspect(&self, event: &'static str) {
+        self.suspects.get_or_create(&SuspectLabels { event }).inc();
     }
 
     /// Sets how many requests are quarantined.
-    pub fn quarantine(&self, requests: usize) {
+    pub fn set_quarantined(&self, requests: usize) {
         self.quarantined.set(requests as u64);
     }
 
     /// Sets what is known at present.
-    pub fn know(&self, revision: u64, targets: usize, instances: usize) {
+    pub fn set_known(&self, revision: u64, targets: usize, instances: usize) {
         self.revision.set(revision);
         self.targets.set(targets as u64);
         self.instances.set(instances as u64);
     }
 
     /// Sets the connections that are open.
-    pub fn connect(&self, connections: usize) {
+    pub fn set_connections(&self, connections: usize) {
         self.connections.set(connections as u64);
     }
 
     /// Returns the requests counted so far.
-    pub fn counted(&self) -> u64 {
-        self.counted.load(Ordering::Relaxed)
+    pub fn request_count(&self) -> u64 {
+        self.request_count.load(Ordering::Relaxed)
     }
 
     /// Writes all figures as text.
@@ -180,15 +184,15 @@
     }
 }
 
-/// Returns a name, or [`OTHER`] where `most` others have figures of their own already.
-fn bounded(names: &Mutex<IndexSet<String>>, name: &str, most: usize) -> String {
+/// Returns a name, or [`OTHER_LABEL`] where `most` others have figures of their own already.
+fn bounded_label(names: &Mutex<IndexSet<String>>, name: &str, max: usize) -> String {
     // A panic while a name was added leaves the set as usable as before.
     let mut names = names.lock().unwrap_or_else(PoisonError::into_inner);
     if names.contains(name) {
         return name.to_owned();
     }
-    if names.len() >= most {
-        return OTHER.to_owned();
+    if names.len() >= max {
+        return OTHER_LABEL.to_owned();
     }
     names.insert(name.to_owned());
     name.to_owned()
--- a/crates/zinniastall-gateway/src/neighbours.rs
+++ b/crates/zinniastall-gateway/src/neighbours.rs
@@ -31,36 +31,36 @@
 use self::{
     claims::Claims,
     collector::Roster,
-    datagram::{Datagram, Key, LONGEST, Part, Turn, key, parts},
+    datagram::{Datagram, Key, MAX_DATAGRAM_BYTES, Part, Round, key, parts},
     reports::{Reports, add},
     usage::Exchange,
 };
 use crate::{
-    books::Books,
     decide::quota::{self, Quotas},
     suspects::Suspects,
-    view::{Board, View},
+    tracker::Tracker,
+    view::{Shared, View},
 };
 
 /// Time between two reports while requests are in progress.
-pub const PACE: Duration = Duration::from_millis(100);
+pub const REPORT_INTERVAL: Duration = Duration::from_millis(100);
 /// Age at which a report counts no more: several datagrams were lost, or its sender is gone.
-const OLD: Duration = Duration::from_millis(600);
+const REPORT_TTL: Duration = Duration::from_millis(600);
 /// Age at which a sum over the region counts no more. It is longer, since without any sum all instances would
 /// turn to the same target: in it an instance learns that both collectors are gone, and who takes their place.
-const OLD_SUM: Duration = Duration::from_secs(3);
+const SUM_TTL: Duration = Duration::from_secs(3);
 /// Time for which news of suspects is gathered: all connections to a target that crashes break within it.
-const GATHER: Duration = Duration::from_millis(10);
+const SUSPECT_BATCH_DELAY: Duration = Duration::from_millis(10);
 /// Silence of the first collector after which the second one takes its place.
-const TAKE_OVER: Duration = Duration::from_millis(300);
+const TAKEOVER_TIMEOUT: Duration = Duration::from_millis(300);
 /// Own reports that are remembered, to be taken off the sums that contain them.
-const HISTORY: usize = 16;
+const MAX_OWN_REPORTS: usize = 16;
 
 /// Requests at one target.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Load {
     /// Requests.
-    pub flights: u32,
+    pub in_flight: u32,
     /// Expected time to read the prompts of those whose answers have not begun, in microseconds.
     pub reading_us: u64,
 }
@@ -70,7 +70,7 @@
     #[must_use]
     pub const fn plus(self, other: Self) -> Self {
         Self {
-            flights: self.flights.saturating_add(other.flights),
+            in_flight: self.in_flight.saturating_add(other.in_flight),
             reading_us: self.reading_us.saturating_add(other.reading_us),
         }
     }
@@ -90,10 +90,10 @@
 
 /// A sum over the region.
 #[derive(Debug)]
-struct Sum {
-    turn: Turn,
+struct RegionSum {
+    round: Round,
     /// Own report that it contains; 0 for none.
-    included: Turn,
+    included: Round,
     since: Instant,
     loads: Loads,
 }
@@ -105,87 +105,87 @@
     reports: Reports<id::Instance>,
     /// Sums of the region's other zones, for a collector.
     zones: Reports<id::Zone>,
-    sum: Option<Sum>,
+    sum: Option<RegionSum>,
     /// When a collector's sum last came.
-    heard: Option<Instant>,
-    own: IndexMap<Turn, Loads>,
-    turn: Turn,
+    last_sum_at: Option<Instant>,
+    own: IndexMap<Round, Loads>,
+    round: Round,
     was_busy: bool,
     was_region_busy: bool,
 }
 
 impl Neighbours {
     /// Returns what the neighbours have at a target.
-    pub fn at(&self, target: &str, now: Instant) -> Load {
+    pub fn load_at(&self, target: &str, now: Instant) -> Load {
         let key = key(target);
-        let fresh = |sum: &&Sum| now.saturating_duration_since(sum.since) < OLD_SUM;
+        let fresh = |sum: &&RegionSum| now.saturating_duration_since(sum.since) < SUM_TTL;
         let Some(sum) = self.sum.as_ref().filter(fresh) else {
-            return self.reports.at(key, now, OLD);
+            return self.reports.load_at(key, now, REPORT_TTL);
         };
         let held = sum.loads.get(&key).copied().unwrap_or_default();
         let own = self.own.get(&sum.included);
         let own = own.and_then(|loads| loads.get(&key)).copied();
         let own = own.unwrap_or_default();
         Load {
-            flights: held.flights.saturating_sub(own.flights),
+            in_flight: held.in_flight.saturating_sub(own.in_flight),
             reading_us: held.reading_us.saturating_sub(own.reading_us),
         }
     }
 
     /// Takes a datagram in.
-    pub fn hear(&mut self, datagram: Datagram, now: Instant) {
+    pub fn receive(&mut self, datagram: Datagram, now: Instant) {
         match datagram {
-            Datagram::Report { instance, part } => self.reports.hear(instance, &part, now),
-            Datagram::Zone { zone, part } => self.zones.hear(zone, &part, now),
-            Datagram::Region { included, part } => self.hear_sum(included, &part, now),
+            Datagram::Report { instance, part } => self.reports.receive(instance, &part, now),
+            Datagram::Zone { zone, part } => self.zones.receive(zone, &part, now),
+            Datagram::Region { included, part } => self.receive_sum(included, &part, now),
             _ => {}
         }
     }
 
-    fn hear_sum(&mut self, included: Turn, part: &Part, now: Instant) {
-        let new = Sum {
-            turn: part.turn,
+    fn receive_sum(&mut self, included: Round, part: &Part, now: Instant) {
+        let new = RegionSum {
+            round: part.round,
             included,
             since: now,
             loads: Loads::default(),
         };
-        let sum = self.sum.get_or_insert_with(|| Sum { ..new });
-        if sum.turn != part.turn {
+        let sum = self.sum.get_or_insert_with(|| RegionSum { ..new });
+        if sum.round != part.round {
             sum.loads.clear();
         }
-        (sum.turn, sum.included, sum.since) = (part.turn, included, now);
+        (sum.round, sum.included, sum.since) = (part.round, included, now);
         sum.loads.extend(part.loads());
-        self.heard = Some(now);
+        self.last_sum_at = Some(now);
     }
 
     /// Returns what is to be sent in this round, in which this instance has some load.
     ///
     /// Nothing is sent while no request is in progress, but for one empty report when the last one ends.
     pub fn round(&mut self, roster: &Roster, own: Loads, now: Instant) -> Vec<Outgoing> {
-        self.turn = self.turn.wrapping_add(1).max(1);
+        self.round = self.round.wrapping_add(1).max(1);
         let is_busy = !own.is_empty();
-        let mut sends = Vec::new();
+        let mut outgoing = Vec::new();
         if is_busy || self.was_busy {
-            sends.extend(self.report(roster, &own));
+            outgoing.extend(self.report(roster, &own));
         }
         self.was_busy = is_busy;
         if roster.is_small() {
             self.sum = None;
-            return sends;
+            return outgoing;
         }
-        if roster.collects() {
+        if roster.is_collector() {
             self.reports
-                .keep(roster.instance(), self.turn, own.clone(), now);
-            sends.extend(self.collect(roster, now));
+                .insert(roster.instance(), self.round, own.clone(), now);
+            outgoing.extend(self.collect(roster, now));
         }
-        self.own.insert(self.turn, own);
-        let surplus = self.own.len().saturating_sub(HISTORY);
+        self.own.insert(self.round, own);
+        let surplus = self.own.len().saturating_sub(MAX_OWN_REPORTS);
         self.own.drain(..surplus);
-        sends
+        outgoing
     }
 
     fn report(&self, roster: &Roster, own: &Loads) -> Vec<Outgoing> {
-        let to = roster.reports_to();
+        let to = roster.report_recipients();
         let report = |part| Outgoing {
             to: to.clone(),
             datagram: Datagram::Report {
@@ -193,15 +193,16 @@
                 part,
             },
         };
-        parts(self.turn, own).into_iter().map(report).collect()
+        parts(self.round, own).into_iter().map(report).collect()
     }
 
     /// Sums what the zone has, tells it to the collectors of other zones, and the region's sum to the zone.
     fn collect(&mut self, roster: &Roster, now: Instant) -> Vec<Outgoing> {
-        self.reports.expire(now, OLD);
-        self.zones.expire(now, OLD);
-        let is_silent = |heard| now.saturating_duration_since(heard) >= TAKE_OVER;
-        if !roster.is_first() && !self.heard.is_none_or(is_silent) {
+        self.reports.expire(now, REPORT_TTL);
+        self.zones.expire(now, REPORT_TTL);
+        let is_silent =
+            |last_sum_at| now.saturating_duration_since(last_sum_at) >= TAKEOVER_TIMEOUT;
+        if !roster.is_first_collector() && !self.last_sum_at.is_none_or(is_silent) {
             return Vec::new();
         }
         let zone = self.reports.sum();
@@ -212,53 +213,53 @@
         if region.is_empty() && !was_busy {
             return Vec::new();
         }
-        let mut sends = self.tell_zones(roster, &zone);
-        sends.extend(self.tell_instances(roster, &region));
-        self.sum = Some(Sum {
-            turn: self.turn,
-            included: self.turn,
+        let mut outgoing = self.zone_messages(roster, &zone);
+        outgoing.extend(self.region_messages(roster, &region));
+        self.sum = Some(RegionSum {
+            round: self.round,
+            included: self.round,
             since: now,
             loads: region,
         });
-        sends
+        outgoing
     }
 
-    fn tell_zones(&self, roster: &Roster, zone: &Loads) -> Vec<Outgoing> {
-        let tell = |part| Outgoing {
-            to: roster.other_collectors().to_vec(),
+    fn zone_messages(&self, roster: &Roster, zone: &Loads) -> Vec<Outgoing> {
+        let message = |part| Outgoing {
+            to: roster.region_collectors().to_vec(),
             datagram: Datagram::Zone {
                 zone: roster.zone().clone(),
                 part,
             },
         };
-        parts(self.turn, zone).into_iter().map(tell).collect()
+        parts(self.round, zone).into_iter().map(message).collect()
     }
 
-    fn tell_instances(&self, roster: &Roster, region: &Loads) -> Vec<Outgoing> {
-        let parts = parts(self.turn, region);
-        let mut sends = Vec::new();
+    fn region_messages(&self, roster: &Roster, region: &Loads) -> Vec<Outgoing> {
+        let parts = parts(self.round, region);
+        let mut outgoing = Vec::new();
         for instance in roster.zone_members() {
-            let included = self.reports.turn(instance);
-            let tell = |part: &Part| Outgoing {
+            let included = self.reports.round(instance);
+            let message = |part: &Part| Outgoing {
                 to: vec![instance.clone()],
                 datagram: Datagram::Region {
                     included,
                     part: part.clone(),
                 },
             };
-            sends.extend(parts.iter().map(tell));
+            outgoing.extend(parts.iter().map(message));
         }
-        sends
+        outgoing
     }
 }
 
 /// What an instance tells the others, and hears from them.
 #[derive(Debug)]
-pub struct Shared {
+pub struct Context {
     /// What the request path knows of the rest of the system.
-    pub board: Board,
+    pub state: Shared,
     /// Requests at targets.
-    pub books: Rc<RefCell<Books>>,
+    pub tracker: Rc<RefCell<Tracker>>,
     /// The neighbours' requests at targets.
     pub neighbours: Rc<RefCell<Neighbours>>,
     /// What they have sent to targets within the last moments.
@@ -271,12 +272,12 @@
     pub news: Rc<Notify>,
 }
 
-impl Shared {
+impl Context {
     /// Takes what another instance knows of suspects.
-    fn hear_suspects(&self, roster: &Roster, part: &suspicions::Part, for_all: bool) {
+    fn receive_suspects(&self, roster: &Roster, part: &suspicions::Part, for_all: bool) {
         let mut suspects = self.suspects.borrow_mut();
         let now = Instant::now();
-        for request in suspicions::hear(roster, &mut suspects, part, for_all, now) {
+        for request in suspicions::receive(roster, &mut suspects, part, for_all, now) {
             tracing::warn!(event = "quarantine-heard", fingerprint = %request);
         }
         if suspects.has_news() {
@@ -286,7 +287,7 @@
 
     /// Returns what is to be sent of the use of quotas in this round; nothing where no account has one.
     fn usage(&self, exchange: &mut Exchange, roster: &Roster, now: Instant) -> Vec<Outgoing> {
-        let view = self.board.view();
+        let view = self.state.view();
         let accounts = view.table().and_then(|table| table.accounts.as_ref());
         let accounts = accounts.into_iter().flatten();
         let rates = accounts.filter_map(|account| {
@@ -305,11 +306,11 @@
             quotas: &quotas,
             now,
         };
-        let sends = exchange.round(roster, &own, &accounts, now);
-        if roster.collects() {
+        let outgoing = exchange.round(roster, &own, &accounts, now);
+        if roster.is_collector() {
             quotas.hear(exchange.totals().clone(), now);
         }
-        sends
+        outgoing
     }
 }
 
@@ -331,25 +332,25 @@
 }
 
 /// Tells the others and hears them, for ever.
-pub async fn run(socket: Rc<UdpSocket>, shared: Shared) {
-    let Shared {
-        board,
-        books,
+pub async fn run(socket: Rc<UdpSocket>, context: Context) {
+    let Context {
+        state,
+        tracker,
         neighbours,
         claims,
         quotas,
         suspects,
         news,
-    } = &shared;
-    claims.open(Rc::clone(&socket));
+    } = &context;
+    claims.set_socket(Rc::clone(&socket));
     let mut exchange = Exchange::default();
-    let mut comparing = suspicions::Exchange::default();
-    let mut telling: Option<time::Instant> = None;
-    let mut pace = time::interval(PACE);
-    pace.set_missed_tick_behavior(time::MissedTickBehavior::Delay);
-    let mut buffer = vec![0; LONGEST];
+    let mut suspect_exchange = suspicions::Exchange::default();
+    let mut suspects_due: Option<time::Instant> = None;
+    let mut ticks = time::interval(REPORT_INTERVAL);
+    ticks.set_missed_tick_behavior(time::MissedTickBehavior::Delay);
+    let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
     let mut roster = Roster::default();
-    let mut known = board.view();
+    let mut known_view = state.view();
     loop {
         tokio::select! {
             received = socket.recv_from(&mut buffer) => {
@@ -359,66 +360,66 @@
                 let now = Instant::now();
                 match datagram {
                     Datagram::Claim { number, target, reading_ms } => {
-                        let answer = claims.coordinate(number, target, reading_ms, now);
+                        let answer = claims.receive_claim(number, target, reading_ms, now);
                         send(&socket, &answer, [sender]).await;
                     }
-                    Datagram::Claimed { number, flights, reading_ms } => {
+                    Datagram::Claimed { number, in_flight, reading_ms } => {
                         let reading_us = u64::from(reading_ms) * 1_000;
-                        let load = Load { flights, reading_us };
-                        claims.answer(number, load);
+                        let load = Load { in_flight, reading_us };
+                        claims.receive_answer(number, load);
                     }
                     Datagram::Used { .. } | Datagram::ZoneUsed { .. } | Datagram::AllUsed { .. } => {
-                        if exchange.hear(datagram, now) {
+                        if exchange.receive(datagram, now) {
                             let totals = exchange.totals().clone();
                             quotas.borrow_mut().hear(totals, now);
                         }
                     }
                     Datagram::Suspects { for_all, part } => {
-                        shared.hear_suspects(&roster, &part, for_all);
+                        context.receive_suspects(&roster, &part, for_all);
                     }
-                    Datagram::SuspectSum { sum, is_answer } => {
-                        let answers = suspicions::answers(&roster, &suspects.borrow(), sum, is_answer);
+                    Datagram::SuspectSum { digest, is_answer } => {
+                        let answers = suspicions::answers(&roster, &suspects.borrow(), digest, is_answer);
                         for answer in answers {
                             send(&socket, &answer, [sender]).await;
                         }
                     }
-                    datagram => neighbours.borrow_mut().hear(datagram, now),
+                    datagram => neighbours.borrow_mut().receive(datagram, now),
                 }
             }
-            () = news.notified(), if telling.is_none() => {
-                telling = Some(time::Instant::now() + GATHER);
+            () = news.notified(), if suspects_due.is_none() => {
+                suspects_due = Some(time::Instant::now() + SUSPECT_BATCH_DELAY);
             }
-            () = time::sleep_until(telling.unwrap_or_else(time::Instant::now)), if telling.is_some() => {
-                telling = None;
-                let sends = suspicions::news(&roster, &mut suspects.borrow_mut());
-                send_all(&socket, &board.view(), sends).await;
+            () = time::sleep_until(suspects_due.unwrap_or_else(time::Instant::now)), if suspects_due.is_some() => {
+                suspects_due = None;
+                let outgoing = suspicions::news(&roster, &mut suspects.borrow_mut());
+                send_all(&socket, &state.view(), outgoing).await;
             }
-            _ = pace.tick() => {
+            _ = ticks.tick() => {
                 claims.expire(Instant::now());
-                let view = board.view();
-                let own = books.borrow().by_target();
+                let view = state.view();
+                let own = tracker.borrow().by_target();
                 let own = own.into_iter().map(|(target, load)| (key(&target), load));
-                if roster.instance().is_empty() || !Arc::ptr_eq(&known.instances, &view.instances) {
+                if roster.instance().is_empty() || !Arc::ptr_eq(&known_view.instances, &view.instances) {
                     roster = Roster::new(&view);
-                    known = Arc::clone(&view);
+                    known_view = Arc::clone(&view);
                 }
                 let now = Instant::now();
-                let mut sends = neighbours.borrow_mut().round(&roster, own.collect(), now);
-                sends.extend(shared.usage(&mut exchange, &roster, now));
-                sends.extend(comparing.round(&roster, &suspects.borrow()));
-                sends.extend(suspicions::news(&roster, &mut suspects.borrow_mut()));
-                send_all(&socket, &view, sends).await;
+                let mut outgoing = neighbours.borrow_mut().round(&roster, own.collect(), now);
+                outgoing.extend(context.usage(&mut exchange, &roster, now));
+                outgoing.extend(suspect_exchange.round(&roster, &suspects.borrow()));
+                outgoing.extend(suspicions::news(&roster, &mut suspects.borrow_mut()));
+                send_all(&socket, &view, outgoing).await;
             }
         }
     }
 }
 
-async fn send_all(socket: &UdpSocket, view: &View, sends: Vec<Outgoing>) {
+async fn send_all(socket: &UdpSocket, view: &View, outgoing: Vec<Outgoing>) {
     let address = |name: &id::Instance| {
         let presence: &Presence = view.instances.by_name().get(name)?;
         presence.forward.parse().ok()
     };
-    for sent in sends {
+    for sent in outgoing {
         send(socket, &sent.datagram, sent.to.iter().filter_map(address)).await;
     }
 }
--- a/crates/zinniastall-gateway/src/neighbours/claims.rs
+++ b/crates/zinniastall-gateway/src/neighbours/claims.rs
@@ -29,33 +29,33 @@
 use crate::{decide::warm, view::View};
 
 /// Time for which a claim counts at its coordinator: until sums contain the request mostly.
-const RECENT: Duration = Duration::from_millis(150);
+const CLAIM_TTL: Duration = Duration::from_millis(150);
 /// Longest wait for a coordinator's answer: a few round trips between zones of a region.
-const ANSWER: Duration = Duration::from_millis(12);
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(12);
 /// Time for which a coordinator that gave no answer isn't asked again.
-const SILENT: Duration = Duration::from_millis(500);
+const SILENT_BACKOFF: Duration = Duration::from_millis(500);
 /// Claims of one target that are remembered; a target gets a few hundred requests a second at most.
-const MOST: usize = 256;
+const MAX_CLAIMS_PER_TARGET: usize = 256;
 
 /// Claims of the last moments, as the coordinator of their targets counts them.
 #[derive(Debug, Default)]
-pub struct Recent {
+pub struct History {
     claims: IndexMap<Key, VecDeque<(Instant, u64)>>,
 }
 
-impl Recent {
+impl History {
     /// Notes a claim of one request; returns what was claimed of the target in the moments before.
     pub fn claim(&mut self, target: Key, reading_us: u64, now: Instant) -> Load {
-        let is_recent = |since: Instant| now.saturating_duration_since(since) < RECENT;
+        let is_live = |since: Instant| now.saturating_duration_since(since) < CLAIM_TTL;
         let claims = self.claims.entry(target).or_default();
-        claims.retain(|(since, _)| is_recent(*since));
+        claims.retain(|(since, _)| is_live(*since));
         let reading = claims.iter().map(|(_, reading_us)| *reading_us);
         let claimed_us = reading.fold(0, u64::saturating_add);
         let before = Load {
-            flights: u32::try_from(claims.len()).unwrap_or(u32::MAX),
+            in_flight: u32::try_from(claims.len()).unwrap_or(u32::MAX),
             reading_us: claimed_us,
         };
-        if claims.len() < MOST {
+        if claims.len() < MAX_CLAIMS_PER_TARGET {
             claims.push_back((now, reading_us));
         }
         before
@@ -63,9 +63,9 @@
 
     /// Forgets targets without recent claims.
     pub fn expire(&mut self, now: Instant) {
-        let is_recent = |since: Instant| now.saturating_duration_since(since) < RECENT;
+        let is_live = |since: Instant| now.saturating_duration_since(since) < CLAIM_TTL;
         self.claims
-            .retain(|_, claims| claims.back().is_some_and(|(since, _)| is_recent(*since)));
+            .retain(|_, claims| claims.back().is_some_and(|(since, _)| is_live(*since)));
     }
 }
 
@@ -73,15 +73,15 @@
 #[derive(Debug, Default)]
 pub struct Claims {
     socket: RefCell<Option<Rc<UdpSocket>>>,
-    recent: RefCell<Recent>,
-    waiting: RefCell<IndexMap<u32, oneshot::Sender<Load>>>,
-    silent: RefCell<IndexMap<id::Instance, Instant>>,
-    last: Cell<u32>,
+    history: RefCell<History>,
+    pending: RefCell<IndexMap<u32, oneshot::Sender<Load>>>,
+    silent_until: RefCell<IndexMap<id::Instance, Instant>>,
+    last_number: Cell<u32>,
 }
 
 impl Claims {
     /// Sets the socket over which coordinators are asked; without one no claims are made.
-    pub fn open(&self, socket: Rc<UdpSocket>) {
+    pub fn set_socket(&self, socket: Rc<UdpSocket>) {
         self.socket.replace(Some(socket));
     }
 
@@ -93,32 +93,32 @@
         let coordinator = warm::sender(target, names.map(|held| held.instance.as_str()))?;
         let key = key(target);
         if coordinator == view.instance {
-            let mut recent = self.recent.borrow_mut();
-            return Some(recent.claim(key, reading_us, Instant::now()));
+            let mut history = self.history.borrow_mut();
+            return Some(history.claim(key, reading_us, Instant::now()));
         }
         if self.is_silent(coordinator) {
             return None;
         }
         let presence = view.instances.by_name().get(coordinator)?;
         let address: SocketAddr = presence.forward.parse().ok()?;
-        let load = self.ask(&socket, address, key, reading_us).await;
+        let load = self.request(&socket, address, key, reading_us).await;
         if load.is_none() {
-            let until = Instant::now() + SILENT;
-            let mut silent = self.silent.borrow_mut();
-            silent.insert(coordinator.to_owned(), until);
+            let until = Instant::now() + SILENT_BACKOFF;
+            let mut silent_until = self.silent_until.borrow_mut();
+            silent_until.insert(coordinator.to_owned(), until);
         }
         load
     }
 
-    async fn ask(
+    async fn request(
         &self,
         socket: &UdpSocket,
         address: SocketAddr,
         target: Key,
         reading_us: u64,
     ) -> Option<Load> {
-        let number = self.last.get().wrapping_add(1);
-        self.last.set(number);
+        let number = self.last_number.get().wrapping_add(1);
+        self.last_number.set(number);
         let claim = Datagram::Claim {
             number,
             target,
@@ -126,46 +126,54 @@
         };
         let bytes = claim.encode().ok()?;
         let (answer, answered) = oneshot::channel();
-        self.waiting.borrow_mut().insert(number, answer);
+        self.pending.borrow_mut().insert(number, answer);
         // A claim that can't be sent is like one that isn't answered.
         let _ = socket.send_to(&bytes, address).await;
-        let answered = time::timeout(ANSWER, answered).await;
-        self.waiting.borrow_mut().swap_remove(&number);
+        let answered = time::timeout(ANSWER_TIMEOUT, answered).await;
+        self.pending.borrow_mut().swap_remove(&number);
         answered.ok()?.ok()
     }
 
     fn is_silent(&self, coordinator: &str) -> bool {
-        let silent = self.silent.borrow();
-        silent
+        let silent_until = self.silent_until.borrow();
+        silent_until
             .get(coordinator)
             .is_some_and(|until| *until > Instant::now())
     }
 
     /// Takes another instance's claim in; returns the answer.
-    pub fn coordinate(&self, number: u32, target: Key, reading_ms: u32, now: Instant) -> Datagram {
+    pub fn receive_claim(
+        &self,
+        number: u32,
+        target: Key,
+        reading_ms: u32,
+        now: Instant,
+    ) -> Datagram {
         let reading = u64::from(reading_ms) * 1_000;
-        let before = self.recent.borrow_mut().claim(target, reading, now);
+        let before = self.history.borrow_mut().claim(target, reading, now);
         Datagram::Claimed {
             number,
-            flights: before.flights,
+            in_flight: before.in_flight,
             reading_ms: u32::try_from(before.reading_us / 1_000).unwrap_or(u32::MAX),
         }
     }
 
     /// Takes a coordinator's answer in.
-    pub fn answer(&self, number: u32, load: Load) {
-        if let Some(waiting) = self.waiting.borrow_mut().swap_remove(&number) {
+    pub fn receive_answer(&self, number: u32, load: Load) {
+        if let Some(pending) = self.pending.borrow_mut().swap_remove(&number) {
             // Who asked may have given up in this moment.
-            let _ = waiting.send(load);
+            let _ = pending.send(load);
         }
     }
 
     /// Forgets what is too old.
     pub fn expire(&self, now: Instant) {
-        self.recent.borrow_mut().expire(now);
-        self.silent.borrow_mut().retain(|_, until| *until > now);
+        self.history.borrow_mut().expire(now);
+        self.silent_until
+            .borrow_mut()
+            .retain(|_, until| *until > now);
         // A request whose caller has left waits no more.
-        let mut waiting = self.waiting.borrow_mut();
-        waiting.retain(|_, answer| !answer.is_closed());
+        let mut pending = self.pending.borrow_mut();
+        pending.retain(|_, answer| !answer.is_closed());
     }
 }
--- a/crates/zinniastall-gateway/src/neighbours/collector.rs
+++ b/crates/zinniastall-gateway/src/neighbours/collector.rs
@@ -10,14 +10,14 @@
 use crate::{decide::warm::weight, view::View};
 
 /// Neighbours up to which each instance reports to all others: reports to all grow with the square.
-const SMALL: usize = 8;
+const MAX_DIRECT_NEIGHBOURS: usize = 8;
 /// Collectors of a zone: one that works, and one that takes over when it falls silent.
-const COLLECTORS: usize = 2;
+const COLLECTORS_PER_ZONE: usize = 2;
 
 /// Tells whether the region has so few instances that each reports to all others.
 pub fn is_small(view: &View) -> bool {
     let mut near = view.instances.in_region(&view.place.region);
-    near.nth(SMALL + 1).is_none()
+    near.nth(MAX_DIRECT_NEIGHBOURS + 1).is_none()
 }
 
 /// The instances of this region, as far as reports are concerned.
@@ -28,8 +28,8 @@
     neighbours: Vec<id::Instance>,
     zone_members: Vec<id::Instance>,
     own_collectors: Vec<id::Instance>,
-    other_collectors: Vec<id::Instance>,
-    far_collectors: Vec<id::Instance>,
+    region_collectors: Vec<id::Instance>,
+    remote_collectors: Vec<id::Instance>,
     zones: IndexSet<id::Zone>,
     instances: IndexSet<id::Instance>,
 }
@@ -56,9 +56,9 @@
             if place.zone == roster.zone {
                 roster.own_collectors = collectors;
             } else if place.region == view.place.region {
-                roster.other_collectors.extend(collectors);
+                roster.region_collectors.extend(collectors);
             } else {
-                roster.far_collectors.extend(collectors);
+                roster.remote_collectors.extend(collectors);
             }
             roster.zones.insert(place.zone.clone());
         }
@@ -80,46 +80,46 @@
 
     /// Tells whether each instance reports to all others.
     pub const fn is_small(&self) -> bool {
-        self.neighbours.len() <= SMALL
+        self.neighbours.len() <= MAX_DIRECT_NEIGHBOURS
     }
 
     /// Tells whether this instance is a collector of its zone.
-    pub fn collects(&self) -> bool {
+    pub fn is_collector(&self) -> bool {
         self.own_collectors.contains(&self.instance)
     }
 
     /// Tells whether it is the first one.
-    pub fn is_first(&self) -> bool {
+    pub fn is_first_collector(&self) -> bool {
         self.own_collectors.first() == Some(&self.instance)
     }
 
     /// Returns the instances to which this one reports its load.
-    pub fn reports_to(&self) -> Vec<id::Instance> {
+    pub fn report_recipients(&self) -> Vec<id::Instance> {
         if self.is_small() {
             return self.neighbours.clone();
         }
-        self.collectors_beside()
+        self.peer_collectors()
     }
 
     /// Returns the collectors of its zone but for itself.
-    pub fn collectors_beside(&self) -> Vec<id::Instance> {
+    pub fn peer_collectors(&self) -> Vec<id::Instance> {
         let collectors = self.own_collectors.iter();
         let others = collectors.filter(|name| **name != self.instance);
         others.cloned().collect()
     }
 
     /// Returns the collectors of the region's other zones.
-    pub fn other_collectors(&self) -> &[id::Instance] {
-        &self.other_collectors
+    pub fn region_collectors(&self) -> &[id::Instance] {
+        &self.region_collectors
     }
 
     /// Returns the collectors of the zones of other regions.
-    pub fn far_collectors(&self) -> &[id::Instance] {
-        &self.far_collectors
+    pub fn remote_collectors(&self) -> &[id::Instance] {
+        &self.remote_collectors
     }
 
     /// Tells whether an instance is alive.
-    pub fn has(&self, instance: &str) -> bool {
+    pub fn contains(&self, instance: &str) -> bool {
         self.instances.contains(instance)
     }
 
@@ -134,7 +134,7 @@
     }
 
     /// Tells whether a zone has instances that are alive.
-    pub fn has_zone(&self, zone: &str) -> bool {
+    pub fn contains_zone(&self, zone: &str) -> bool {
         self.zones.contains(zone)
     }
 
@@ -153,6 +153,6 @@
 /// where no other one is left.
 fn collectors(mut members: Vec<&Presence>, zone: &str) -> Vec<id::Instance> {
     members.sort_by_cached_key(|held| (held.ready, weight(zone, &held.instance)));
-    let first = members.into_iter().rev().take(COLLECTORS);
+    let first = members.into_iter().rev().take(COLLECTORS_PER_ZONE);
     first.map(|held| held.instance.clone()).collect()
 }
--- a/crates/zinniastall-gateway/src/neighbours/datagram.rs
+++ b/crates/zinniastall-gateway/src/neighbours/datagram.rs
@@ -9,12 +9,12 @@
 use crate::decide::warm;
 
 /// Longest datagram, in bytes; one that is longer would be cut into packets and lost with any of them.
-pub const LONGEST: usize = 1_400;
+pub const MAX_DATAGRAM_BYTES: usize = 1_400;
 /// Targets of one datagram: each takes 16 bytes at most.
-const TARGETS: usize = 75;
+const MAX_TARGETS_PER_DATAGRAM: usize = 75;
 
 /// Number of a round of one instance; the same in all parts that are sent at once.
-pub type Turn = u32;
+pub type Round = u32;
 
 /// A target, as datagrams name it: a hash of its name. Where two of a region's targets share one, each counts
 /// for the other's load as well, until one of them ends.
@@ -25,7 +25,7 @@
 pub struct Part {
     /// Turn of the sender.
     #[serde(rename = "t")]
-    pub turn: Turn,
+    pub round: Round,
     #[serde(rename = "l")]
     loads: Vec<(Key, u32, u32)>,
 }
@@ -58,7 +58,7 @@
     Region {
         /// Turn of the receiver's report that the sum contains; 0 for none.
         #[serde(rename = "n")]
-        included: Turn,
+        included: Round,
         /// Sum of all instances' loads.
         #[serde(rename = "p")]
         part: Part,
@@ -105,7 +105,7 @@
     SuspectSum {
         /// Digest.
         #[serde(rename = "n")]
-        sum: u64,
+        digest: u64,
         /// Whether it answers another one.
         #[serde(rename = "b")]
         is_answer: bool,
@@ -131,7 +131,7 @@
         number: u32,
         /// Requests.
         #[serde(rename = "f")]
-        flights: u32,
+        in_flight: u32,
         /// Expected time to read their prompts, in milliseconds.
         #[serde(rename = "r")]
         reading_ms: u32,
@@ -140,11 +140,11 @@
 
 /// Why a datagram can't be sent.
 #[derive(Debug, thiserror::Error)]
-pub enum Unsent {
+pub enum Error {
     /// It can't be encoded.
     #[error("it can't be encoded")]
     Encode(#[from] ciborium::ser::Error<io::Error>),
-    /// It is longer than [`LONGEST`].
+    /// It is longer than [`MAX_DATAGRAM_BYTES`].
     #[error("{0} bytes are too many")]
     Long(usize),
 }
@@ -154,12 +154,12 @@
     ///
     /// # Errors
     ///
-    /// [`Unsent`] says why it can't be sent.
-    pub fn encode(&self) -> Result<Vec<u8>, Unsent> {
+    /// [`Error`] says why it can't be sent.
+    pub fn encode(&self) -> Result<Vec<u8>, Error> {
         let mut bytes = Vec::new();
         ciborium::into_writer(self, &mut bytes)?;
-        if bytes.len() > LONGEST {
-            return Err(Unsent::Long(bytes.len()));
+        if bytes.len() > MAX_DATAGRAM_BYTES {
+            return Err(Error::Long(bytes.len()));
         }
         Ok(bytes)
     }
@@ -178,9 +178,9 @@
     /// Returns the loads.
     pub fn loads(&self) -> impl Iterator<Item = (Key, Load)> {
         let loads = self.loads.iter();
-        loads.map(|(target, flights, reading_ms)| {
+        loads.map(|(target, in_flight, reading_ms)| {
             let load = Load {
-                flights: *flights,
+                in_flight: *in_flight,
                 reading_us: u64::from(*reading_ms) * 1_000,
             };
             (*target, load)
@@ -189,20 +189,20 @@
 }
 
 /// Cuts loads into parts that fit into a datagram each; one empty part where there are none.
-pub fn parts(turn: Turn, loads: &Loads) -> Vec<Part> {
+pub fn parts(round: Round, loads: &Loads) -> Vec<Part> {
     let entry = |(target, load): (&Key, &Load)| {
         let reading_ms = u32::try_from(load.reading_us / 1_000).unwrap_or(u32::MAX);
-        (*target, load.flights, reading_ms)
+        (*target, load.in_flight, reading_ms)
     };
     let entries: Vec<_> = loads.iter().map(entry).collect();
     let part = |loads: &[(Key, u32, u32)]| Part {
-        turn,
+        round,
         loads: loads.to_vec(),
     };
     if entries.is_empty() {
         return vec![part(&[])];
     }
-    entries.chunks(TARGETS).map(part).collect()
+    entries.chunks(MAX_TARGETS_PER_DATAGRAM).map(part).collect()
 }
 
 /// Returns the key of a target.
--- a/crates/zinniastall-gateway/src/neighbours/reports.rs
+++ b/crates/zinniastall-gateway/src/neighbours/reports.rs
@@ -9,71 +9,71 @@
 
 use super::{
     Load, Loads,
-    datagram::{Key, Part, Turn},
+    datagram::{Key, Part, Round},
 };
 
 /// Last reports by sender.
 #[derive(Debug)]
 pub(super) struct Reports<S> {
-    held: IndexMap<S, Report>,
+    by_sender: IndexMap<S, Report>,
 }
 
 #[derive(Debug)]
 struct Report {
-    turn: Turn,
-    since: Instant,
+    round: Round,
+    received_at: Instant,
     loads: Loads,
 }
 
 impl<S> Default for Reports<S> {
     fn default() -> Self {
         Self {
-            held: IndexMap::new(),
+            by_sender: IndexMap::new(),
         }
     }
 }
 
 impl<S: Hash + Eq + Clone> Reports<S> {
     /// Takes a report, or a part of it; a part of another turn replaces what was reported before.
-    pub(super) fn hear(&mut self, sender: S, part: &Part, now: Instant) {
+    pub(super) fn receive(&mut self, sender: S, part: &Part, now: Instant) {
         let new = || Report {
-            turn: part.turn,
-            since: now,
+            round: part.round,
+            received_at: now,
             loads: Loads::default(),
         };
-        let held = self.held.entry(sender).or_insert_with(new);
-        if held.turn != part.turn {
+        let held = self.by_sender.entry(sender).or_insert_with(new);
+        if held.round != part.round {
             *held = new();
         }
-        held.since = now;
+        held.received_at = now;
         held.loads.extend(part.loads());
     }
 
     /// Notes a whole report.
-    pub(super) fn keep(&mut self, sender: &S, turn: Turn, loads: Loads, now: Instant) {
+    pub(super) fn insert(&mut self, sender: &S, round: Round, loads: Loads, now: Instant) {
         let report = Report {
-            turn,
-            since: now,
+            round,
+            received_at: now,
             loads,
         };
-        self.held.insert(sender.clone(), report);
+        self.by_sender.insert(sender.clone(), report);
     }
 
     /// Returns the turn of a sender's last report; 0 for none.
-    pub(super) fn turn(&self, sender: &S) -> Turn {
-        self.held.get(sender).map_or(0, |held| held.turn)
+    pub(super) fn round(&self, sender: &S) -> Round {
+        self.by_sender.get(sender).map_or(0, |held| held.round)
     }
 
     /// Forgets reports that are too old.
-    pub(super) fn expire(&mut self, now: Instant, old: Duration) {
-        let is_fresh = |held: &Report| now.saturating_duration_since(held.since) < old;
-        self.held.retain(|_, held| is_fresh(held));
+    pub(super) fn expire(&mut self, now: Instant, ttl: Duration) {
+        let is_fresh = |held: &Report| now.saturating_duration_since(held.received_at) < ttl;
+        self.by_sender.retain(|_, held| is_fresh(held));
     }
 
     /// Returns the sum at one target over all reports that are not too old.
-    pub(super) fn at(&self, target: Key, now: Instant, old: Duration) -> Load {
-        let is_fresh = |held: &&Report| now.saturating_duration_since(held.since) < old;
-        let fresh = self.held.values().filter(is_fresh);
+    pub(super) fn load_at(&self, target: Key, now: Instant, ttl: Duration) -> Load {
+        let is_fresh = |held: &&Report| now.saturating_duration_since(held.received_at) < ttl;
+        let fresh = self.by_sender.values().filter(is_fresh);
         let loads = fresh.filter_map(|held| held.loads.get(&target));
         loads.fold(Load::default(), |sum, load| sum.plus(*load))
     }
@@ -81,7 +81,7 @@
     /// Returns the sum of all reports.
     pub(super) fn sum(&self) -> Loads {
         let mut sum = Loads::default();
-        for held in self.held.values() {
+        for held in self.by_sender.values() {
             add(&mut sum, &held.loads);
         }
         sum
--- a/crates/zinniastall-gateway/src/neighbours/suspicions.rs
+++ b/crates/zinniastall-gateway/src/neighbours/suspicions.rs
@@ -15,11 +15,11 @@
 use crate::suspects::{Change, Scope, Suspects};
 
 /// Suspicions of one datagram: each takes 70 bytes at most.
-const ENTRIES: usize = 18;
+const MAX_ENTRIES_PER_DATAGRAM: usize = 18;
 /// Rounds between two comparisons.
-const COMPARE: u32 = 10;
+const COMPARISON_ROUNDS: u32 = 10;
 /// Datagrams with which a difference is answered at most; the next comparison brings more.
-const ANSWERS: usize = 8;
+const MAX_ANSWERS: usize = 8;
 
 /// Some suspicions.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
@@ -35,23 +35,23 @@
     /// Returns what is to be sent to compare what is known, in a round.
     pub fn round(&mut self, roster: &Roster, suspects: &Suspects) -> Option<Outgoing> {
         let round = self.round;
-        let others = if roster.collects() {
-            partners(roster)
+        let others = if roster.is_collector() {
+            peer_collectors(roster)
         } else {
-            roster.collectors_beside()
+            roster.peer_collectors()
         };
         if others.is_empty() {
             return None;
         }
         self.round = round.wrapping_add(1);
-        if !round.is_multiple_of(COMPARE) {
+        if !round.is_multiple_of(COMPARISON_ROUNDS) {
             return None;
         }
-        let at = (round / COMPARE) as usize % others.len();
+        let at = (round / COMPARISON_ROUNDS) as usize % others.len();
         Some(Outgoing {
             to: vec![others[at].clone()],
             datagram: Datagram::SuspectSum {
-                sum: suspects.sum(),
+                digest: suspects.digest(),
                 is_answer: false,
             },
         })
@@ -62,7 +62,7 @@
 ///
 /// News goes on to the instances of the zone where this instance is a collector, and to all where the sender has left
 /// that to it (`for_all`).
-pub fn hear(
+pub fn receive(
     roster: &Roster,
     suspects: &mut Suspects,
     part: &Part,
@@ -70,10 +70,10 @@
     now: Instant,
 ) -> Vec<Fingerprint> {
     let scope = if for_all { Scope::All } else { Scope::Zone };
-    let scope = Some(scope).filter(|_| roster.collects());
+    let scope = Some(scope).filter(|_| roster.is_collector());
     let mut quarantined = Vec::new();
     for (request, suspicion) in &part.0 {
-        if suspects.hear(*request, suspicion, scope, now) == Change::Quarantined {
+        if suspects.merge(*request, suspicion, scope, now) == Change::Quarantined {
             quarantined.push(*request);
         }
     }
@@ -82,7 +82,7 @@
 
 /// Returns the news of an instance.
 pub fn news(roster: &Roster, suspects: &mut Suspects) -> Vec<Outgoing> {
-    let (far, near): (Vec<_>, Vec<_>) = suspects
+    let (global, local): (Vec<_>, Vec<_>) = suspects
         .news()
         .into_iter()
         .partition(|(scope, ..)| *scope == Scope::All);
@@ -91,28 +91,33 @@
         let entries = entries.map(|(_, request, suspicion)| (request, suspicion));
         entries.collect::<Vec<_>>()
     };
-    let (far, near) = (entries(far), entries(near));
-    if !roster.collects() {
-        return tell(&roster.collectors_beside(), &far, true);
+    let (global, local) = (entries(global), entries(local));
+    if !roster.is_collector() {
+        return messages(&roster.peer_collectors(), &global, true);
     }
-    let mut sends = tell(&partners(roster), &far, false);
-    sends.extend(tell(roster.zone_members(), &far, false));
-    sends.extend(tell(roster.zone_members(), &near, false));
-    sends
+    let mut outgoing = messages(&peer_collectors(roster), &global, false);
+    outgoing.extend(messages(roster.zone_members(), &global, false));
+    outgoing.extend(messages(roster.zone_members(), &local, false));
+    outgoing
 }
 
 /// Returns the answers to another instance's digest.
-pub fn answers(roster: &Roster, suspects: &Suspects, sum: u64, is_answer: bool) -> Vec<Datagram> {
-    let own = suspects.sum();
-    if own == sum {
+pub fn answers(
+    roster: &Roster,
+    suspects: &Suspects,
+    digest: u64,
+    is_answer: bool,
+) -> Vec<Datagram> {
+    let own = suspects.digest();
+    if own == digest {
         return Vec::new();
     }
     let strong = suspects.strong();
-    let parts = parts(&strong, !roster.collects());
-    let mut answers: Vec<Datagram> = parts.into_iter().take(ANSWERS).collect();
+    let parts = parts(&strong, !roster.is_collector());
+    let mut answers: Vec<Datagram> = parts.into_iter().take(MAX_ANSWERS).collect();
     if !is_answer {
         answers.push(Datagram::SuspectSum {
-            sum: own,
+            digest: own,
             is_answer: true,
         });
     }
@@ -120,22 +125,26 @@
 }
 
 /// Returns the other collectors, of this zone and all others.
-fn partners(roster: &Roster) -> Vec<id::Instance> {
-    let beside = roster.collectors_beside().into_iter();
-    let others = roster.other_collectors().iter();
-    let others = others.chain(roster.far_collectors());
+fn peer_collectors(roster: &Roster) -> Vec<id::Instance> {
+    let beside = roster.peer_collectors().into_iter();
+    let others = roster.region_collectors().iter();
+    let others = others.chain(roster.remote_collectors());
     beside.chain(others.cloned()).collect()
 }
 
-fn tell(to: &[id::Instance], entries: &[(Fingerprint, Suspicion)], for_all: bool) -> Vec<Outgoing> {
+fn messages(
+    to: &[id::Instance],
+    entries: &[(Fingerprint, Suspicion)],
+    for_all: bool,
+) -> Vec<Outgoing> {
     if to.is_empty() {
         return Vec::new();
     }
-    let tell = |datagram| Outgoing {
+    let message = |datagram| Outgoing {
         to: to.to_vec(),
         datagram,
     };
-    parts(entries, for_all).into_iter().map(tell).collect()
+    parts(entries, for_all).into_iter().map(message).collect()
 }
 
 fn parts(entries: &[(Fingerprint, Suspicion)], for_all: bool) -> Vec<Datagram> {
@@ -143,5 +152,5 @@
         for_all,
         part: Part(entries.to_vec()),
     };
-    entries.chunks(ENTRIES).map(part).collect()
+    entries.chunks(MAX_ENTRIES_PER_DATAGRAM).map(part).collect()
 }
--- a/crates/zinniastall-gateway/src/neighbours/usage.rs
+++ b/crates/zinniastall-gateway/src/neighbours/usage.rs
@@ -14,23 +14,23 @@
 use zinniastall_model::id;
 
 use super::{
-    Outgoing, TAKE_OVER,
+    Outgoing, TAKEOVER_TIMEOUT,
     collector::Roster,
-    datagram::{Datagram, Turn},
+    datagram::{Datagram, Round},
 };
 use crate::decide::quota::{Key, Total, Totals, Usage, Usages};
 
 /// Age at which a report counts as that of a silent instance or zone.
-const SILENT: Duration = Duration::from_millis(600);
+const SILENCE_TIMEOUT: Duration = Duration::from_millis(600);
 /// Silence within which an instance that is listed no more has ended: its links broke, and were not merely cut,
 /// since replicas take longer to notice that.
-const ENDED: Duration = Duration::from_millis(2_300);
+const SHUTDOWN_SILENCE: Duration = Duration::from_millis(2_300);
 /// Silence after which an instance that is listed no more is forgotten: its configuration is relied on no more.
-const FORGOTTEN: Duration = Duration::from_secs(5);
+const RESERVATION_TTL: Duration = Duration::from_secs(5);
 /// Rounds between two reports to other regions.
-const FAR: u32 = 2;
+const REMOTE_REPORT_ROUNDS: u32 = 2;
 /// Accounts of one datagram: each takes 42 bytes at most.
-const ACCOUNTS: usize = 30;
+const MAX_ACCOUNTS_PER_DATAGRAM: usize = 30;
 
 /// Use of one account.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
@@ -41,10 +41,10 @@
 pub struct Part {
     /// Turn of the sender.
     #[serde(rename = "t")]
-    pub turn: Turn,
+    pub round: Round,
     /// Which part of the turn's it is, and how many there are.
     #[serde(rename = "p")]
-    place: (usize, usize),
+    position: (usize, usize),
     #[serde(rename = "u")]
     usages: Vec<Entry>,
 }
@@ -63,48 +63,48 @@
 pub struct Exchange {
     instances: IndexMap<id::Instance, Report>,
     zones: IndexMap<id::Zone, Report>,
-    turn: Turn,
+    round: Round,
     totals: Totals,
     /// Totals of a turn of which some parts are still to come.
-    coming: Coming,
+    partial: PartialTotals,
     /// When a collector's totals last came.
-    heard: Option<Instant>,
+    last_totals_at: Option<Instant>,
 }
 
 /// Parts of a collector's totals that have come so far.
 #[derive(Debug, Default)]
-struct Coming {
-    turn: Turn,
-    places: IndexSet<usize>,
+struct PartialTotals {
+    round: Round,
+    positions: IndexSet<usize>,
     totals: Totals,
 }
 
 #[derive(Debug)]
 struct Report {
-    turn: Turn,
-    heard: Instant,
+    round: Round,
+    received_at: Instant,
     usages: Usages,
     /// What all were let in for when the report came.
-    of_all: Usages,
+    system_usages: Usages,
 }
 
 impl Exchange {
     /// Takes a datagram in; tells whether it has brought new totals.
-    pub fn hear(&mut self, datagram: Datagram, now: Instant) -> bool {
+    pub fn receive(&mut self, datagram: Datagram, now: Instant) -> bool {
         match datagram {
             Datagram::Used { instance, part } => {
-                let of_all = usages(&self.totals);
-                hear(&mut self.instances, instance, &part, of_all, now);
+                let system_usages = usages(&self.totals);
+                receive(&mut self.instances, instance, &part, system_usages, now);
                 false
             }
             Datagram::ZoneUsed { zone, part } => {
-                let of_all = usages(&self.totals);
-                hear(&mut self.zones, zone, &part, of_all, now);
+                let system_usages = usages(&self.totals);
+                receive(&mut self.zones, zone, &part, system_usages, now);
                 false
             }
             Datagram::AllUsed { part } => {
-                self.heard = Some(now);
-                let whole = self.coming.add(&part);
+                self.last_totals_at = Some(now);
+                let whole = self.partial.add(&part);
                 whole.is_some_and(|totals| {
                     self.totals = totals;
                     true
@@ -128,8 +128,8 @@
         accounts: &dyn Accounts,
         now: Instant,
     ) -> Vec<Outgoing> {
-        self.turn = self.turn.wrapping_add(1).max(1);
-        let to = roster.collectors_beside();
+        self.round = self.round.wrapping_add(1).max(1);
+        let to = roster.peer_collectors();
         let report = |part| Outgoing {
             to: to.clone(),
             datagram: Datagram::Used {
@@ -137,27 +137,28 @@
                 part,
             },
         };
-        let mut sends: Vec<Outgoing> = parts(self.turn, own).into_iter().map(report).collect();
-        if roster.collects() {
-            let of_all = usages(&self.totals);
+        let mut outgoing: Vec<Outgoing> = parts(self.round, own).into_iter().map(report).collect();
+        if roster.is_collector() {
+            let system_usages = usages(&self.totals);
             let part = Report {
-                turn: self.turn,
-                heard: now,
+                round: self.round,
+                received_at: now,
                 usages: own.clone(),
-                of_all,
+                system_usages,
             };
             self.instances.insert(roster.instance().clone(), part);
-            sends.extend(self.collect(roster, accounts, now));
+            outgoing.extend(self.collect(roster, accounts, now));
         }
-        sends
+        outgoing
     }
 
     fn collect(&mut self, roster: &Roster, accounts: &dyn Accounts, now: Instant) -> Vec<Outgoing> {
-        let is_listed = |name: &id::Instance| *name == *roster.instance() || roster.has(name);
+        let is_listed = |name: &id::Instance| *name == *roster.instance() || roster.contains(name);
         expire(&mut self.instances, is_listed, now);
-        expire(&mut self.zones, |zone| roster.has_zone(zone), now);
-        let is_silent = |heard| now.saturating_duration_since(heard) >= TAKE_OVER;
-        if !roster.is_first() && !self.heard.is_none_or(is_silent) {
+        expire(&mut self.zones, |zone| roster.contains_zone(zone), now);
+        let is_silent =
+            |last_totals_at| now.saturating_duration_since(last_totals_at) >= TAKEOVER_TIMEOUT;
+        if !roster.is_first_collector() && !self.last_totals_at.is_none_or(is_silent) {
             return Vec::new();
         }
         let zone = sum(&self.instances, now);
@@ -173,9 +174,9 @@
             *held = held.saturating_add(units);
         }
         self.totals = totals(all, &reserved, accounts);
-        let mut sends = self.tell_zones(roster, &zone);
-        sends.extend(self.tell_instances(roster));
-        sends
+        let mut outgoing = self.zone_messages(roster, &zone);
+        outgoing.extend(self.totals_messages(roster));
+        outgoing
     }
 
     /// Returns what the silent among some senders may use: what they used last, and their share of what all
@@ -190,15 +191,20 @@
         let mut reserved: IndexMap<Key, u64> = IndexMap::new();
         let silent = reports.values().filter(|report| !report.is_fresh(now));
         for report in silent {
-            let keys = self.totals.keys().chain(report.of_all.keys());
+            let keys = self.totals.keys().chain(report.system_usages.keys());
             let keys: IndexSet<&Key> = keys.collect();
             for key in keys {
                 let Some(rate) = accounts.rate(*key) else {
                     continue;
                 };
                 let last = report.usages.get(key).copied().unwrap_or_default().used;
-                let of_all = report.of_all.get(key).copied().unwrap_or_default().used;
-                let spare = rate.saturating_sub(of_all) / sharing.max(1) as u64;
+                let system_usages = report
+                    .system_usages
+                    .get(key)
+                    .copied()
+                    .unwrap_or_default()
+                    .used;
+                let spare = rate.saturating_sub(system_usages) / sharing.max(1) as u64;
                 let held = reserved.entry(*key).or_default();
                 *held = held.saturating_add(last.saturating_add(spare));
             }
@@ -206,23 +212,23 @@
         reserved
     }
 
-    fn tell_zones(&self, roster: &Roster, zone: &Usages) -> Vec<Outgoing> {
-        let mut to = roster.other_collectors().to_vec();
-        if self.turn.is_multiple_of(FAR) {
-            to.extend(roster.far_collectors().iter().cloned());
+    fn zone_messages(&self, roster: &Roster, zone: &Usages) -> Vec<Outgoing> {
+        let mut to = roster.region_collectors().to_vec();
+        if self.round.is_multiple_of(REMOTE_REPORT_ROUNDS) {
+            to.extend(roster.remote_collectors().iter().cloned());
         }
-        let tell = |part| Outgoing {
+        let message = |part| Outgoing {
             to: to.clone(),
             datagram: Datagram::ZoneUsed {
                 zone: roster.zone().clone(),
                 part,
             },
         };
-        parts(self.turn, zone).into_iter().map(tell).collect()
+        parts(self.round, zone).into_iter().map(message).collect()
     }
 
-    fn tell_instances(&self, roster: &Roster) -> Vec<Outgoing> {
-        let tell = |part| Outgoing {
+    fn totals_messages(&self, roster: &Roster) -> Vec<Outgoing> {
+        let message = |part| Outgoing {
             to: roster.zone_members().to_vec(),
             datagram: Datagram::AllUsed { part },
         };
@@ -231,31 +237,34 @@
             Entry(*key, asked, used, total.reserved, total.past)
         };
         let entries: Vec<_> = self.totals.iter().map(entry).collect();
-        cut(self.turn, &entries).into_iter().map(tell).collect()
+        split(self.round, &entries)
+            .into_iter()
+            .map(message)
+            .collect()
     }
 }
 
-impl Coming {
+impl PartialTotals {
     /// Takes a part in; returns the totals once all parts of its turn are here. A turn of which a part is lost is
     /// left out: the accounts in it would seem to use nothing.
     fn add(&mut self, part: &Part) -> Option<Totals> {
-        if self.turn != part.turn {
+        if self.round != part.round {
             *self = Self {
-                turn: part.turn,
+                round: part.round,
                 ..Self::default()
             };
         }
-        let (place, all) = part.place;
-        let is_new = self.places.insert(place);
+        let (position, all) = part.position;
+        let is_new = self.positions.insert(position);
         self.totals.extend(part.totals());
-        let is_whole = is_new && self.places.len() == all;
+        let is_whole = is_new && self.positions.len() == all;
         is_whole.then(|| std::mem::take(&mut self.totals))
     }
 }
 
 impl Report {
     fn is_fresh(&self, now: Instant) -> bool {
-        now.saturating_duration_since(self.heard) < SILENT
+        now.saturating_duration_since(self.received_at) < SILENCE_TIMEOUT
     }
 }
 
@@ -282,33 +291,33 @@
     }
 }
 
-fn hear<S: std::hash::Hash + Eq>(
+fn receive<S: std::hash::Hash + Eq>(
     reports: &mut IndexMap<S, Report>,
     sender: S,
     part: &Part,
-    of_all: Usages,
+    system_usages: Usages,
     now: Instant,
 ) {
     let new = || Report {
-        turn: part.turn,
-        heard: now,
+        round: part.round,
+        received_at: now,
         usages: Usages::default(),
-        of_all: Usages::default(),
+        system_usages: Usages::default(),
     };
     let held = reports.entry(sender).or_insert_with(new);
-    if held.turn != part.turn {
+    if held.round != part.round {
         *held = new();
     }
-    held.heard = now;
-    held.of_all = of_all;
+    held.received_at = now;
+    held.system_usages = system_usages;
     held.usages.extend(part.usages());
 }
 
 /// Forgets senders that have ended, or can't use anything any more.
 fn expire<S>(reports: &mut IndexMap<S, Report>, is_listed: impl Fn(&S) -> bool, now: Instant) {
     reports.retain(|sender, report| {
-        let silence = now.saturating_duration_since(report.heard);
-        is_listed(sender) || (ENDED..FORGOTTEN).contains(&silence)
+        let silence = now.saturating_duration_since(report.received_at);
+        is_listed(sender) || (SHUTDOWN_SILENCE..RESERVATION_TTL).contains(&silence)
     });
 }
 
@@ -343,20 +352,20 @@
 }
 
 /// Cuts usages into parts that fit into a datagram each; one empty part where there are none.
-fn parts(turn: Turn, usages: &Usages) -> Vec<Part> {
+fn parts(round: Round, usages: &Usages) -> Vec<Part> {
     let entry = |(key, usage): (&Key, &Usage)| Entry(*key, usage.asked, usage.used, 0, None);
     let entries: Vec<_> = usages.iter().map(entry).collect();
-    cut(turn, &entries)
+    split(round, &entries)
 }
 
-fn cut(turn: Turn, entries: &[Entry]) -> Vec<Part> {
-    let all = entries.len().div_ceil(ACCOUNTS).max(1);
-    let part = |place| {
-        let rest = entries.iter().skip(place * ACCOUNTS);
+fn split(round: Round, entries: &[Entry]) -> Vec<Part> {
+    let all = entries.len().div_ceil(MAX_ACCOUNTS_PER_DATAGRAM).max(1);
+    let part = |position| {
+        let rest = entries.iter().skip(position * MAX_ACCOUNTS_PER_DATAGRAM);
         Part {
-            turn,
-            place: (place, all),
-            usages: rest.take(ACCOUNTS).copied().collect(),
+            round,
+            position: (position, all),
+            usages: rest.take(MAX_ACCOUNTS_PER_DATAGRAM).copied().collect(),
         }
     };
     (0..all).map(part).collect()
--- a/crates/zinniastall-gateway/src/path/answer.rs
+++ b/crates/zinniastall-gateway/src/path/answer.rs
@@ -10,7 +10,7 @@
 use zinniastall_http::server::Reply;
 
 use crate::{
-    names::{OUTCOME, RETRY_MS, SUSPICION},
+    headers::{OUTCOME, RETRY_MS, SUSPICION},
     suspects,
 };
 
@@ -171,7 +171,7 @@
         let mut answer = self.answer();
         let word = HeaderValue::from_static(self.outcome().word());
         answer.headers.insert(OUTCOME, word);
-        let suspicion = suspicion.and_then(suspects::field);
+        let suspicion = suspicion.and_then(suspects::header_value);
         answer
             .headers
             .extend(suspicion.map(|value| (SUSPICION, value)));
--- a/crates/zinniastall-gateway/src/path/attempt.rs
+++ b/crates/zinniastall-gateway/src/path/attempt.rs
@@ -25,8 +25,8 @@
     watch::watched,
 };
 use crate::{
-    books::Flight,
-    names::{OUTCOME, RETRY_MS},
+    headers::{OUTCOME, RETRY_MS},
+    tracker::Guard,
 };
 
 /// Answers to other requests that are skipped on a connection before it counts as broken.
@@ -170,7 +170,7 @@
             // What runs in another region is that region's load.
             Place::Instance { .. } => "",
         };
-        let mut flight = Flight::start(&self.books, name, service, attempt.reading_us, now);
+        let mut flight = Guard::start(&self.books, name, service, attempt.reading_us, now);
         let output = self.encode(attempt, events.last());
         let before = attempt.may_have_run.replace(true);
         let received = attempt
@@ -204,7 +204,7 @@
             )
             .await
         } else {
-            flight.begun();
+            flight.answer_started();
             let ended = self.whole(job, &response, &mut connection, client).await;
             self.note_work(attempt, &ended, now.elapsed());
             ended
@@ -309,7 +309,7 @@
         };
         if matches!(ended, Ended::Delivered) {
             let mut books = self.books.borrow_mut();
-            books.note_work(&attempt.job.service, took, attempt.ahead, *slots);
+            books.record_service_time(&attempt.job.service, took, attempt.ahead, *slots);
         }
     }
 
@@ -345,7 +345,7 @@
         attempt: &Attempt<'_>,
         response: &Response,
         connection: &mut Connection,
-        flight: &mut Flight,
+        flight: &mut Guard,
         events: &mut Events,
         client: &mut Client,
     ) -> Ended {
@@ -372,7 +372,7 @@
                 None => events.rest(),
             };
             if !whole.is_empty() {
-                flight.begun();
+                flight.answer_started();
             }
             if let Err(error) = hand_over(response, whole, is_end, client).await {
                 return Ended::Gone(error);
--- a/crates/zinniastall-gateway/src/path/crash.rs
+++ b/crates/zinniastall-gateway/src/path/crash.rs
@@ -22,7 +22,7 @@
     watch::is_refused,
 };
 use crate::{
-    names::SUSPICION,
+    headers::SUSPICION,
     suspects::{self, Change, Suspects},
 };
 
@@ -49,7 +49,7 @@
 
 impl Drop for Probe<'_> {
     fn drop(&mut self) {
-        self.suspects.borrow_mut().end(self.request);
+        self.suspects.borrow_mut().end_probe(self.request);
     }
 }
 
@@ -82,7 +82,7 @@
             return Clearance::Granted(None);
         }
         let request = job.fingerprint();
-        if !self.suspects.borrow_mut().start(request) {
+        if !self.suspects.borrow_mut().begin_probe(request) {
             return Clearance::Held;
         }
         Clearance::Granted(Some(Probe {
@@ -93,7 +93,7 @@
 
     /// Notes that a request was rejected because it is quarantined.
     pub(super) fn note_rejected(&self, job: &Job) {
-        self.figures.suspect("rejected");
+        self.figures.count_suspect("rejected");
         self.journal.quarantined(job, "quarantine-rejected");
     }
 
@@ -159,16 +159,16 @@
             }
         };
         let mut suspects = self.suspects.borrow_mut();
-        suspects.hear(job.fingerprint(), &suspicion, None, Instant::now());
+        suspects.merge(job.fingerprint(), &suspicion, None, Instant::now());
     }
 
     /// Takes what the control group holds of requests that aren't run any more, and shows it what it lacks.
     pub fn keep_suspects(&self) {
         let kept = self.board.suspects();
         let mut suspects = self.suspects.borrow_mut();
-        let lacking = suspects.keep(&kept.held.load(), Instant::now());
-        if **kept.lacking.load() != lacking {
-            kept.lacking.store(Arc::new(lacking));
+        let lacking = suspects.reconcile(&kept.held.load(), Instant::now());
+        if **kept.missing.load() != lacking {
+            kept.missing.store(Arc::new(lacking));
         }
     }
 
@@ -176,7 +176,7 @@
     /// what it has been told of.
     pub(super) fn hear_kept(&self) {
         let held = self.board.suspects().held.load();
-        if self.suspects.borrow().is_kept(&held) {
+        if self.suspects.borrow().is_reconciled(&held) {
             return;
         }
         self.keep_suspects();
@@ -197,26 +197,26 @@
         };
         let run = suspects::run(&known.report);
         let mut suspects = self.suspects.borrow_mut();
-        let change = suspects.crash(job.fingerprint(), run, was_suspect, now);
+        let change = suspects.record_crash(job.fingerprint(), run, was_suspect, now);
         let crashes = suspects.crashes(job.fingerprint());
         drop(suspects);
         self.news.notify_one();
-        self.figures.suspect("crashed");
+        self.figures.count_suspect("crashed");
         let flights = self.flights(target, now).saturating_add(1);
         self.journal.crashed(job, target, flights, crashes);
         if change == Change::Quarantined {
-            self.figures.suspect("quarantined");
+            self.figures.count_suspect("quarantined");
             self.journal.quarantined(job, "quarantined");
         }
     }
 
     /// Returns the requests at a target, of all instances as far as they are known.
     fn flights(&self, target: &str, now: Instant) -> u32 {
-        let others = self.neighbours.borrow().at(target, now);
+        let others = self.neighbours.borrow().load_at(target, now);
         let mut books = self.books.borrow_mut();
-        let own = books.known(target);
-        let own = own.map_or(0, |account| account.flights);
-        own.saturating_add(others.flights)
+        let own = books.find(target);
+        let own = own.map_or(0, |account| account.in_flight);
+        own.saturating_add(others.in_flight)
     }
 
     fn note_finished(&self, job: &Job) {
@@ -224,10 +224,10 @@
             return;
         }
         let mut suspects = self.suspects.borrow_mut();
-        if suspects.finish(job.fingerprint(), Instant::now()) {
+        if suspects.record_finish(job.fingerprint(), Instant::now()) {
             drop(suspects);
             self.news.notify_one();
-            self.figures.suspect("cleared");
+            self.figures.count_suspect("cleared");
             self.journal.cleared(job);
         }
     }
--- a/crates/zinniastall-gateway/src/path/job.rs
+++ b/crates/zinniastall-gateway/src/path/job.rs
@@ -23,7 +23,7 @@
         quota,
     },
     freshness::Trust,
-    names::{ACCOUNT, Names},
+    headers::{ACCOUNT, Names},
     view::View,
 };
 
--- a/crates/zinniastall-gateway/src/path/mod.rs
+++ b/crates/zinniastall-gateway/src/path/mod.rs
@@ -19,15 +19,15 @@
 use tokio::sync::Notify;
 
 use crate::{
-    books::Books,
     decide::quota::Quotas,
-    figures::Figures,
-    journal::Journal,
-    names::Names,
+    headers::Names,
+    metrics::Metrics,
     neighbours::{Neighbours, claims::Claims},
     policy::Policy,
+    request_log::Log,
     suspects::Suspects,
-    view::Board,
+    tracker::Tracker,
+    view::Shared,
 };
 
 use self::{pool::Pool, serve::Connections};
@@ -36,13 +36,13 @@
 #[derive(Debug)]
 pub struct Traffic {
     /// What is known of the rest of the system.
-    pub board: Board,
+    pub board: Shared,
     /// Names of header fields.
     pub names: Names,
     /// Times and weights of the deployment.
     pub policy: Policy,
     /// What this thread counts.
-    pub books: Rc<RefCell<Books>>,
+    pub books: Rc<RefCell<Tracker>>,
     /// What the other instances of the region have at targets.
     pub neighbours: Rc<RefCell<Neighbours>>,
     /// What they have sent to targets within the last moments.
@@ -58,16 +58,16 @@
     /// Connections of callers and instances.
     pub connections: Connections,
     /// Log lines on requests.
-    pub journal: Journal,
+    pub journal: Log,
     /// Counters and histograms.
-    pub figures: Figures,
+    pub figures: Metrics,
 }
 
 impl Traffic {
     /// Creates the request path of a thread.
-    pub fn new(board: Board, names: Names, policy: Policy, figures: Figures) -> Self {
+    pub fn new(board: Shared, names: Names, policy: Policy, figures: Metrics) -> Self {
         Self {
-            books: Rc::new(RefCell::new(Books::new(policy.repeats))),
+            books: Rc::new(RefCell::new(Tracker::new(policy.retry_budget))),
             neighbours: Rc::default(),
             claims: Rc::default(),
             quotas: Rc::new(RefCell::new(Quotas::new(policy.quota))),
@@ -75,7 +75,7 @@
             news: Rc::default(),
             pool: Pool::default(),
             connections: Connections::default(),
-            journal: Journal::default(),
+            journal: Log::default(),
             figures,
             board,
             names,
--- a/crates/zinniastall-gateway/src/path/outgoing.rs
+++ b/crates/zinniastall-gateway/src/path/outgoing.rs
@@ -14,7 +14,7 @@
     attempt::{Attempt, Place},
 };
 use crate::{
-    names::{ACCOUNT, LAST_EVENT, OWN_PREFIX, REVISION, SUSPICION},
+    headers::{ACCOUNT, INTERNAL_PREFIX, LAST_EVENT_ID, REVISION, SUSPICION},
     suspects,
 };
 
@@ -44,7 +44,7 @@
         let left = u64::try_from(left).unwrap_or(u64::MAX).max(1);
         headers.insert(&self.names.deadline_ms, HeaderValue::from(left));
         if let Some(last) = last_event.and_then(|last| HeaderValue::try_from(last).ok()) {
-            headers.insert(LAST_EVENT, last);
+            headers.insert(LAST_EVENT_ID, last);
         }
         match attempt.place {
             Place::Target { target, source, .. } => {
@@ -63,7 +63,7 @@
                 headers.insert(REVISION, HeaderValue::from(job.revision()));
                 headers.extend(account.map(|account| (ACCOUNT, account)));
                 let suspicion = self.suspicion(job);
-                let suspicion = suspicion.as_ref().and_then(suspects::field);
+                let suspicion = suspicion.as_ref().and_then(suspects::header_value);
                 headers.extend(suspicion.map(|value| (SUSPICION, value)));
             }
         }
@@ -84,7 +84,7 @@
         headers.remove(&self.names.account);
         let own: Vec<_> = headers
             .keys()
-            .filter(|name| name.as_str().starts_with(OWN_PREFIX))
+            .filter(|name| name.as_str().starts_with(INTERNAL_PREFIX))
             .cloned()
             .collect();
         for name in own {
--- a/crates/zinniastall-gateway/src/path/placing.rs
+++ b/crates/zinniastall-gateway/src/path/placing.rs
@@ -13,9 +13,9 @@
         place::{Candidate, Choice, Patience, Region, choose},
         warm,
     },
-    groups::Sum,
-    journal::Basis,
+    index::Total,
     neighbours::{Load, collector::is_small},
+    request_log::Basis,
     view::{Target, View},
 };
 
@@ -86,9 +86,9 @@
         let best = places.min_by_key(|(_, candidate)| candidate.cost());
         let basis = best.map(|(at, candidate)| Basis {
             wait: candidate.wait,
-            read: candidate.read,
-            flights: self.flights[at],
-            age: self.targets[at].heard.elapsed(),
+            prefill: candidate.read,
+            in_flight: self.flights[at],
+            report_age: self.targets[at].heard_at.elapsed(),
             candidates: self.candidates.len(),
         });
         basis.unwrap_or_default()
@@ -151,7 +151,7 @@
         let patience = Patience {
             left: job.left(now),
             objective: job.objective(now),
-            gap: books.gap(&job.service, now),
+            gap: books.min_gap(&job.service, now),
             rank: books.rank(&job.service, job.priority(), now),
             route_rank: books.route_rank(&job.service, job.route().priority, now),
             // Who passed the request on may find another place at once.
@@ -174,7 +174,7 @@
         let (view, now) = (self.board.view(), Instant::now());
         let mut books = self.books.borrow_mut();
         let account = books.target(target, &job.service, now);
-        account.send_parts(job.prompt.shared(), now);
+        account.record_parts(job.prompt.shared(), now);
         let known = view.targets.by_name().get(target);
         if known.is_some_and(|known| is_cold(known, now)) {
             account.pace.take(job.cold_rate(), now);
@@ -192,9 +192,9 @@
         };
         let basis = Basis {
             wait: candidate.wait,
-            read: candidate.read,
-            flights: here.flights[at],
-            age: now.saturating_duration_since(target.heard),
+            prefill: candidate.read,
+            in_flight: here.flights[at],
+            report_age: now.saturating_duration_since(target.heard_at),
             candidates: here.candidates.len(),
         };
         Next::Go(place, here.reading_us[at], basis)
@@ -281,13 +281,13 @@
         now: Instant,
     ) -> (Candidate, u64, u32) {
         let report = &target.report;
-        let others = self.neighbours.borrow().at(&report.target, now);
+        let others = self.neighbours.borrow().load_at(&report.target, now);
         let others = others.plus(claimed);
         let mut books = self.books.borrow_mut();
-        let work = books.work(&job.service, self.policy.work);
+        let work = books.service_time(&job.service, self.policy.default_service_time);
         let account = books.target(&report.target, &job.service, now);
-        let is_silent = now.saturating_duration_since(target.heard) > SILENT;
-        let flights = account.flights + others.flights;
+        let is_silent = now.saturating_duration_since(target.heard_at) > SILENT;
+        let flights = account.in_flight + others.in_flight;
         let Some(slots) = job.engine_slots() else {
             let candidate = Candidate {
                 wait: work * flights / report.slots.max(1),
@@ -322,8 +322,8 @@
         let name = target.report.target.as_str();
         let mut books = self.books.borrow_mut();
         let since = now.checked_sub(KEPT);
-        let known = books.known(name).map_or(0, |account| {
-            let held = |part: &str| since.is_some_and(|since| account.holds(part, since));
+        let known = books.find(name).map_or(0, |account| {
+            let held = |part: &str| since.is_some_and(|since| account.has_part(part, since));
             Self::kept(job, held)
         });
         let hoped = if home == Some(name) {
@@ -349,15 +349,15 @@
     /// Tells whether a plain target is expected to take one more request.
     fn has_room(&self, target: &Target, flights: u32) -> bool {
         let mut books = self.books.borrow_mut();
-        let account = books.known(&target.report.target);
-        account.is_none_or(|account| account.room.is_open(flights))
+        let account = books.find(&target.report.target);
+        account.is_none_or(|account| account.concurrency.is_open(flights))
     }
 
     /// Tells whether a target is known to take no request at the moment.
     fn is_shut(&self, target: &Target, now: Instant) -> bool {
         let mut books = self.books.borrow_mut();
-        let account = books.known(&target.report.target);
-        account.is_some_and(|account| account.is_shut(now))
+        let account = books.find(&target.report.target);
+        account.is_some_and(|account| account.is_blocked(now))
     }
 
     fn there<'a>(&self, job: &Job, tried: &Tried, view: &'a View, now: Instant) -> Vec<There<'a>> {
@@ -365,7 +365,7 @@
         let may_run = |region: &&id::Region| {
             **region != view.place.region
                 && job.permits(region)
-                && !books.is_region_shut(region, &job.service, now)
+                && !books.is_region_blocked(region, &job.service, now)
         };
         let regions = view.targets.regions(&job.service).filter(may_run);
         let there = regions.filter_map(|name| {
@@ -373,7 +373,7 @@
             let instances: Vec<&Presence> =
                 ready.filter(|held| !tried.has(&held.instance)).collect();
             let wait = self.wait_there(job, name, view, now)?;
-            let trip = self.policy.trip;
+            let trip = self.policy.region_round_trip;
             let region = Region { wait, trip };
             (!instances.is_empty()).then_some(There { instances, region })
         });
@@ -392,20 +392,23 @@
         let each = each(view.loads.of(&job.service, region), targets.len());
         let slots = targets.first()?.report.slots.max(1);
         if let Some(slots) = job.engine_slots() {
-            let beyond = each.flights.saturating_sub(slots);
+            let beyond = each.in_flight.saturating_sub(slots);
             let reading = Duration::from_micros(each.reading_us);
-            return Some(reading + BEYOND_SLOTS * beyond + RUNNING * each.flights);
+            return Some(reading + BEYOND_SLOTS * beyond + RUNNING * each.in_flight);
         }
-        let work = self.books.borrow().work(&job.service, self.policy.work);
-        Some(work * each.flights / slots)
+        let work = self
+            .books
+            .borrow()
+            .service_time(&job.service, self.policy.default_service_time);
+        Some(work * each.in_flight / slots)
     }
 }
 
 /// Returns what each of some targets has of a load.
-fn each(sum: Sum, targets: usize) -> Sum {
+fn each(sum: Total, targets: usize) -> Total {
     let targets = u32::try_from(targets.max(1)).unwrap_or(u32::MAX);
-    Sum {
-        flights: sum.flights / targets,
+    Total {
+        in_flight: sum.in_flight / targets,
         reading_us: sum.reading_us / u64::from(targets),
     }
 }
--- a/crates/zinniastall-gateway/src/path/run.rs
+++ b/crates/zinniastall-gateway/src/path/run.rs
@@ -20,7 +20,7 @@
     job::{Job, text},
     placing::{Next, Tried},
 };
-use crate::{freshness::Trust, names::LAST_EVENT};
+use crate::{freshness::Trust, headers::LAST_EVENT_ID};
 
 /// Places that can't be reached before a request is given up: each costs a time-out of connecting.
 const UNREACHABLE: usize = 4;
@@ -109,7 +109,7 @@
         client: &mut Client,
         may_have_run: &Cell<bool>,
     ) -> io::Result<End> {
-        let first = text(&job.head.headers, &LAST_EVENT).map(str::to_owned);
+        let first = text(&job.head.headers, &LAST_EVENT_ID).map(str::to_owned);
         let mut events = Events::after(first);
         let mut course = Course {
             job,
@@ -179,7 +179,7 @@
                     job,
                     place: &place,
                     reading_us,
-                    ahead: basis.flights,
+                    ahead: basis.in_flight,
                     may_have_run: course.may_have_run,
                 };
                 let before = self.crashes(job);
@@ -296,7 +296,7 @@
     fn note(&self, attempt: &Attempt<'_>, ended: &Ended, has_crashed: bool) {
         let (job, place) = (attempt.job, attempt.place);
         self.journal.attempted(job, place, ended);
-        self.figures.attempt(ended.word());
+        self.figures.count_attempt(ended.word());
         let now = Instant::now();
         let service = match place {
             Place::Target { .. } => job.service.as_str(),
@@ -307,8 +307,8 @@
         let was_out = account.record.is_out(now);
         if let Place::Target { slots, .. } = place {
             match ended {
-                Ended::Delivered => account.room.taken(attempt.ahead),
-                Ended::NotRun(_) => account.room.refused(attempt.ahead, *slots),
+                Ended::Delivered => account.concurrency.taken(attempt.ahead),
+                Ended::NotRun(_) => account.concurrency.refused(attempt.ahead, *slots),
                 _ => {}
             }
         }
@@ -316,17 +316,17 @@
             Ended::Delivered => account.record.success(),
             Ended::NotSent(_) => {
                 account.record.unreachable(now);
-                account.shut_until = Some(now + SHUT);
+                account.blocked_until = Some(now + SHUT);
                 if let Place::Instance { region, .. } = place {
-                    books.shut_region(region, &job.service, now + SHUT);
+                    books.block_region(region, &job.service, now + SHUT);
                 }
                 return;
             }
-            Ended::NotRun(_) => account.shut_until = Some(now + SHUT),
+            Ended::NotRun(_) => account.blocked_until = Some(now + SHUT),
             // It refuses connections by now; an instance that passed the request on does not.
             _ if has_crashed && matches!(place, Place::Target { .. }) => {
                 account.record.unreachable(now);
-                account.shut_until = Some(now + SHUT);
+                account.blocked_until = Some(now + SHUT);
             }
             Ended::Unknown(_) | Ended::Broken(_) | Ended::Torn(_) | Ended::Failing(_) => {
                 account.record.failure(now);
--- a/crates/zinniastall-gateway/src/path/serve.rs
+++ b/crates/zinniastall-gateway/src/path/serve.rs
@@ -28,7 +28,7 @@
     job::{Job, Judged, number, text},
     run,
 };
-use crate::{books::Use, decide::quota::Claim, journal::End, view::Drain};
+use crate::{decide::quota::Claim, request_log::End, tracker::Demand, view::Drain};
 
 /// Pause after a failed accept: out of descriptors, most likely, and a loop would spin.
 const PAUSE: Duration = Duration::from_millis(100);
@@ -256,7 +256,8 @@
         let mut quotas = self.quotas.borrow_mut();
         let admitted = quotas.admit(charge.account, &charge.quota, claim, job.arrived);
         let account = job.account().map_or("", |account| account.name.as_str());
-        self.figures.charge(account, charge.cost, admitted.is_ok());
+        self.figures
+            .count_units(account, charge.cost, admitted.is_ok());
         admitted.map_err(|excess| {
             self.journal.exceeded(job, charge, excess);
             (
@@ -280,12 +281,12 @@
     /// Enters a request into the books.
     fn enter(&self, job: &Job) {
         let mut books = self.books.borrow_mut();
-        let asked = Use {
+        let asked = Demand {
             priority: job.priority(),
-            route: job.route().priority,
+            route_priority: job.route().priority,
             gap_ms: job.route().gap_ms,
         };
-        books.note_use(&job.service, asked, job.arrived);
+        books.record_demand(&job.service, asked, job.arrived);
         // The instance to which its caller came has counted it already.
         if !job.is_passed_on {
             books.budget(&job.service).request(job.arrived);
@@ -304,7 +305,7 @@
     fn note_refusal(&self, id: &str, refusal: Refusal) {
         self.journal.refused(id, refusal.word());
         let end = End::untimed(refusal.outcome().word());
-        self.figures.request("", &end);
+        self.figures.count_request("", &end);
     }
 
     /// Notes how a request ended.
@@ -315,14 +316,14 @@
             .map(|begun| begun.duration_since(job.arrived));
         let end = End {
             outcome,
-            why,
+            reason: why,
             status,
-            first,
-            pause: client.pause(),
-            took: job.arrived.elapsed(),
+            first_byte: first,
+            longest_gap: client.pause(),
+            duration: job.arrived.elapsed(),
         };
         self.journal.ended(job, &end);
-        self.figures.request(&job.route().name, &end);
+        self.figures.count_request(&job.route().name, &end);
     }
 
     /// Tells whether a request might outlast this instance, which drains.
--- a/crates/zinniastall-gateway/src/journal.rs
+++ b/crates/zinniastall-gateway/src/request_log.rs
@@ -21,9 +21,9 @@
 
 /// Lines a second on requests that go well. A line costs some ten microseconds; this is half a percent
 /// of a core.
-const WELL: u32 = 60;
+const MAX_SUCCESS_LINES: u32 = 60;
 /// Lines a second on requests that fail, are refused or are tried again.
-const BADLY: u32 = 300;
+const MAX_FAILURE_LINES: u32 = 300;
 /// Time over which lines are counted.
 const WINDOW: Duration = Duration::from_secs(1);
 
@@ -33,11 +33,11 @@
     /// Expected wait there.
     pub wait: Duration,
     /// Expected time to read the prompt there.
-    pub read: Duration,
+    pub prefill: Duration,
     /// Requests at the target, of all instances as far as they are known.
-    pub flights: u32,
+    pub in_flight: u32,
     /// Age of the target's last report.
-    pub age: Duration,
+    pub report_age: Duration,
     /// Places that were weighed.
     pub candidates: usize,
 }
@@ -48,15 +48,15 @@
     /// What its caller may rely on.
     pub outcome: &'static str,
     /// Why.
-    pub why: &'a str,
+    pub reason: &'a str,
     /// Status that the caller saw; 0 for none.
     pub status: u16,
     /// Time until the answer began.
-    pub first: Option<Duration>,
+    pub first_byte: Option<Duration>,
     /// Longest time between two pieces of the answer.
-    pub pause: Duration,
+    pub longest_gap: Duration,
     /// Time until it ended.
-    pub took: Duration,
+    pub duration: Duration,
 }
 
 impl End<'_> {
@@ -64,29 +64,31 @@
     pub const fn untimed(outcome: &'static str) -> Self {
         Self {
             outcome,
-            why: "",
+            reason: "",
             status: 0,
-            first: None,
-            pause: Duration::ZERO,
-            took: Duration::ZERO,
+            first_byte: None,
+            longest_gap: Duration::ZERO,
+            duration: Duration::ZERO,
         }
     }
 
     /// Tells whether the caller got what it asked for, in the time that its route promises.
-    fn is_well(&self, route: &Route) -> bool {
+    fn is_success(&self, route: &Route) -> bool {
         let objective = Duration::from_millis(route.objective_ms);
         let gap = Duration::from_millis(route.gap_ms);
-        let is_prompt = self.first.is_some_and(|first| first <= objective);
-        let is_steady = gap.is_zero() || self.pause <= gap;
+        let is_prompt = self
+            .first_byte
+            .is_some_and(|first_byte| first_byte <= objective);
+        let is_steady = gap.is_zero() || self.longest_gap <= gap;
         self.outcome == "answered" && self.status < 500 && is_prompt && is_steady
     }
 }
 
 /// Writes log lines on requests.
 #[derive(Debug, Default)]
-pub struct Journal {
-    well: RefCell<Window>,
-    badly: RefCell<Window>,
+pub struct Log {
+    successes: RefCell<Window>,
+    failures: RefCell<Window>,
 }
 
 /// Lines in the present window.
@@ -94,16 +96,16 @@
 struct Window {
     since: Option<Instant>,
     lines: u32,
-    left_out: u32,
+    suppressed: u32,
 }
 
 impl Window {
     /// Tells whether a line may be written; logs what the window before left out.
-    fn open(&mut self, limit: u32, kind: &'static str) -> bool {
+    fn admit(&mut self, limit: u32, kind: &'static str) -> bool {
         let now = Instant::now();
         if self.since.is_none_or(|since| since + WINDOW <= now) {
-            if self.left_out > 0 {
-                tracing::info!(event = "lines-left-out", kind, lines = self.left_out);
+            if self.suppressed > 0 {
+                tracing::info!(event = "lines-left-out", kind, lines = self.suppressed);
             }
             *self = Self {
                 since: Some(now),
@@ -111,7 +113,7 @@
             };
         }
         if self.lines >= limit {
-            self.left_out += 1;
+            self.suppressed += 1;
             return false;
         }
         self.lines += 1;
@@ -119,11 +121,11 @@
     }
 }
 
-impl Journal {
+impl Log {
     /// Notes where a request goes and why.
     pub fn placed(&self, job: &Job, place: &Place, basis: Basis, attempt: u32) {
         let is_first = attempt == 0;
-        if !self.allows(is_first) {
+        if !self.admits(is_first) {
             return;
         }
         tracing::info!(
@@ -135,9 +137,9 @@
             far = matches!(place, Place::Instance { .. }),
             attempt,
             wait_ms = millis(basis.wait),
-            read_ms = millis(basis.read),
-            flights = basis.flights,
-            report_age_ms = millis(basis.age),
+            read_ms = millis(basis.prefill),
+            flights = basis.in_flight,
+            report_age_ms = millis(basis.report_age),
             candidates = basis.candidates,
             revision = job.revision(),
             left_ms = millis(job.left(Instant::now())),
@@ -146,7 +148,7 @@
 
     /// Notes that a request is beyond its account's quota.
     pub fn exceeded(&self, job: &Job, charge: Charge, excess: Excess) {
-        if !self.allows(false) {
+        if !self.admits(false) {
             return;
         }
         tracing::info!(
@@ -176,7 +178,7 @@
             Ended::Failing(answer) => answer.status.as_str(),
             Ended::Gone(_) => "nobody takes the answer",
         };
-        if !self.allows(false) {
+        if !self.admits(false) {
             return;
         }
         tracing::info!(
@@ -192,8 +194,8 @@
 
     /// Notes that a target ended while it had a request; `flights` are the requests that it had, of all instances
     /// as far as they are known, and `crashes` those that count against this one by now.
-    pub fn crashed(&self, job: &Job, target: &str, flights: u32, crashes: usize) {
-        if !self.allows(false) {
+    pub fn crashed(&self, job: &Job, target: &str, in_flight: u32, crashes: usize) {
+        if !self.admits(false) {
             return;
         }
         tracing::info!(
@@ -203,14 +205,14 @@
             place = target,
             fingerprint = %job.fingerprint(),
             crashes,
-            flights,
+            flights = in_flight,
             passed_on = job.is_passed_on,
         );
     }
 
     /// Notes that a request is not run any more, or was not run because of that.
     pub fn quarantined(&self, job: &Job, event: &'static str) {
-        if !self.allows(false) {
+        if !self.admits(false) {
             return;
         }
         tracing::warn!(
@@ -224,7 +226,7 @@
 
     /// Notes that a request is suspected no more.
     pub fn cleared(&self, job: &Job) {
-        if self.allows(false) {
+        if self.admits(false) {
             let fingerprint = job.fingerprint();
             tracing::info!(event = "suspect-cleared", id = job.id, %fingerprint);
         }
@@ -232,7 +234,7 @@
 
     /// Notes that no place would answer a request in time.
     pub fn given_up(&self, job: &Job, basis: Basis, after: Duration) {
-        if !self.allows(false) {
+        if !self.admits(false) {
             return;
         }
         tracing::info!(
@@ -241,8 +243,8 @@
             route = job.route().name,
             service = job.service,
             wait_ms = millis(basis.wait),
-            flights = basis.flights,
-            report_age_ms = millis(basis.age),
+            flights = basis.in_flight,
+            report_age_ms = millis(basis.report_age),
             candidates = basis.candidates,
             objective_ms = job.route().objective_ms,
             left_ms = millis(job.left(Instant::now())),
@@ -252,7 +254,7 @@
 
     /// Notes that a request is kept because no target takes one now.
     pub fn kept(&self, job: &Job, what: &'static str) {
-        if self.allows(false) {
+        if self.admits(false) {
             let took_ms = millis(job.arrived.elapsed());
             tracing::info!(
                 event = "kept",
@@ -266,7 +268,7 @@
 
     /// Notes how a request ended.
     pub fn ended(&self, job: &Job, end: &End<'_>) {
-        if !self.allows(end.is_well(job.route())) {
+        if !self.admits(end.is_success(job.route())) {
             return;
         }
         tracing::info!(
@@ -274,11 +276,11 @@
             id = job.id,
             route = job.route().name,
             outcome = end.outcome,
-            why = end.why,
+            why = end.reason,
             status = end.status,
-            first_ms = end.first.map(millis),
-            pause_ms = millis(end.pause),
-            took_ms = millis(end.took),
+            first_ms = end.first_byte.map(millis),
+            pause_ms = millis(end.longest_gap),
+            took_ms = millis(end.duration),
             objective_ms = job.route().objective_ms,
             revision = job.revision(),
             passed_on = job.is_passed_on,
@@ -287,16 +289,16 @@
 
     /// Notes that a request was refused before it was judged.
     pub fn refused(&self, id: &str, reason: &str) {
-        if self.allows(false) {
+        if self.admits(false) {
             tracing::info!(event = "request-refused", id, reason);
         }
     }
 
-    fn allows(&self, is_well: bool) -> bool {
-        if is_well {
-            self.well.borrow_mut().open(WELL, "well")
+    fn admits(&self, is_success: bool) -> bool {
+        if is_success {
+            self.successes.borrow_mut().admit(MAX_SUCCESS_LINES, "well")
         } else {
-            self.badly.borrow_mut().open(BADLY, "badly")
+            self.failures.borrow_mut().admit(MAX_FAILURE_LINES, "badly")
         }
     }
 }
--- a/crates/zinniastall-gateway/src/suspects.rs
+++ b/crates/zinniastall-gateway/src/suspects.rs
@@ -13,27 +13,27 @@
 use crate::decide::warm;
 
 /// Requests that are remembered: a quarter of a megabyte. A crash makes one suspect for each slot of its target.
-const CAPACITY: usize = 2_048;
+const MAX_SUSPECTS: usize = 2_048;
 /// Times that news is sent: single datagrams are lost.
-const SENDS: u8 = 2;
+const SENDS_PER_NEWS: u8 = 2;
 
 /// Suspected requests.
 #[derive(Debug)]
 pub struct Suspects {
     table: quarantine::Table<Fingerprint>,
     /// What the others have to be told.
-    due: IndexMap<Fingerprint, Due>,
+    pending: IndexMap<Fingerprint, Pending>,
     /// Strong suspects that this instance has at a target.
     probed: IndexSet<Fingerprint>,
     /// What the control group held last.
-    kept: Arc<Vec<Suspect>>,
+    last_reconciled: Arc<Vec<Suspect>>,
 }
 
 /// News that is to be sent.
 #[derive(Debug, Clone, Copy)]
-struct Due {
+struct Pending {
     scope: Scope,
-    left: u8,
+    sends_left: u8,
 }
 
 /// Whom news still has to reach.
@@ -59,10 +59,10 @@
 impl Default for Suspects {
     fn default() -> Self {
         Self {
-            table: quarantine::Table::new(CAPACITY),
-            due: IndexMap::new(),
+            table: quarantine::Table::new(MAX_SUSPECTS),
+            pending: IndexMap::new(),
             probed: IndexSet::new(),
-            kept: Arc::default(),
+            last_reconciled: Arc::default(),
         }
     }
 }
@@ -90,7 +90,7 @@
 
     /// Notes that a run of a target crashed under a request; `was_suspect` tells whether that was suspected when it
     /// was sent.
-    pub fn crash(
+    pub fn record_crash(
         &mut self,
         request: Fingerprint,
         run: Run,
@@ -101,22 +101,22 @@
         if !self.table.crash(request, run, was_suspect, now) {
             return Change::None;
         }
-        self.tell(request, Scope::All);
+        self.schedule(request, Scope::All);
         self.change_since(request, before)
     }
 
     /// Notes that a request finished; tells whether that clears it.
-    pub fn finish(&mut self, request: Fingerprint, now: Instant) -> bool {
+    pub fn record_finish(&mut self, request: Fingerprint, now: Instant) -> bool {
         let is_cleared = self.table.finish(request, now);
         if is_cleared {
-            self.tell(request, Scope::All);
+            self.schedule(request, Scope::All);
         }
         is_cleared
     }
 
     /// Takes what another instance knows. News is passed on as far as `scope` says; an instance that knows less is
     /// told more.
-    pub fn hear(
+    pub fn merge(
         &mut self,
         request: Fingerprint,
         suspicion: &Suspicion,
@@ -126,9 +126,9 @@
         let before = self.table.crashes(request);
         let Merged { is_news, is_behind } = self.table.merge(request, suspicion, now);
         if is_behind {
-            self.tell(request, Scope::All);
+            self.schedule(request, Scope::All);
         } else if let Some(scope) = scope.filter(|_| is_news) {
-            self.tell(request, scope);
+            self.schedule(request, scope);
         }
         if is_news {
             self.change_since(request, before)
@@ -138,14 +138,14 @@
     }
 
     /// Tells whether what the control group holds was taken already.
-    pub fn is_kept(&self, held: &Arc<Vec<Suspect>>) -> bool {
-        Arc::ptr_eq(&self.kept, held)
+    pub fn is_reconciled(&self, held: &Arc<Vec<Suspect>>) -> bool {
+        Arc::ptr_eq(&self.last_reconciled, held)
     }
 
     /// Takes what the control group holds; returns what it has to hold as well.
-    pub fn keep(&mut self, held: &Arc<Vec<Suspect>>, now: Instant) -> Vec<Suspect> {
-        self.kept = Arc::clone(held);
-        let mut lacking = Vec::new();
+    pub fn reconcile(&mut self, held: &Arc<Vec<Suspect>>, now: Instant) -> Vec<Suspect> {
+        self.last_reconciled = Arc::clone(held);
+        let mut missing = Vec::new();
         let mut known: IndexSet<Fingerprint> = IndexSet::new();
         for (request, suspicion) in held.iter() {
             // Every instance is told by the group itself.
@@ -153,15 +153,15 @@
             known.insert(*request);
             let own = self.table.suspicion(*request);
             if let Some(own) = own.filter(|own| *own != suspicion) {
-                lacking.push((*request, own.clone()));
+                missing.push((*request, own.clone()));
             }
         }
         let strong = self.table.strong();
         let new = strong.filter(|(request, suspicion)| {
             suspicion.crashes() >= LIMIT && !known.contains(request)
         });
-        lacking.extend(new.map(|(request, suspicion)| (request, suspicion.clone())));
-        lacking
+        missing.extend(new.map(|(request, suspicion)| (request, suspicion.clone())));
+        missing
     }
 
     fn change_since(&self, request: Fingerprint, before: usize) -> Change {
@@ -172,32 +172,38 @@
         }
     }
 
-    fn tell(&mut self, request: Fingerprint, scope: Scope) {
-        self.due.insert(request, Due { scope, left: SENDS });
+    fn schedule(&mut self, request: Fingerprint, scope: Scope) {
+        self.pending.insert(
+            request,
+            Pending {
+                scope,
+                sends_left: SENDS_PER_NEWS,
+            },
+        );
     }
 
     /// Tells whether the others have to be told something.
     pub fn has_news(&self) -> bool {
-        !self.due.is_empty()
+        !self.pending.is_empty()
     }
 
     /// Returns what is to be sent now, each news as often as datagrams may be lost.
     pub fn news(&mut self) -> Vec<(Scope, Fingerprint, Suspicion)> {
         let table = &self.table;
-        let news = self.due.iter().filter_map(|(request, due)| {
+        let news = self.pending.iter().filter_map(|(request, pending)| {
             let suspicion = table.suspicion(*request)?;
-            Some((due.scope, *request, suspicion.clone()))
+            Some((pending.scope, *request, suspicion.clone()))
         });
         let news = news.collect();
-        self.due.retain(|_, due| {
-            due.left -= 1;
-            due.left > 0
+        self.pending.retain(|_, pending| {
+            pending.sends_left -= 1;
+            pending.sends_left > 0
         });
         news
     }
 
     /// Returns a digest of the strong suspicions; instances that know the same have the same.
-    pub fn sum(&self) -> u64 {
+    pub fn digest(&self) -> u64 {
         self.table.sum()
     }
 
@@ -211,18 +217,18 @@
 
     /// Notes that a strong suspect is to be sent; tells whether it may be. One copy is tried at a time: it finishes
     /// and is cleared, or takes one target down and not several.
-    pub fn start(&mut self, request: Fingerprint) -> bool {
+    pub fn begin_probe(&mut self, request: Fingerprint) -> bool {
         self.probed.insert(request)
     }
 
     /// Notes that a strong suspect is at no target any more.
-    pub fn end(&mut self, request: Fingerprint) {
+    pub fn end_probe(&mut self, request: Fingerprint) {
         self.probed.swap_remove(&request);
     }
 }
 
 /// Returns a suspicion as a field between instances.
-pub fn field(suspicion: &Suspicion) -> Option<HeaderValue> {
+pub fn header_value(suspicion: &Suspicion) -> Option<HeaderValue> {
     let text = serde_json::to_string(suspicion).ok()?;
     HeaderValue::try_from(text).ok()
 }
--- a/crates/zinniastall-gateway/src/uplink.rs
+++ b/crates/zinniastall-gateway/src/uplink.rs
@@ -21,54 +21,55 @@
 
 use crate::{
     clock,
-    fetching::Fetching,
+    cluster_state::{Replica, State},
+    config_fetch::Fetch,
     freshness::Freshness,
-    knowledge::{Knowledge, Replica},
-    view::{Board, View},
+    view::{Shared, View},
 };
 
 /// Time between two signs of life, in which the load is told anew.
-const PRESENT: Duration = Duration::from_millis(500);
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(500);
 /// Time without a frame after which a link counts as cut: two signs of life of a replica were lost.
-const SILENCE: Duration = Duration::from_millis(2_500);
+const LINK_TIMEOUT: Duration = Duration::from_millis(2_500);
 /// Longest time for a link to open.
-const DIAL: Duration = Duration::from_secs(1);
+const DIAL_TIMEOUT: Duration = Duration::from_secs(1);
 /// First and longest wait after a failed dial. A replica that restarts is back within half a second.
-const WAIT: (Duration, Duration) = (Duration::from_millis(50), Duration::from_millis(800));
+const REDIAL_BACKOFF: (Duration, Duration) =
+    (Duration::from_millis(50), Duration::from_millis(800));
 /// Head start of the region's own replicas when a configuration is fetched: they mostly learn of it within a
 /// heartbeat of the leader, and tables stay off the links between regions.
-const HEAD_START: Duration = Duration::from_millis(250);
+const REMOTE_FETCH_DELAY: Duration = Duration::from_millis(250);
 /// Time between two views made for what comes about by time alone, such as the end of a cold start.
-const REFRESH: Duration = Duration::from_millis(250);
+const REFRESH_INTERVAL: Duration = Duration::from_millis(250);
 /// Longest time that news of targets and instances wait for a view. Six replicas pass some on ten times a
 /// second each; a view made for every frame would take more of a small instance than its requests do.
-const GATHER: Duration = Duration::from_millis(50);
+const BATCH_DELAY: Duration = Duration::from_millis(50);
 /// Age of the last confirmation after which all replicas are asked for another one, and not the nearest alone.
-const UNCONFIRMED: Duration = Duration::from_millis(1_500);
+const CONFIRMATION_TIMEOUT: Duration = Duration::from_millis(1_500);
 /// Replicas that are asked which instances there are. All know the same; a second one stands in while the
 /// first restarts or is cut off from some instances.
-const SOURCES: usize = 2;
+const SUBSCRIBED_REPLICAS: usize = 2;
 
 /// What this instance says of itself now.
-pub type Present = Rc<dyn Fn() -> Presence>;
+pub type PresenceSource = Rc<dyn Fn() -> Presence>;
 
 /// Links to all control replicas that are known.
 pub struct Uplinks {
     hello: Hello,
-    present: Present,
-    knowledge: RefCell<Knowledge>,
-    board: Board,
+    presence: PresenceSource,
+    cluster: RefCell<State>,
+    state: Shared,
     tasks: RefCell<IndexMap<Replica, JoinHandle<()>>>,
     seeds: RefCell<Vec<Replica>>,
-    listed: RefCell<IndexMap<Replica, Vec<Replica>>>,
-    reached: RefCell<IndexMap<Replica, id::Revision>>,
+    replica_lists: RefCell<IndexMap<Replica, Vec<Replica>>>,
+    latest_revisions: RefCell<IndexMap<Replica, id::Revision>>,
     linked: RefCell<IndexMap<Replica, Place>>,
-    changed: Notify,
+    presence_changed: Notify,
     sources_changed: Notify,
-    fetching: RefCell<Fetching>,
+    fetch: RefCell<Fetch>,
     fetch_ended: Notify,
     freshness: RefCell<Freshness>,
-    news: Notify,
+    view_stale: Notify,
 }
 
 impl std::fmt::Debug for Uplinks {
@@ -83,29 +84,29 @@
     /// Starts links to the seeds.
     pub fn start(
         hello: Hello,
-        present: Present,
-        knowledge: Knowledge,
-        board: Board,
+        presence: PresenceSource,
+        cluster: State,
+        state: Shared,
         seeds: Vec<Replica>,
     ) -> Rc<Self> {
         let uplinks = Rc::new(Self {
             hello,
-            present,
-            knowledge: RefCell::new(knowledge),
-            board,
+            presence,
+            cluster: RefCell::new(cluster),
+            state,
             tasks: RefCell::default(),
             seeds: RefCell::new(seeds),
-            listed: RefCell::default(),
-            reached: RefCell::default(),
+            replica_lists: RefCell::default(),
+            latest_revisions: RefCell::default(),
             linked: RefCell::default(),
-            changed: Notify::new(),
+            presence_changed: Notify::new(),
             sources_changed: Notify::new(),
-            fetching: RefCell::default(),
+            fetch: RefCell::default(),
             fetch_ended: Notify::new(),
             freshness: RefCell::default(),
-            news: Notify::new(),
+            view_stale: Notify::new(),
         });
-        uplinks.dial();
+        uplinks.update_links();
         actix::spawn(Rc::clone(&uplinks).refresh());
         uplinks
     }
@@ -117,66 +118,67 @@
         }
         tracing::info!(event = "seeds-changed", seeds = seeds.join(","));
         self.seeds.replace(seeds);
-        self.dial();
+        self.update_links();
     }
 
     /// Tells all replicas at once how this instance is.
     pub fn announce(&self) {
-        self.changed.notify_waiters();
+        self.presence_changed.notify_waiters();
     }
 
     async fn refresh(self: Rc<Self>) {
-        let mut tick = time::interval(REFRESH);
+        let mut tick = time::interval(REFRESH_INTERVAL);
         loop {
             tokio::select! {
                 _ = tick.tick() => {}
-                () = self.news.notified() => time::sleep(GATHER).await,
+                () = self.view_stale.notified() => time::sleep(BATCH_DELAY).await,
             }
             self.publish();
         }
     }
 
     fn publish(&self) {
-        let view = self.knowledge.borrow_mut().view(Instant::now());
-        log_instances(&self.board.view(), &view);
-        self.board.publish(view);
+        let view = self.cluster.borrow_mut().view(Instant::now());
+        log_instances(&self.state.view(), &view);
+        self.state.publish(view);
     }
 
     /// Keeps a link to each seed and to each replica that any replica lists.
-    fn dial(self: &Rc<Self>) {
+    fn update_links(self: &Rc<Self>) {
         let mut wanted: Vec<Replica> = self.seeds.borrow().clone();
-        for list in self.listed.borrow().values() {
+        for list in self.replica_lists.borrow().values() {
             wanted.extend(list.iter().cloned());
         }
         let mut tasks = self.tasks.borrow_mut();
         tasks.retain(|replica, task| {
-            let keep = wanted.contains(replica);
-            if !keep {
+            let is_wanted = wanted.contains(replica);
+            if !is_wanted {
                 task.abort();
                 self.unlink(replica);
             }
-            keep
+            is_wanted
         });
         for replica in wanted {
             if !tasks.contains_key(&replica) {
-                let task = actix::spawn(Rc::clone(self).keep(replica.clone()));
+                let task = actix::spawn(Rc::clone(self).maintain_link(replica.clone()));
                 tasks.insert(replica, task);
             }
         }
     }
 
-    async fn keep(self: Rc<Self>, replica: Replica) {
-        let mut wait = WAIT.0;
+    async fn maintain_link(self: Rc<Self>, replica: Replica) {
+        let mut wait = REDIAL_BACKOFF.0;
         loop {
-            let dialled = time::timeout(DIAL, Link::dial(&replica, self.hello.clone())).await;
+            let dialled =
+                time::timeout(DIAL_TIMEOUT, Link::dial(&replica, self.hello.clone())).await;
             match dialled.unwrap_or(Err(Error::Closed)) {
                 Ok(link) => {
                     tracing::info!(event = "control-linked", replica);
-                    wait = WAIT.0;
+                    wait = REDIAL_BACKOFF.0;
                     let place = link.peer().place.clone();
                     self.linked.borrow_mut().insert(replica.clone(), place);
                     self.sources_changed.notify_waiters();
-                    let error = self.attend(link, &replica).await;
+                    let error = self.run_link(link, &replica).await;
                     tracing::warn!(event = "control-lost", replica, error = %error);
                     self.unlink(&replica);
                 }
@@ -185,16 +187,18 @@
                 }
             }
             time::sleep(wait.mul_f64(rand::rng().random_range(0.5..1.0))).await;
-            wait = (wait * 2).min(WAIT.1);
+            wait = (wait * 2).min(REDIAL_BACKOFF.1);
         }
     }
 
     /// Notes that a replica's link broke.
     fn unlink(&self, replica: &str) {
         self.linked.borrow_mut().swap_remove(replica);
-        self.knowledge.borrow_mut().lose(replica, Instant::now());
+        self.cluster
+            .borrow_mut()
+            .unsubscribe(replica, Instant::now());
         self.sources_changed.notify_waiters();
-        if self.fetching.borrow_mut().lose(replica) {
+        if self.fetch.borrow_mut().abandon(replica) {
             self.fetch_ended.notify_waiters();
         }
     }
@@ -207,49 +211,54 @@
         nearest.sort_by_key(|(name, place)| {
             (place.zone != own.zone, place.region != own.region, *name)
         });
-        let mut sources = nearest.into_iter().take(SOURCES);
+        let mut sources = nearest.into_iter().take(SUBSCRIBED_REPLICAS);
         sources.any(|(name, _)| name == replica)
     }
 
     /// Returns what a replica is to be told where it has become a source, or is one no more.
-    fn resubscribe(&self, replica: &str, is_subscribed: &mut bool) -> Option<Message> {
+    fn update_subscription(&self, replica: &str, is_subscribed: &mut bool) -> Option<Message> {
         let is_source = self.is_source(replica);
         if is_source == *is_subscribed {
             return None;
         }
         *is_subscribed = is_source;
-        let mut knowledge = self.knowledge.borrow_mut();
+        let mut cluster = self.cluster.borrow_mut();
         if is_source {
-            knowledge.ask(replica, Instant::now());
+            cluster.subscribe(replica, Instant::now());
         } else {
-            knowledge.lose(replica, Instant::now());
+            cluster.unsubscribe(replica, Instant::now());
         }
         Some(Message::Subscribe(is_source))
     }
 
-    async fn attend(self: &Rc<Self>, link: Link, replica: &str) -> Error {
+    async fn run_link(self: &Rc<Self>, link: Link, replica: &str) -> Error {
         let is_near = link.peer().place.region == self.hello.place.region;
-        let head_start = if is_near { Duration::ZERO } else { HEAD_START };
+        let fetch_delay = if is_near {
+            Duration::ZERO
+        } else {
+            REMOTE_FETCH_DELAY
+        };
         let (mut sender, mut receiver) = link.split();
-        let mut present = time::interval(PRESENT);
-        let mut silent = time::Instant::now() + SILENCE;
+        let mut heartbeat = time::interval(HEARTBEAT_INTERVAL);
+        let mut timeout_at = time::Instant::now() + LINK_TIMEOUT;
         let mut fetch_at: Option<time::Instant> = None;
         let mut is_subscribed = false;
         loop {
-            let due = fetch_at.unwrap_or(silent);
-            let subscription = self.resubscribe(replica, &mut is_subscribed);
+            let fetch_due = fetch_at.unwrap_or(timeout_at);
+            let subscription = self.update_subscription(replica, &mut is_subscribed);
             if let Some(message) = subscription
-                && let Err(error) = send_within(&mut sender, Frame::Hub(message), SILENCE).await
+                && let Err(error) =
+                    send_within(&mut sender, Frame::Hub(message), LINK_TIMEOUT).await
             {
                 return error;
             }
             let messages = tokio::select! {
                     frame = receiver.next() => {
-                        silent = time::Instant::now() + SILENCE;
+                        timeout_at = time::Instant::now() + LINK_TIMEOUT;
                         match frame {
                             Some(Ok(Frame::Hub(message))) => {
-                                if self.heard(replica, message) {
-                                    fetch_at.get_or_insert(time::Instant::now() + head_start);
+                                if self.handle_message(replica, message) {
+                                    fetch_at.get_or_insert(time::Instant::now() + fetch_delay);
                                 }
                             }
                             Some(Ok(_)) => return Error::Handshake,
@@ -258,27 +267,29 @@
                         }
                         continue;
                     }
-                    _ = present.tick() => {
-                        let vouch = self.wants_confirmation(is_subscribed);
-                        [Some(Message::Present((self.present)())), vouch, self.lacking()]
+                    _ = heartbeat.tick() => {
+                        let confirmation = self.confirmation_request(is_subscribed);
+                        [Some(Message::Present((self.presence)())), confirmation, self.missing_suspects()]
                     }
-                    () = self.changed.notified() => [Some(Message::Present((self.present)())), None, None],
+                    () = self.presence_changed.notified() => [Some(Message::Present((self.presence)())), None, None],
                     () = self.sources_changed.notified() => continue,
                     () = self.fetch_ended.notified(), if fetch_at.is_some() => {
-                        fetch_at = Some(time::Instant::now() + head_start);
+                        fetch_at = Some(time::Instant::now() + fetch_delay);
                         continue;
                     }
-                    () = time::sleep_until(due), if fetch_at.is_some() => {
-                        fetch_at = self.take_turn(replica);
+                    () = time::sleep_until(fetch_due), if fetch_at.is_some() => {
+                        fetch_at = self.begin_fetch(replica);
                         if fetch_at.is_some() || !self.is_behind(replica) {
                             continue;
                         }
-                        [Some(Message::Fetch(self.knowledge.borrow().revision())), None, None]
+                        [Some(Message::Fetch(self.cluster.borrow().revision())), None, None]
                     }
-                    () = time::sleep_until(silent) => return Error::Closed,
+                    () = time::sleep_until(timeout_at) => return Error::Closed,
             };
             for message in messages.into_iter().flatten() {
-                if let Err(error) = send_within(&mut sender, Frame::Hub(message), SILENCE).await {
+                if let Err(error) =
+                    send_within(&mut sender, Frame::Hub(message), LINK_TIMEOUT).await
+                {
                     return error;
                 }
             }
@@ -287,96 +298,100 @@
 
     /// Returns what the group has to hold of requests that aren't run any more. All replicas are told, since this
     /// instance doesn't know which one leads.
-    fn lacking(&self) -> Option<Message> {
-        let lacking = self.board.suspects().lacking.load();
-        (!lacking.is_empty()).then(|| Message::Suspects(lacking.to_vec()))
+    fn missing_suspects(&self) -> Option<Message> {
+        let missing = self.state.suspects().missing.load();
+        (!missing.is_empty()).then(|| Message::Suspects(missing.to_vec()))
     }
 
     /// Returns the question whether the configuration in force is the newest, where it is to be asked: of the
     /// replicas that tell which instances there are, and of all others if those don't answer.
-    fn wants_confirmation(&self, is_source: bool) -> Option<Message> {
-        if !self.board.lease().is_needed() {
+    fn confirmation_request(&self, is_source: bool) -> Option<Message> {
+        if !self.state.lease().is_needed() {
             return None;
         }
         let now = clock::now();
         let confirmed = self.freshness.borrow().confirmed();
-        let is_old = confirmed.is_none_or(|confirmed| confirmed + UNCONFIRMED < now);
+        let is_old = confirmed.is_none_or(|confirmed| confirmed + CONFIRMATION_TIMEOUT < now);
         let stamp = u64::try_from(now.as_nanos()).unwrap_or(u64::MAX);
         (is_source || is_old).then_some(Message::Vouch(stamp))
     }
 
     /// Takes the group's word that it had reached a revision when this instance asked.
-    fn confirm(&self, stamp: Stamp, reached: id::Revision) {
+    fn handle_confirmation(&self, stamp: Stamp, reached: id::Revision) {
         let asked = Duration::from_nanos(stamp);
         if asked > clock::now() {
             tracing::warn!(event = "answer-without-question", stamp, reached);
             return;
         }
-        let held = self.knowledge.borrow().revision();
-        self.freshness.borrow_mut().vouch(asked, reached, held);
+        let held = self.cluster.borrow().revision();
+        self.freshness
+            .borrow_mut()
+            .record_answer(asked, reached, held);
         self.extend_lease();
     }
 
     /// Extends the lease to what is confirmed of the configuration that the request path sees.
     fn extend_lease(&self) {
         if let Some(confirmed) = self.freshness.borrow().confirmed() {
-            let was_ready = self.board.is_ready();
-            self.board.lease().extend(confirmed);
-            if was_ready != self.board.is_ready() {
+            let was_ready = self.state.is_ready();
+            self.state.lease().extend(confirmed);
+            if was_ready != self.state.is_ready() {
                 self.announce();
             }
         }
     }
 
     /// Takes a message in; tells whether the replica has a configuration to fetch.
-    fn heard(self: &Rc<Self>, replica: &str, message: Message) -> bool {
+    fn handle_message(self: &Rc<Self>, replica: &str, message: Message) -> bool {
         let now = Instant::now();
         match message {
             Message::Reached(revision) => {
-                self.reached
+                self.latest_revisions
                     .borrow_mut()
                     .insert(replica.to_owned(), revision);
                 return self.is_behind(replica);
             }
             Message::Configuration(configuration) => self.configure(*configuration, replica, now),
             Message::Changes(changes) => {
-                let held = self.knowledge.borrow().configuration();
-                let made = held.and_then(|held| changes.apply(&held));
-                match made {
+                let held = self.cluster.borrow().configuration();
+                let applied = held.and_then(|held| changes.apply(&held));
+                match applied {
                     Some(configuration) => self.configure(configuration, replica, now),
                     // Another replica's answer came before; what is still missing is asked for again.
                     None => self.finish_fetch(),
                 }
             }
             Message::Vouched { stamp, revision } => {
-                self.confirm(stamp, revision);
-                let mut reached = self.reached.borrow_mut();
+                self.handle_confirmation(stamp, revision);
+                let mut reached = self.latest_revisions.borrow_mut();
                 let known = reached.entry(replica.to_owned()).or_default();
                 *known = revision.max(*known);
                 drop(reached);
                 return self.is_behind(replica);
             }
             Message::Targets(reports) => {
-                let news = self.knowledge.borrow_mut().hear(reports, now);
+                let news = self.cluster.borrow_mut().apply_reports(reports, now);
                 for report in &news {
                     log_report(report, Some(replica));
                 }
                 // A sign of life alone can wait: each view copies all targets.
                 if !news.is_empty() {
-                    self.news.notify_one();
+                    self.view_stale.notify_one();
                 }
             }
             Message::Instances(instances) => {
-                self.knowledge
+                self.cluster
                     .borrow_mut()
-                    .hear_instances(replica, instances);
-                self.news.notify_one();
+                    .apply_instances(replica, instances);
+                self.view_stale.notify_one();
             }
-            Message::Suspects(held) => self.board.suspects().held.store(Arc::new(held)),
-            Message::Loads(loads) => self.knowledge.borrow_mut().hear_loads(loads),
+            Message::Suspects(held) => self.state.suspects().held.store(Arc::new(held)),
+            Message::Loads(loads) => self.cluster.borrow_mut().apply_loads(loads),
             Message::Replicas(list) => {
-                self.listed.borrow_mut().insert(replica.to_owned(), list);
-                self.dial();
+                self.replica_lists
+                    .borrow_mut()
+                    .insert(replica.to_owned(), list);
+                self.update_links();
             }
             Message::Present(_) | Message::Fetch(_) | Message::Subscribe(_) | Message::Vouch(_) => {
             }
@@ -389,10 +404,14 @@
         let number = configuration.table.as_ref().map_or(0, |table| table.number);
         let evacuated = configuration.evacuated.join(",");
         self.finish_fetch();
-        if self.knowledge.borrow_mut().configure(configuration, now) {
+        if self
+            .cluster
+            .borrow_mut()
+            .apply_configuration(configuration, now)
+        {
             tracing::info!(event = "configured", revision, number, evacuated, replica);
             self.publish();
-            self.freshness.borrow_mut().hold(revision);
+            self.freshness.borrow_mut().set_current(revision);
             self.extend_lease();
             // The first one makes this instance ready, and callers may be waiting for one that is.
             self.announce();
@@ -400,23 +419,28 @@
     }
 
     fn finish_fetch(&self) {
-        self.fetching.borrow_mut().finish();
+        self.fetch.borrow_mut().finish();
         self.fetch_ended.notify_waiters();
     }
 
     /// Takes the turn to fetch from a replica that has something to fetch; returns when to try again, if another
     /// fetch is in progress.
-    fn take_turn(&self, replica: &str) -> Option<time::Instant> {
+    fn begin_fetch(&self, replica: &str) -> Option<time::Instant> {
         if !self.is_behind(replica) {
             return None;
         }
-        let taken = self.fetching.borrow_mut().ask(replica, Instant::now());
-        taken.err().map(time::Instant::from_std)
+        let begun = self.fetch.borrow_mut().begin(replica, Instant::now());
+        begun.err().map(time::Instant::from_std)
     }
 
     fn is_behind(&self, replica: &str) -> bool {
-        let reached = self.reached.borrow().get(replica).copied().unwrap_or(0);
-        reached > self.knowledge.borrow().revision()
+        let reached = self
+            .latest_revisions
+            .borrow()
+            .get(replica)
+            .copied()
+            .unwrap_or(0);
+        reached > self.cluster.borrow().revision()
     }
 }
 
--- a/crates/zinniastall-gateway/src/view.rs
+++ b/crates/zinniastall-gateway/src/view.rs
@@ -12,7 +12,7 @@
 use crate::{
     clock,
     freshness::{Lease, Trust},
-    groups::{Instances, Loads, Targets},
+    index::{Instances, Loads, Targets},
 };
 
 /// A target and what follows from its last report.
@@ -21,7 +21,7 @@
     /// Its last report.
     pub report: Report,
     /// When it said so.
-    pub heard: Instant,
+    pub heard_at: Instant,
     /// Until when it is cold.
     pub cold_until: Option<Instant>,
     /// When it will be gone, if it said so.
@@ -86,23 +86,23 @@
 
 /// Requests that aren't run any more, between the thread that finds them out and the one that talks to control.
 #[derive(Debug, Default)]
-pub struct Kept {
+pub struct Suspects {
     /// What the control group holds.
     pub held: ArcSwap<Vec<Suspect>>,
     /// What it has to hold and doesn't yet.
-    pub lacking: ArcSwap<Vec<Suspect>>,
+    pub missing: ArcSwap<Vec<Suspect>>,
 }
 
 /// Where knowledge is published and the request path reads it.
 #[derive(Debug, Clone)]
-pub struct Board {
+pub struct Shared {
     view: Arc<ArcSwap<View>>,
     lease: Lease,
-    suspects: Arc<Kept>,
+    suspects: Arc<Suspects>,
     draining: Arc<OnceLock<Drain>>,
 }
 
-impl Board {
+impl Shared {
     /// Creates a board with a first view, whose configuration is relied on for good.
     pub fn new(view: View) -> Self {
         Self {
@@ -115,7 +115,7 @@
 
     /// Sets for how long a confirmed configuration is relied on.
     #[must_use]
-    pub fn leased(mut self, lease: Lease) -> Self {
+    pub fn with_lease(mut self, lease: Lease) -> Self {
         self.lease = lease;
         self
     }
@@ -126,7 +126,7 @@
     }
 
     /// Returns the requests that aren't run any more, as the control group knows them.
-    pub fn suspects(&self) -> &Kept {
+    pub fn suspects(&self) -> &Suspects {
         &self.suspects
     }
 
--- a/crates/zinniastall-gateway/tests/books.rs
+++ b/crates/zinniastall-gateway/tests/books.rs
@@ -3,14 +3,14 @@
 use std::time::{Duration, Instant};
 
 use zinniastall_gateway::{
-    books::{Books, Use},
     decide::budget::Bound,
+    tracker::{Demand, Tracker},
 };
 
-const fn asked(priority: u8, gap_ms: u64) -> Use {
-    Use {
+const fn asked(priority: u8, gap_ms: u64) -> Demand {
+    Demand {
         priority,
-        route: priority,
+        route_priority: priority,
         gap_ms,
     }
 }
@@ -20,21 +20,21 @@
 #[test]
 fn only_routes_in_use_weigh_on_others() {
     let now = Instant::now();
-    let mut books = Books::new(Bound::default());
-    assert_eq!(books.gap("s", now), Duration::ZERO);
-    books.note_use("s", asked(0, 900), now);
-    books.note_use("s", asked(0, 600), now);
-    books.note_use("s", asked(1, 0), now);
-    books.note_use("other", asked(0, 100), now);
-    assert_eq!(books.gap("s", now), Duration::from_millis(600));
+    let mut books = Tracker::new(Bound::default());
+    assert_eq!(books.min_gap("s", now), Duration::ZERO);
+    books.record_demand("s", asked(0, 900), now);
+    books.record_demand("s", asked(0, 600), now);
+    books.record_demand("s", asked(1, 0), now);
+    books.record_demand("other", asked(0, 100), now);
+    assert_eq!(books.min_gap("s", now), Duration::from_millis(600));
     assert_eq!(
         books.rank("s", 2, now),
         2,
         "two priorities, on three routes"
     );
     let later = now + Duration::from_secs(8);
-    books.note_use("s", asked(0, 900), later);
+    books.record_demand("s", asked(0, 900), later);
     let after = now + Duration::from_secs(12);
-    assert_eq!(books.gap("s", after), Duration::from_millis(900));
+    assert_eq!(books.min_gap("s", after), Duration::from_millis(900));
     assert_eq!(books.rank("s", 2, after), 1);
 }
--- a/crates/zinniastall-gateway/tests/claims.rs
+++ b/crates/zinniastall-gateway/tests/claims.rs
@@ -9,18 +9,18 @@
 
 use tokio::{net::UdpSocket, time};
 use zinniastall_gateway::{
-    books::Books,
     decide::{
         budget::Bound,
         quota::{self, Quotas},
         warm,
     },
     neighbours::{
-        self, Load, Shared,
-        claims::{Claims, Recent},
-        datagram::{Datagram, LONGEST as LONGEST_DATAGRAM},
+        self, Context, Load,
+        claims::{Claims, History},
+        datagram::{Datagram, MAX_DATAGRAM_BYTES as LONGEST_DATAGRAM},
     },
-    view::{Board, View},
+    tracker::Tracker,
+    view::{Shared, View},
 };
 use zinniastall_model::{place::Place, presence::Presence};
 
@@ -28,7 +28,7 @@
 
 fn load(flights: u32, reading_us: u64) -> Load {
     Load {
-        flights,
+        in_flight: flights,
         reading_us,
     }
 }
@@ -69,12 +69,12 @@
             if are_alive(name) {
                 let mut view = view.clone();
                 (*name).clone_into(&mut view.instance);
-                let books = Rc::new(RefCell::new(Books::new(Bound::default())));
+                let books = Rc::new(RefCell::new(Tracker::new(Bound::default())));
                 let neighbours = Rc::default();
                 let served = Rc::clone(socket);
-                let shared = Shared {
-                    board: Board::new(view),
-                    books,
+                let shared = Context {
+                    state: Shared::new(view),
+                    tracker: books,
                     neighbours,
                     claims: own,
                     quotas: Rc::new(RefCell::new(Quotas::new(quota::Bound::default()))),
@@ -166,7 +166,7 @@
 /// targets would seem full that aren't.
 #[test]
 fn claims_fade() {
-    let mut recent = Recent::default();
+    let mut recent = History::default();
     let now = Instant::now();
     let later = |millis| now + Duration::from_millis(millis);
     assert_eq!(recent.claim(7, 50, now), Load::default());
@@ -180,10 +180,10 @@
 /// A broken instance claims without end. The coordinator's memory stays bounded.
 #[test]
 fn a_flood_of_claims_is_bounded() {
-    let mut recent = Recent::default();
+    let mut recent = History::default();
     let now = Instant::now();
     for _ in 0..10_000 {
         recent.claim(7, 1, now);
     }
-    assert!(recent.claim(7, 1, now).flights <= 256);
+    assert!(recent.claim(7, 1, now).in_flight <= 256);
 }
--- a/crates/zinniastall-gateway/tests/daemon.rs
+++ b/crates/zinniastall-gateway/tests/daemon.rs
@@ -15,7 +15,7 @@
 };
 use zinniastall_gateway::{
     daemon::{Gateway, Settings},
-    names::Names,
+    headers::Names,
     policy::Policy,
 };
 use zinniastall_model::{
@@ -204,7 +204,7 @@
         let replica = Replica::start(configuration(1, 1)).await;
         let mut gateway = gateway(vec![replica.address.to_string()]);
         let callers = gateway.callers;
-        let board = gateway.board.clone();
+        let board = gateway.state.clone();
         replica
             .say
             .send(Message::Targets(vec![report(target().await)]))
@@ -260,7 +260,7 @@
     run(async {
         let newer = Replica::start(configuration(9, 40)).await;
         let gateway = gateway(vec![newer.address.to_string()]);
-        let board = gateway.board.clone();
+        let board = gateway.state.clone();
         until("the newer one is in force", || board.view().revision() == 9).await;
         let older = Replica::start(configuration(8, 39)).await;
         gateway
--- a/crates/zinniastall-gateway/tests/fetching.rs
+++ b/crates/zinniastall-gateway/tests/fetching.rs
@@ -2,49 +2,49 @@
 
 use std::time::{Duration, Instant};
 
-use zinniastall_gateway::fetching::{Fetching, PATIENCE};
+use zinniastall_gateway::config_fetch::{Fetch, TIMEOUT};
 
 /// Guards against links filled by several copies of one large table.
 #[test]
 fn one_replica_is_asked_at_a_time() {
-    let (mut fetching, now) = (Fetching::default(), Instant::now());
-    assert_eq!(fetching.ask("a", now), Ok(()));
+    let (mut fetching, now) = (Fetch::default(), Instant::now());
+    assert_eq!(fetching.begin("a", now), Ok(()));
     for other in ["b", "c", "d"] {
-        assert_eq!(fetching.ask(other, now), Err(now + PATIENCE));
+        assert_eq!(fetching.begin(other, now), Err(now + TIMEOUT));
     }
 }
 
 /// Guards against a configuration that never comes because the nearest replica is frozen.
 #[test]
 fn a_silent_replica_is_replaced_by_another() {
-    let (mut fetching, now) = (Fetching::default(), Instant::now());
-    assert_eq!(fetching.ask("a", now), Ok(()));
-    let later = now + PATIENCE;
-    assert_eq!(fetching.ask("a", later), Err(now + PATIENCE * 2));
-    assert_eq!(fetching.ask("b", later), Ok(()));
-    assert_eq!(fetching.ask("a", later), Err(later + PATIENCE));
+    let (mut fetching, now) = (Fetch::default(), Instant::now());
+    assert_eq!(fetching.begin("a", now), Ok(()));
+    let later = now + TIMEOUT;
+    assert_eq!(fetching.begin("a", later), Err(now + TIMEOUT * 2));
+    assert_eq!(fetching.begin("b", later), Ok(()));
+    assert_eq!(fetching.begin("a", later), Err(later + TIMEOUT));
 }
 
 #[test]
 fn the_only_replica_is_asked_again() {
-    let (mut fetching, now) = (Fetching::default(), Instant::now());
-    assert_eq!(fetching.ask("a", now), Ok(()));
-    assert_eq!(fetching.ask("a", now + PATIENCE * 2), Ok(()));
+    let (mut fetching, now) = (Fetch::default(), Instant::now());
+    assert_eq!(fetching.begin("a", now), Ok(()));
+    assert_eq!(fetching.begin("a", now + TIMEOUT * 2), Ok(()));
 }
 
 #[test]
 fn a_lost_link_passes_the_turn_on_at_once() {
-    let (mut fetching, now) = (Fetching::default(), Instant::now());
-    assert_eq!(fetching.ask("a", now), Ok(()));
-    assert!(!fetching.lose("b"));
-    assert!(fetching.lose("a"));
-    assert_eq!(fetching.ask("b", now + Duration::from_millis(1)), Ok(()));
+    let (mut fetching, now) = (Fetch::default(), Instant::now());
+    assert_eq!(fetching.begin("a", now), Ok(()));
+    assert!(!fetching.abandon("b"));
+    assert!(fetching.abandon("a"));
+    assert_eq!(fetching.begin("b", now + Duration::from_millis(1)), Ok(()));
 }
 
 #[test]
 fn the_next_configuration_is_fetched_at_once() {
-    let (mut fetching, now) = (Fetching::default(), Instant::now());
-    assert_eq!(fetching.ask("a", now), Ok(()));
+    let (mut fetching, now) = (Fetch::default(), Instant::now());
+    assert_eq!(fetching.begin("a", now), Ok(()));
     fetching.finish();
-    assert_eq!(fetching.ask("b", now), Ok(()));
+    assert_eq!(fetching.begin("b", now), Ok(()));
 }
--- a/crates/zinniastall-gateway/tests/figures.rs
+++ b/crates/zinniastall-gateway/tests/figures.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use zinniastall_gateway::{figures::Figures, journal::End};
+use zinniastall_gateway::{metrics::Metrics, request_log::End};
 
 /// Returns the sum of all samples of a metric.
 fn sum(text: &str, metric: &str) -> f64 {
@@ -20,9 +20,9 @@
 /// Guards against figures that grow with the number of accounts.
 #[test]
 fn quotas_are_counted_by_account_up_to_a_bound() {
-    let figures = Figures::new();
+    let figures = Metrics::new();
     for number in 0..200 {
-        figures.charge(&format!("account-{number}"), 10, number % 2 == 0);
+        figures.count_units(&format!("account-{number}"), 10, number % 2 == 0);
     }
     let text = figures.text();
     let lines = text
@@ -37,7 +37,7 @@
 
 #[test]
 fn sums_of_histograms_equal_the_requests_counted() {
-    let figures = Figures::new();
+    let figures = Metrics::new();
     for number in 0..250_u64 {
         let outcome = if number % 5 == 0 {
             "not-sent"
@@ -46,12 +46,12 @@
         };
         let is_answered = outcome == "answered";
         let end = End {
-            first: is_answered.then(|| Duration::from_millis(number)),
-            pause: Duration::from_millis(number) * u32::from(is_answered),
-            took: Duration::from_millis(number * 2),
+            first_byte: is_answered.then(|| Duration::from_millis(number)),
+            longest_gap: Duration::from_millis(number) * u32::from(is_answered),
+            duration: Duration::from_millis(number * 2),
             ..End::untimed(outcome)
         };
-        figures.request(&format!("route-{}", number % 7), &end);
+        figures.count_request(&format!("route-{}", number % 7), &end);
     }
     let text = figures.text();
     assert_eq!(
@@ -70,16 +70,16 @@
         sum(&text, "zinniastall_gateway_pause_seconds_count").to_string(),
         "200"
     );
-    assert_eq!(figures.counted(), 250);
+    assert_eq!(figures.request_count(), 250);
     assert!(text.ends_with("# EOF\n"));
 }
 
 /// Operators add hundreds of routes. Figures of each would take megabytes in every instance.
 #[test]
 fn figures_are_kept_for_a_bounded_number_of_routes() {
-    let figures = Figures::new();
+    let figures = Metrics::new();
     for number in 0..1_000 {
-        figures.request(&format!("route-{number}"), &End::untimed("answered"));
+        figures.count_request(&format!("route-{number}"), &End::untimed("answered"));
     }
     let text = figures.text();
     let series = text
--- a/crates/zinniastall-gateway/tests/groups.rs
+++ b/crates/zinniastall-gateway/tests/groups.rs
@@ -4,7 +4,7 @@
 
 use proptest::prelude::*;
 use zinniastall_gateway::{
-    groups::{Instances, Loads, Sum, Targets},
+    index::{Instances, Loads, Targets, Total},
     view::Target,
 };
 use zinniastall_model::{
@@ -32,7 +32,7 @@
     };
     let target = Target {
         report,
-        heard: Instant::now(),
+        heard_at: Instant::now(),
         cold_until: None,
         gone_at: None,
     };
@@ -112,7 +112,7 @@
         for (service, region) in (0..3).flat_map(|service| (0..3).map(move |region| (service, region))) {
             let fits = all.iter().filter(|held| (held.0, held.1) == (service, region));
             let flights: u32 = fits.map(|held| held.2).sum();
-            let sum = Sum { flights, reading_us: u64::from(flights) * 10 };
+            let sum = Total { in_flight: flights, reading_us: u64::from(flights) * 10 };
             prop_assert_eq!(loads.of(SERVICES[service], REGIONS[region]), sum);
         }
     }
--- a/crates/zinniastall-gateway/tests/knowledge.rs
+++ b/crates/zinniastall-gateway/tests/knowledge.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant};
 
-use zinniastall_gateway::knowledge::Knowledge;
+use zinniastall_gateway::cluster_state::State as ClusterState;
 use zinniastall_model::{
     place::Place,
     presence::Presence,
@@ -11,8 +11,8 @@
 };
 use zinniastall_wire::hub::{Configuration, Instances};
 
-fn knowledge() -> Knowledge {
-    Knowledge::new("edge-1".to_owned(), Place::new("patras", "patras-a"))
+fn knowledge() -> ClusterState {
+    ClusterState::new("edge-1".to_owned(), Place::new("patras", "patras-a"))
 }
 
 fn report(target: &str, incarnation: u64, sequence: u64, state: State) -> Report {
@@ -31,7 +31,7 @@
     }
 }
 
-fn names(knowledge: &mut Knowledge, now: Instant) -> Vec<String> {
+fn names(knowledge: &mut ClusterState, now: Instant) -> Vec<String> {
     knowledge
         .view(now)
         .targets
@@ -61,7 +61,7 @@
     }
 }
 
-fn alive(known: &mut Knowledge, now: Instant) -> Vec<String> {
+fn alive(known: &mut ClusterState, now: Instant) -> Vec<String> {
     let view = known.view(now);
     let mut names: Vec<String> = view.instances.by_name().keys().cloned().collect();
     names.sort();
@@ -83,9 +83,9 @@
 #[test]
 fn a_late_heartbeat_brings_no_draining_target_back() {
     let (mut known, now) = (knowledge(), Instant::now());
-    known.hear(vec![report("t", 5, 1, State::Ready)], now);
-    known.hear(vec![report("t", 5, 3, State::Draining)], now);
-    known.hear(vec![report("t", 5, 2, State::Ready)], now);
+    known.apply_reports(vec![report("t", 5, 1, State::Ready)], now);
+    known.apply_reports(vec![report("t", 5, 3, State::Draining)], now);
+    known.apply_reports(vec![report("t", 5, 2, State::Ready)], now);
     assert!(names(&mut known, now).is_empty());
 }
 
@@ -93,9 +93,9 @@
 #[test]
 fn a_target_that_signed_off_stays_gone_in_its_run() {
     let (mut known, now) = (knowledge(), Instant::now());
-    known.hear(vec![report("t", 5, 1, State::Ready)], now);
-    known.hear(vec![report("t", 5, 1, State::Gone)], now);
-    known.hear(vec![report("t", 5, 9, State::Ready)], now);
+    known.apply_reports(vec![report("t", 5, 1, State::Ready)], now);
+    known.apply_reports(vec![report("t", 5, 1, State::Gone)], now);
+    known.apply_reports(vec![report("t", 5, 9, State::Ready)], now);
     assert!(names(&mut known, now).is_empty());
 }
 
@@ -104,10 +104,10 @@
 #[test]
 fn a_later_run_counts_its_reports_anew() {
     let (mut known, now) = (knowledge(), Instant::now());
-    known.hear(vec![report("t", 5, 40, State::Draining)], now);
-    known.hear(vec![report("t", 6, 1, State::Ready)], now);
+    known.apply_reports(vec![report("t", 5, 40, State::Draining)], now);
+    known.apply_reports(vec![report("t", 6, 1, State::Ready)], now);
     assert_eq!(names(&mut known, now), ["t"]);
-    known.hear(vec![report("t", 5, 41, State::Gone)], now);
+    known.apply_reports(vec![report("t", 5, 41, State::Gone)], now);
     assert_eq!(names(&mut known, now), ["t"]);
 }
 
@@ -116,10 +116,10 @@
 #[test]
 fn a_new_target_at_an_address_ends_the_old_one() {
     let (mut known, now) = (knowledge(), Instant::now());
-    known.hear(vec![report("old", 5, 7, State::Ready)], now);
-    known.hear(vec![report("new", 6, 1, State::Ready)], now);
+    known.apply_reports(vec![report("old", 5, 7, State::Ready)], now);
+    known.apply_reports(vec![report("new", 6, 1, State::Ready)], now);
     assert_eq!(names(&mut known, now), ["new"]);
-    known.hear(vec![report("old", 5, 8, State::Ready)], now);
+    known.apply_reports(vec![report("old", 5, 8, State::Ready)], now);
     assert_eq!(
         names(&mut known, now),
         ["new"],
@@ -132,14 +132,14 @@
 #[test]
 fn targets_of_a_zone_that_was_taken_back_count_as_cold() {
     let (mut known, now) = (knowledge(), Instant::now());
-    known.configure(configuration(1, &["patras-a"]), now);
-    known.hear(vec![report("t", 5, 1, State::Ready)], now);
-    known.configure(configuration(2, &[]), now);
+    known.apply_configuration(configuration(1, &["patras-a"]), now);
+    known.apply_reports(vec![report("t", 5, 1, State::Ready)], now);
+    known.apply_configuration(configuration(2, &[]), now);
     let cold =
-        |known: &mut Knowledge, now| known.view(now).targets.by_name()["t"].cold_until.is_some();
+        |known: &mut ClusterState, now| known.view(now).targets.by_name()["t"].cold_until.is_some();
     assert!(cold(&mut known, now));
     let later = now + Duration::from_millis(900);
-    known.hear(vec![report("t", 5, 2, State::Ready)], later);
+    known.apply_reports(vec![report("t", 5, 2, State::Ready)], later);
     assert!(!cold(&mut known, later));
     assert!(!cold(&mut known, now + Duration::from_secs(4)));
 }
@@ -148,16 +148,16 @@
 #[test]
 fn a_replicas_word_outlives_its_link_for_a_moment() {
     let (mut known, now) = (knowledge(), Instant::now());
-    known.ask("r1", now);
-    known.ask("r2", now);
-    known.hear_instances("r1", all(vec![presence("a", 1, true)]));
-    known.hear_instances("r2", all(vec![presence("b", 1, true)]));
-    known.lose("r1", now);
+    known.subscribe("r1", now);
+    known.subscribe("r2", now);
+    known.apply_instances("r1", all(vec![presence("a", 1, true)]));
+    known.apply_instances("r2", all(vec![presence("b", 1, true)]));
+    known.unsubscribe("r1", now);
     assert_eq!(alive(&mut known, now), ["a", "b"]);
     let later = now + Duration::from_secs(4);
     assert_eq!(alive(&mut known, later), ["b"]);
     // With no replica left, this instance is the one that is cut off.
-    known.lose("r2", now);
+    known.unsubscribe("r2", now);
     assert_eq!(alive(&mut known, later), ["a", "b"]);
 }
 
@@ -165,12 +165,12 @@
 #[test]
 fn who_knows_of_the_end_is_believed() {
     let (mut known, now) = (knowledge(), Instant::now());
-    known.ask("r1", now);
-    known.ask("r2", now);
-    known.hear_instances("r1", all(vec![presence("a", 1, false)]));
-    known.hear_instances("r2", all(vec![presence("a", 1, true)]));
+    known.subscribe("r1", now);
+    known.subscribe("r2", now);
+    known.apply_instances("r1", all(vec![presence("a", 1, false)]));
+    known.apply_instances("r2", all(vec![presence("a", 1, true)]));
     assert!(!known.view(now).instances.by_name()["a"].ready);
-    known.hear_instances("r2", all(vec![presence("a", 2, true)]));
+    known.apply_instances("r2", all(vec![presence("a", 2, true)]));
     assert!(
         known.view(now).instances.by_name()["a"].ready,
         "a later run"
@@ -181,7 +181,7 @@
 #[test]
 fn silence_alone_takes_no_target_out() {
     let (mut known, now) = (knowledge(), Instant::now());
-    known.hear(vec![report("t", 5, 1, State::Ready)], now);
+    known.apply_reports(vec![report("t", 5, 1, State::Ready)], now);
     assert_eq!(names(&mut known, now + Duration::from_secs(15)), ["t"]);
     assert!(names(&mut known, now + Duration::from_secs(40)).is_empty());
 }
@@ -192,17 +192,17 @@
 fn a_change_leaves_the_other_instances_as_they_were() {
     let (mut known, now) = (knowledge(), Instant::now());
     let first = vec![presence("a", 1, true), presence("b", 1, true)];
-    known.ask("r1", now);
-    known.hear_instances("r1", all(first));
+    known.subscribe("r1", now);
+    known.apply_instances("r1", all(first));
     let change = Instances {
         whole: false,
         present: vec![presence("c", 1, true)],
         gone: vec!["a".to_owned()],
     };
-    known.hear_instances("r1", change);
+    known.apply_instances("r1", change);
     assert_eq!(alive(&mut known, now), ["b", "c"]);
     // A whole list leaves nothing of before.
-    known.hear_instances("r1", all(vec![presence("d", 1, true)]));
+    known.apply_instances("r1", all(vec![presence("d", 1, true)]));
     assert_eq!(alive(&mut known, now), ["d"]);
 }
 
@@ -211,12 +211,12 @@
 #[test]
 fn another_source_takes_over_without_a_gap() {
     let (mut known, now) = (knowledge(), Instant::now());
-    known.ask("far", now);
-    known.hear_instances("far", all(vec![presence("a", 1, true)]));
-    known.lose("far", now);
-    known.ask("near", now);
+    known.subscribe("far", now);
+    known.apply_instances("far", all(vec![presence("a", 1, true)]));
+    known.unsubscribe("far", now);
+    known.subscribe("near", now);
     assert_eq!(alive(&mut known, now), ["a"]);
-    known.hear_instances("near", all(vec![presence("b", 1, true)]));
+    known.apply_instances("near", all(vec![presence("b", 1, true)]));
     assert_eq!(alive(&mut known, now + Duration::from_secs(1)), ["a", "b"]);
     assert_eq!(alive(&mut known, now + Duration::from_secs(4)), ["b"]);
 }
@@ -226,12 +226,12 @@
 #[test]
 fn a_list_that_comes_too_late_is_not_kept() {
     let (mut known, now) = (knowledge(), Instant::now());
-    known.ask("far", now);
-    known.hear_instances("far", all(vec![presence("a", 1, false)]));
-    known.ask("near", now);
-    known.lose("far", now);
-    known.hear_instances("far", all(vec![presence("a", 1, false)]));
-    known.hear_instances("near", all(vec![presence("a", 1, true)]));
+    known.subscribe("far", now);
+    known.apply_instances("far", all(vec![presence("a", 1, false)]));
+    known.subscribe("near", now);
+    known.unsubscribe("far", now);
+    known.apply_instances("far", all(vec![presence("a", 1, false)]));
+    known.apply_instances("near", all(vec![presence("a", 1, true)]));
     let later = now + Duration::from_secs(4);
     assert!(known.view(later).instances.by_name()["a"].ready);
 }
--- a/crates/zinniastall-gateway/tests/neighbours.rs
+++ b/crates/zinniastall-gateway/tests/neighbours.rs
@@ -8,9 +8,9 @@
 use indexmap::IndexMap;
 use zinniastall_gateway::{
     neighbours::{
-        Load, Loads, Neighbours, Outgoing, PACE,
+        Load, Loads, Neighbours, Outgoing, REPORT_INTERVAL,
         collector::Roster,
-        datagram::{Datagram, LONGEST, Part, key, parts},
+        datagram::{Datagram, MAX_DATAGRAM_BYTES, Part, key, parts},
     },
     view::View,
 };
@@ -19,7 +19,7 @@
 fn loads(loads: &[(&str, u32)]) -> Loads {
     let loads = loads.iter().map(|(target, flights)| {
         let load = Load {
-            flights: *flights,
+            in_flight: *flights,
             reading_us: 100_000,
         };
         (key(target), load)
@@ -27,14 +27,14 @@
     loads.collect()
 }
 
-fn part(turn: u32, held: &[(&str, u32)]) -> Part {
-    parts(turn, &loads(held)).remove(0)
+fn part(round: u32, held: &[(&str, u32)]) -> Part {
+    parts(round, &loads(held)).remove(0)
 }
 
-fn report(instance: &str, turn: u32, held: &[(&str, u32)]) -> Datagram {
+fn report(instance: &str, round: u32, held: &[(&str, u32)]) -> Datagram {
     Datagram::Report {
         instance: instance.to_owned(),
-        part: part(turn, held),
+        part: part(round, held),
     }
 }
 
@@ -90,7 +90,7 @@
     /// Plays one round in which each instance has one request at target "t"; those that `is_dead` neither
     /// send nor hear.
     fn round(&mut self, flights: u32, is_dead: impl Fn(&str) -> bool) {
-        self.now += PACE;
+        self.now += REPORT_INTERVAL;
         let mut all: Vec<(String, Outgoing)> = Vec::new();
         for (name, (view, neighbours)) in &mut self.members {
             if is_dead(name) {
@@ -102,7 +102,7 @@
         }
         for (from, send) in all {
             let bytes = send.datagram.encode().expect("fits into a datagram");
-            assert!(bytes.len() <= LONGEST);
+            assert!(bytes.len() <= MAX_DATAGRAM_BYTES);
             for to in send.to {
                 self.sent += 1;
                 let zone = |name: &str| self.members[name].0.place.zone.clone();
@@ -111,18 +111,18 @@
                 }
                 if !is_dead(&to) {
                     let datagram = Datagram::decode(&bytes).expect("is a datagram");
-                    self.members[&to].1.hear(datagram, self.now);
+                    self.members[&to].1.receive(datagram, self.now);
                 }
             }
         }
     }
 
     fn known(&self, name: &str) -> u32 {
-        self.members[name].1.at("t", self.now).flights
+        self.members[name].1.load_at("t", self.now).in_flight
     }
 
     fn first_collector(&self) -> String {
-        let is_first = |(view, _): &&(View, Neighbours)| Roster::new(view).is_first();
+        let is_first = |(view, _): &&(View, Neighbours)| Roster::new(view).is_first_collector();
         let first = self.members.values().find(is_first).expect("a collector");
         first.0.instance.clone()
     }
@@ -133,22 +133,24 @@
 fn the_last_report_of_a_neighbour_fades() {
     let now = Instant::now();
     let mut neighbours = Neighbours::default();
-    neighbours.hear(report("a", 1, &[("t", 3)]), now);
-    neighbours.hear(report("b", 1, &[("t", 4)]), now);
-    assert_eq!(neighbours.at("t", now).flights, 7);
-    neighbours.hear(
+    neighbours.receive(report("a", 1, &[("t", 3)]), now);
+    neighbours.receive(report("b", 1, &[("t", 4)]), now);
+    assert_eq!(neighbours.load_at("t", now).in_flight, 7);
+    neighbours.receive(
         report("b", 2, &[("t", 1)]),
         now + Duration::from_millis(500),
     );
     assert_eq!(
-        neighbours.at("t", now + Duration::from_millis(700)).flights,
+        neighbours
+            .load_at("t", now + Duration::from_millis(700))
+            .in_flight,
         1
     );
     assert_eq!(
-        neighbours.at("t", now + Duration::from_secs(2)),
+        neighbours.load_at("t", now + Duration::from_secs(2)),
         Load::default()
     );
-    assert_eq!(neighbours.at("other", now), Load::default());
+    assert_eq!(neighbours.load_at("other", now), Load::default());
 }
 
 /// A region has more targets than one datagram holds. The parts of a report stand beside each other, and the
@@ -157,11 +159,11 @@
 fn parts_of_a_report_stand_beside_each_other() {
     let now = Instant::now();
     let mut neighbours = Neighbours::default();
-    neighbours.hear(report("a", 7, &[("t1", 3)]), now);
-    neighbours.hear(report("a", 7, &[("t2", 4)]), now);
-    let at = |neighbours: &Neighbours, target| neighbours.at(target, now).flights;
+    neighbours.receive(report("a", 7, &[("t1", 3)]), now);
+    neighbours.receive(report("a", 7, &[("t2", 4)]), now);
+    let at = |neighbours: &Neighbours, target| neighbours.load_at(target, now).in_flight;
     assert_eq!((at(&neighbours, "t1"), at(&neighbours, "t2")), (3, 4));
-    neighbours.hear(report("a", 8, &[("t2", 5)]), now);
+    neighbours.receive(report("a", 8, &[("t2", 5)]), now);
     assert_eq!((at(&neighbours, "t1"), at(&neighbours, "t2")), (0, 5));
 }
 
@@ -175,9 +177,11 @@
     for part in parts(9, &loads(&held)) {
         let datagram = Datagram::Region { included: 0, part };
         let bytes = datagram.encode().expect("fits into a datagram");
-        neighbours.hear(Datagram::decode(&bytes).expect("is a datagram"), now);
+        neighbours.receive(Datagram::decode(&bytes).expect("is a datagram"), now);
     }
-    let known = names.iter().map(|name| neighbours.at(name, now).flights);
+    let known = names
+        .iter()
+        .map(|name| neighbours.load_at(name, now).in_flight);
     assert!(known.min() == Some(60_000));
 }
 
--- a/crates/zinniastall-gateway/tests/path/accounts.rs
+++ b/crates/zinniastall-gateway/tests/path/accounts.rs
@@ -6,7 +6,7 @@
 use zinniastall_gateway::{
     clock,
     freshness::{Freshness, Lease, Trust},
-    view::{Board, View},
+    view::{Shared, View},
 };
 use zinniastall_model::routing::{Account, Kind, Quota, Route, Unit};
 
@@ -107,7 +107,7 @@
     if confirmed {
         lease.extend(clock::now().saturating_sub(Duration::from_millis(10)));
     }
-    let stage = Stage::on(Board::new(view).leased(lease)).await;
+    let stage = Stage::on(Shared::new(view).with_lease(lease)).await;
     let fields = "deadline-ms: 400\r\nAuthorization: Bearer ";
     let known = call(&stage, "/plans/1", &format!("{fields}k-studio\r\n")).await;
     let unknown = call(&stage, "/plans/1", &format!("{fields}k-other\r\n")).await;
@@ -135,7 +135,7 @@
     );
     let targets = std::mem::take(&mut view.targets);
     let lease = Lease::new(Some(Duration::from_millis(60)));
-    let board = Board::new(view.clone()).leased(lease.clone());
+    let board = Shared::new(view.clone()).with_lease(lease.clone());
     lease.extend(clock::now());
     let stage = Stage::on(board.clone()).await;
     // The only target is known to be full for the moment, so that the request waits.
@@ -143,7 +143,7 @@
     {
         let mut books = stage.traffic.books.borrow_mut();
         let account = books.target("target-0", crate::stage::SERVICE, now);
-        account.shut_until = Some(now + Duration::from_millis(150));
+        account.blocked_until = Some(now + Duration::from_millis(150));
     }
     view.targets = targets;
     board.publish(view);
@@ -330,11 +330,11 @@
     let lease = Lease::new(Some(second * 4));
     assert_eq!(lease.trust(second), Trust::Unconfirmed);
     let mut freshness = Freshness::default();
-    freshness.vouch(second * 10, 7, 7);
+    freshness.record_answer(second * 10, 7, 7);
     lease.extend(freshness.confirmed().expect("revision 7 is held"));
     assert_eq!(lease.trust(Duration::from_millis(13_999)), Trust::Fresh);
     assert_eq!(lease.trust(second * 14), Trust::Stale);
-    freshness.vouch(second * 9, 7, 7);
+    freshness.record_answer(second * 9, 7, 7);
     assert_eq!(
         freshness.confirmed(),
         Some(second * 10),
@@ -347,14 +347,14 @@
 fn a_revision_has_to_be_in_force_to_count() {
     let second = Duration::from_secs(1);
     let mut freshness = Freshness::default();
-    freshness.vouch(second, 3, 3);
-    freshness.vouch(second * 2, 5, 3);
-    freshness.vouch(second * 3, 6, 3);
+    freshness.record_answer(second, 3, 3);
+    freshness.record_answer(second * 2, 5, 3);
+    freshness.record_answer(second * 3, 6, 3);
     assert_eq!(freshness.confirmed(), Some(second));
-    freshness.hold(4);
+    freshness.set_current(4);
     assert_eq!(freshness.confirmed(), Some(second));
-    freshness.hold(5);
+    freshness.set_current(5);
     assert_eq!(freshness.confirmed(), Some(second * 2));
-    freshness.hold(9);
+    freshness.set_current(9);
     assert_eq!(freshness.confirmed(), Some(second * 3));
 }
--- a/crates/zinniastall-gateway/tests/path/answers.rs
+++ b/crates/zinniastall-gateway/tests/path/answers.rs
@@ -227,7 +227,7 @@
     let mut targets = shown.targets.by_name().clone();
     // Left alone at first, as a target that was silent for long, so that the other two come before it.
     let mut third = crate::stage::known("target-2", address);
-    third.heard = third.heard.checked_sub(Duration::from_secs(10)).unwrap();
+    third.heard_at = third.heard_at.checked_sub(Duration::from_secs(10)).unwrap();
     targets.insert("target-2".to_owned(), third);
     shown.targets = std::sync::Arc::new(targets.into_iter().collect());
     let stage = Stage::start(shown).await;
--- a/crates/zinniastall-gateway/tests/path/quarantine.rs
+++ b/crates/zinniastall-gateway/tests/path/quarantine.rs
@@ -112,15 +112,15 @@
     let first = ask(&here, "/pay/1", "p0", POISON).await;
     assert_eq!(first.status, 502);
     assert_eq!(
-        here.traffic.suspects.borrow().sum(),
+        here.traffic.suspects.borrow().digest(),
         0,
         "one crash is no strong suspicion"
     );
     ask(&here, "/pay/1", "p1", POISON).await;
     ask(&here, "/pay/1", "p2", POISON).await;
-    let sum = here.traffic.suspects.borrow().sum();
+    let sum = here.traffic.suspects.borrow().digest();
     assert_ne!(sum, 0);
-    assert_eq!(sum, there.traffic.suspects.borrow().sum());
+    assert_eq!(sum, there.traffic.suspects.borrow().digest());
     assert_eq!(ask(&here, "/pay/1", "p3", POISON).await.status, 400);
     assert_eq!(ask(&there, "/pay/1", "p4", POISON).await.status, 400);
     assert_eq!(crashed(&targets), LIMIT);
@@ -136,7 +136,7 @@
     let now = Instant::now();
     for run in 0..2 {
         let mut suspects = here.traffic.suspects.borrow_mut();
-        suspects.crash(request, run, run > 0, now);
+        suspects.record_crash(request, run, run > 0, now);
     }
     ask(&here, "/pay/1", "p", POISON).await;
     assert_eq!(crashed(&targets), 1);
--- a/crates/zinniastall-gateway/tests/path/stage.rs
+++ b/crates/zinniastall-gateway/tests/path/stage.rs
@@ -11,11 +11,11 @@
     time,
 };
 use zinniastall_gateway::{
-    figures::Figures,
-    names::Names,
+    headers::Names,
+    metrics::Metrics,
     path::{Traffic, serve},
     policy::Policy,
-    view::{Board, Target as Known, View},
+    view::{Shared, Target as Known, View},
 };
 use zinniastall_model::{
     place::Place,
@@ -331,7 +331,7 @@
             left_ms: None,
             age_ms: 0,
         },
-        heard: std::time::Instant::now(),
+        heard_at: std::time::Instant::now(),
         cold_until: None,
         gone_at: None,
     }
@@ -340,18 +340,18 @@
 impl Stage {
     /// Starts the path of an instance that sees this view.
     pub(crate) async fn start(view: View) -> Self {
-        Self::on(Board::new(view)).await
+        Self::on(Shared::new(view)).await
     }
 
     /// Starts the path of an instance that reads a board.
-    pub(crate) async fn on(board: Board) -> Self {
+    pub(crate) async fn on(board: Shared) -> Self {
         let names = Names {
             reserved: vec![http::HeaderName::from_static("secret")],
             ..Names::default()
         };
         let mut policy = Policy::default();
-        policy.repeats.slack = 100;
-        let traffic = Rc::new(Traffic::new(board, names, policy, Figures::new()));
+        policy.retry_budget.slack = 100;
+        let traffic = Rc::new(Traffic::new(board, names, policy, Metrics::new()));
         let callers = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let forward = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let stage = Self {
--- a/crates/zinniastall-gateway/tests/quotas.rs
+++ b/crates/zinniastall-gateway/tests/quotas.rs
@@ -159,7 +159,7 @@
         while let Some(entry) = sent.first_entry().filter(|entry| entry.key().0 <= at) {
             let (to, datagram) = entry.remove();
             let node = &mut nodes[to];
-            if node.exchange.hear(datagram, now) {
+            if node.exchange.receive(datagram, now) {
                 let totals = node.exchange.totals().clone();
                 node.quotas.hear(totals, now);
             }
@@ -202,7 +202,7 @@
         past: node.quotas.past(account, now),
     };
     let sends = node.exchange.round(&node.roster, &own, &accounts, now);
-    if node.roster.collects() {
+    if node.roster.is_collector() {
         let totals = node.exchange.totals().clone();
         node.quotas.hear(totals, now);
     }
@@ -409,7 +409,9 @@
 /// Returns what a first collector sends of many accounts that all have the same use.
 fn told_of_many(accounts: u32, usage: Usage, known: &dyn Accounts) -> Vec<Datagram> {
     let mut nodes = nodes(&mut StdRng::seed_from_u64(1));
-    let first = nodes.iter_mut().find(|node| node.roster.is_first());
+    let first = nodes
+        .iter_mut()
+        .find(|node| node.roster.is_first_collector());
     let node = first.expect("a zone has a first collector");
     let own = (0..accounts).map(|account| (u32::MAX - account, usage));
     let sends = node
@@ -436,9 +438,9 @@
     let mut heard = Exchange::default();
     let last = told.pop().expect("the last one");
     for datagram in told {
-        assert!(!heard.hear(datagram, Instant::now()), "some are missing");
+        assert!(!heard.receive(datagram, Instant::now()), "some are missing");
     }
-    assert!(heard.hear(last, Instant::now()));
+    assert!(heard.receive(last, Instant::now()));
     let used = heard.totals().values().map(|total| total.usage.used);
     assert_eq!(used.sum::<u64>(), 100 * 60);
 }
--- a/crates/zinniastall-gateway/tests/suspects.rs
+++ b/crates/zinniastall-gateway/tests/suspects.rs
@@ -116,7 +116,7 @@
         let suspects = &mut self.nodes[node].suspects;
         for number in requests {
             let was_suspect = suspects.crashes(request(number)) > 0;
-            suspects.crash(request(number), run, was_suspect, now);
+            suspects.record_crash(request(number), run, was_suspect, now);
         }
     }
 
@@ -153,9 +153,12 @@
         let node = &mut self.nodes[to];
         match datagram {
             Datagram::Suspects { for_all, part } => {
-                suspicions::hear(&node.roster, &mut node.suspects, &part, for_all, now);
+                suspicions::receive(&node.roster, &mut node.suspects, &part, for_all, now);
             }
-            Datagram::SuspectSum { sum, is_answer } => {
+            Datagram::SuspectSum {
+                digest: sum,
+                is_answer,
+            } => {
                 let answers = suspicions::answers(&node.roster, &node.suspects, sum, is_answer);
                 let sends = answers.into_iter().map(|datagram| Outgoing {
                     to: vec![format!("edge-{from}")],
@@ -302,7 +305,7 @@
     world.until(1_000, |suspects| suspects.crashes(request(0)) >= LIMIT);
     world.cut = Some("r2".to_owned());
     let now = world.now();
-    assert!(world.nodes[0].suspects.finish(request(0), now));
+    assert!(world.nodes[0].suspects.record_finish(request(0), now));
     world.play(1_000);
     world.cut = None;
     world.until(5_000, |suspects| suspects.crashes(request(0)) == 0);
--- a/crates/zinniastall-gateway/tests/words.rs
+++ b/crates/zinniastall-gateway/tests/words.rs
@@ -4,13 +4,13 @@
 
 use tokio::{net::UdpSocket, time};
 use zinniastall_gateway::{
-    books::{Books, Flight},
     decide::{
         budget::Bound,
         quota::{self, Quotas},
     },
-    neighbours::{self, Neighbours, Shared},
-    view::{Board, View},
+    neighbours::{self, Context, Neighbours},
+    tracker::{Guard, Tracker},
+    view::{Shared, View},
 };
 use zinniastall_model::{place::Place, presence::Presence};
 
@@ -49,18 +49,18 @@
                 .iter()
                 .map(|held| (held.instance.clone(), held.clone()));
             view.instances = Arc::new(named.collect());
-            Board::new(view)
+            Shared::new(view)
         };
-        let books = || Rc::new(RefCell::new(Books::new(Bound::default())));
+        let books = || Rc::new(RefCell::new(Tracker::new(Bound::default())));
         let (busy, idle) = (books(), books());
         let now = std::time::Instant::now();
-        let flights: Vec<Flight> = (0..TARGETS)
-            .map(|at| Flight::start(&busy, &format!("i-{at:010}"), "api", 10, now))
+        let flights: Vec<Guard> = (0..TARGETS)
+            .map(|at| Guard::start(&busy, &format!("i-{at:010}"), "api", 10, now))
             .collect();
         let heard: Rc<RefCell<Neighbours>> = Rc::default();
-        let shared = |name, books, neighbours| Shared {
-            board: board(name),
-            books,
+        let shared = |name, books, neighbours| Context {
+            state: board(name),
+            tracker: books,
             neighbours,
             claims: Rc::default(),
             quotas: Rc::new(RefCell::new(Quotas::new(quota::Bound::default()))),
@@ -73,8 +73,8 @@
         actix::spawn(neighbours::run(Rc::new(two), idle));
         let total = |heard: &RefCell<Neighbours>| {
             let now = std::time::Instant::now();
-            let loads = (0..TARGETS).map(|at| heard.borrow().at(&format!("i-{at:010}"), now));
-            loads.map(|load| load.flights).sum::<u32>()
+            let loads = (0..TARGETS).map(|at| heard.borrow().load_at(&format!("i-{at:010}"), now));
+            loads.map(|load| load.in_flight).sum::<u32>()
         };
         let whole = async {
             while total(&heard) < 150 {
