--- a/crates/zinniastall-gateway/examples/place_cost.rs
+++ b/crates/zinniastall-gateway/examples/place_cost.rs
@@ -14,9 +14,9 @@
     freshness::Trust,
     names::Names,
     path::{
-        Traffic,
-        job::{Job, Judged},
-        placing::{Claimed, Tried},
+        Proxy,
+        job::{Job, Match},
+        placement::{Claimed, Tried},
     },
     policy::Policy,
     view::{Board, Target, View},
@@ -43,12 +43,12 @@
                 prompt-parts: shared:2000,own:100\r\n\r\n";
     let mut input = BytesMut::from(head);
     let head = Request::parse(&mut input, 4_096)?.ok_or_else(|| eyre::eyre!("half a head"))?;
-    let judged = Judged::new(&board.view(), Trust::Fresh, &head, false);
+    let judged = Match::new(&board.view(), Trust::Fresh, &head, false);
     let judged = judged.map_err(|refusal| eyre::eyre!("{refusal:?}"))?;
     let names = Names::default();
     let job = judged.job(&names, head, Bytes::new(), Instant::now());
     let mut job = job.map_err(|refusal| eyre::eyre!("{refusal:?}"))?;
-    let traffic = Traffic::new(board, names, Policy::default(), Figures::new());
+    let traffic = Proxy::new(board, names, Policy::default(), Figures::new());
     // The first choices open an account for each target.
     time(&traffic, &mut job, 50);
     let each = time(&traffic, &mut job, ROUNDS);
@@ -56,7 +56,7 @@
     Ok(())
 }
 
-fn time(traffic: &Traffic, job: &mut Job, rounds: u32) -> Duration {
+fn time(traffic: &Proxy, job: &mut Job, rounds: u32) -> Duration {
     let tried = Tried::default();
     let since = Instant::now();
     for _ in 0..rounds {
--- a/crates/zinniastall-gateway/src/books.rs
+++ b/crates/zinniastall-gateway/src/books.rs
@@ -12,10 +12,10 @@
 use crate::{
     decide::{
         budget::{Bound, Budget},
+        concurrency::Limit,
         outlier::Record,
-        room::Room,
-        warm::Pace,
-        work::Work,
+        service_time::Estimate,
+        slow_start::Pacer,
     },
     neighbours,
 };
@@ -34,7 +34,7 @@
     bound: Bound,
     targets: IndexMap<id::Target, Account>,
     services: IndexMap<id::Service, Budget>,
-    works: IndexMap<id::Service, Work>,
+    works: IndexMap<id::Service, Estimate>,
     shut_regions: IndexMap<id::Service, IndexMap<id::Region, Instant>>,
     uses: IndexMap<id::Service, IndexMap<Use, Instant>>,
 }
@@ -62,9 +62,9 @@
     /// How its requests ended.
     pub record: Record,
     /// Pace while it is cold.
-    pub pace: Pace,
+    pub pace: Pacer,
     /// How many requests it takes at once, if it is a plain one.
-    pub room: Room,
+    pub room: Limit,
     /// Until when it is known to take no request, because it refused one or a connection.
     pub shut_until: Option<Instant>,
     parts: IndexMap<String, Instant>,
@@ -104,8 +104,8 @@
             flights: 0,
             reading_us: 0,
             record: Record::default(),
-            pace: Pace::default(),
-            room: Room::default(),
+            pace: Pacer::default(),
+            room: Limit::default(),
             shut_until: None,
             parts: IndexMap::new(),
             used: now,
@@ -134,7 +134,7 @@
     /// Notes an answer of a plain service; see [`Work::note`].
     pub fn note_work(&mut self, service: &str, took: Duration, ahead: u32, slots: u32) {
         let work = self.works.entry(service.to_owned()).or_default();
-        work.note(took, ahead, slots);
+        work.observe(took, ahead, slots);
     }
 
     /// Notes that a request was made for a service.
--- a/crates/zinniastall-gateway/src/daemon.rs
+++ b/crates/zinniastall-gateway/src/daemon.rs
@@ -27,7 +27,7 @@
     knowledge::{Knowledge, Replica},
     names::Names,
     neighbours::{self, Shared},
-    path::{Traffic, serve},
+    path::{Proxy, serve},
     policy::Policy,
     uplink::Uplinks,
     view::{Board, Drain, View},
@@ -106,7 +106,7 @@
         let (drain, ordered) = oneshot::channel();
         Arbiter::new().spawn_fn(move || {
             let (board, names, policy, figures) = traffic;
-            let traffic = Rc::new(Traffic::new(board, names, policy, figures));
+            let traffic = Rc::new(Proxy::new(board, names, policy, figures));
             actix::spawn(run(traffic, [callers, forward], words, shared, ordered));
         });
         let uplinks = link(settings, addresses, &board, &told);
@@ -196,7 +196,7 @@
 
 /// Serves callers and instances on the traffic thread until it is told to end.
 async fn run(
-    traffic: Rc<Traffic>,
+    traffic: Rc<Proxy>,
     listeners: [Listener; 2],
     words: std::net::UdpSocket,
     told: Arc<Told>,
@@ -211,13 +211,13 @@
     match UdpSocket::from_std(words) {
         Ok(socket) => {
             let shared = Shared {
-                board: traffic.board.clone(),
-                books: Rc::clone(&traffic.books),
+                board: traffic.state.clone(),
+                books: Rc::clone(&traffic.tracker),
                 neighbours: Rc::clone(&traffic.neighbours),
                 claims: Rc::clone(&traffic.claims),
                 quotas: Rc::clone(&traffic.quotas),
                 suspects: Rc::clone(&traffic.suspects),
-                news: Rc::clone(&traffic.news),
+                news: Rc::clone(&traffic.suspects_changed),
             };
             actix::spawn(neighbours::run(Rc::new(socket), shared));
         }
@@ -232,15 +232,15 @@
         tokio::select! {
             _ = tick.tick() => {
                 traffic.pool.sweep(Instant::now());
-                let load = traffic.books.borrow().load();
-                let view = traffic.board.view();
+                let load = traffic.tracker.borrow().load();
+                let view = traffic.state.view();
                 let instances = view.instances.by_name().values();
                 let ready = instances.filter(|held| held.ready).count();
-                traffic.figures.know(view.revision(), view.targets.by_name().len(), ready);
-                traffic.figures.connect(traffic.connections.open());
+                traffic.metrics.know(view.revision(), view.targets.by_name().len(), ready);
+                traffic.metrics.connect(traffic.connections.open());
                 traffic.keep_suspects();
                 let quarantined = traffic.suspects.borrow().quarantined();
-                traffic.figures.quarantine(quarantined);
+                traffic.metrics.quarantine(quarantined);
                 *told.load.lock().unwrap_or_else(PoisonError::into_inner) = load;
             }
             order = &mut drain => {
@@ -256,7 +256,7 @@
 /// Ends in order. Connections are taken for as long as callers may not know of the end, and those that
 /// were taken are served to theirs: a process that stopped right after a look at its counts would cut
 /// the request that came between.
-async fn end(traffic: &Traffic, accepting: [JoinHandle<()>; 2], order: Ending) {
+async fn end(traffic: &Proxy, accepting: [JoinHandle<()>; 2], order: Ending) {
     let since = Instant::now();
     let connections = &traffic.connections;
     let over = |since: Instant| since.elapsed() >= order.longest;
--- a/crates/zinniastall-gateway/src/decide/budget.rs
+++ b/crates/zinniastall-gateway/src/decide/budget.rs
@@ -11,10 +11,10 @@
 };
 
 /// Parts into which a window is cut; what lies in the part that is leaving the window still counts.
-const PARTS: u32 = 20;
+const BUCKETS: u32 = 20;
 /// Part of the bound that is used. The rest is for instances that have just joined or left, whom the
 /// others count late.
-const USED: f64 = 0.8;
+const BOUND_SHARE: f64 = 0.8;
 
 /// The bound, as all instances share it.
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -42,9 +42,9 @@
 #[derive(Debug)]
 pub struct Budget {
     bound: Bound,
-    requests: Count,
-    repeats: Count,
-    instances: Count,
+    requests: Window,
+    retries: Window,
+    instances: Window,
 }
 
 impl Budget {
@@ -52,57 +52,57 @@
     pub fn new(bound: Bound) -> Self {
         Self {
             bound,
-            requests: Count::default(),
-            repeats: Count::default(),
-            instances: Count::default(),
+            requests: Window::default(),
+            retries: Window::default(),
+            instances: Window::default(),
         }
     }
 
     /// Counts a request that a caller made.
-    pub fn request(&mut self, now: Instant) {
+    pub fn deposit(&mut self, now: Instant) {
         self.requests.add(now, self.bound.window, 1);
     }
 
     /// Takes one repeat out of the account, if it holds one; `instances` share the fixed number.
-    pub fn repeat(&mut self, now: Instant, instances: usize) -> bool {
+    pub fn withdraw(&mut self, now: Instant, instances: usize) -> bool {
         let window = self.bound.window;
         let instances = u32::try_from(instances.max(1)).unwrap_or(u32::MAX);
         // Whoever left a moment ago may have used its part within this window.
-        self.instances.top(now, window, instances);
-        let share = f64::from(self.bound.slack) / f64::from(self.instances.most(now, window));
+        self.instances.raise_to(now, window, instances);
+        let share = f64::from(self.bound.slack) / f64::from(self.instances.highest(now, window));
         let requests = f64::from(self.requests.sum(now, window));
-        let allowed = USED * (self.bound.ratio * requests + share);
-        if f64::from(self.repeats.sum(now, window) + 1) > allowed {
+        let allowed = BOUND_SHARE * (self.bound.ratio * requests + share);
+        if f64::from(self.retries.sum(now, window) + 1) > allowed {
             return false;
         }
-        self.repeats.add(now, window, 1);
+        self.retries.add(now, window, 1);
         true
     }
 }
 
 /// Numbers by part of the window, oldest first.
 #[derive(Debug, Default)]
-struct Count(VecDeque<(Instant, u32)>);
+struct Window(VecDeque<(Instant, u32)>);
 
-impl Count {
+impl Window {
     fn add(&mut self, now: Instant, window: Duration, amount: u32) {
-        match self.part(now, window) {
-            Some(part) => *part += amount,
+        match self.bucket(now, window) {
+            Some(bucket) => *bucket += amount,
             None => self.0.push_back((now, amount)),
         }
     }
 
-    fn top(&mut self, now: Instant, window: Duration, value: u32) {
-        match self.part(now, window) {
-            Some(part) => *part = value.max(*part),
+    fn raise_to(&mut self, now: Instant, window: Duration, value: u32) {
+        match self.bucket(now, window) {
+            Some(bucket) => *bucket = value.max(*bucket),
             None => self.0.push_back((now, value)),
         }
     }
 
-    fn part(&mut self, now: Instant, window: Duration) -> Option<&mut u32> {
+    fn bucket(&mut self, now: Instant, window: Duration) -> Option<&mut u32> {
         self.expire(now, window);
-        let (since, part) = self.0.back_mut()?;
-        (now < *since + window / PARTS).then_some(part)
+        let (since, bucket) = self.0.back_mut()?;
+        (now < *since + window / BUCKETS).then_some(bucket)
     }
 
     fn sum(&mut self, now: Instant, window: Duration) -> u32 {
@@ -110,13 +110,13 @@
         self.0.iter().map(|(_, count)| count).sum()
     }
 
-    fn most(&mut self, now: Instant, window: Duration) -> u32 {
+    fn highest(&mut self, now: Instant, window: Duration) -> u32 {
         self.expire(now, window);
         self.0.iter().map(|(_, count)| *count).max().unwrap_or(1)
     }
 
     fn expire(&mut self, now: Instant, window: Duration) {
-        let kept = window + window / PARTS;
+        let kept = window + window / BUCKETS;
         while self
             .0
             .front()
--- a/crates/zinniastall-gateway/src/decide/room.rs
+++ b/crates/zinniastall-gateway/src/decide/concurrency.rs
@@ -6,34 +6,34 @@
 //! refuse, and tried again as they go on taking requests.
 
 /// By how much the bound rises for each request that was taken at it.
-const STEP: f64 = 0.05;
+const INCREASE: f64 = 0.05;
 
 /// Bound on the requests at one target.
 #[derive(Debug, Default, Clone, Copy)]
-pub struct Room {
-    most: Option<f64>,
+pub struct Limit {
+    limit: Option<f64>,
 }
 
-impl Room {
+impl Limit {
     /// Tells whether a target with so many requests is expected to take one more.
-    pub fn is_open(&self, requests: u32) -> bool {
-        self.most
-            .is_none_or(|most| f64::from(requests) + 1.0 <= most)
+    pub fn allows(&self, in_flight: u32) -> bool {
+        self.limit
+            .is_none_or(|limit| f64::from(in_flight) + 1.0 <= limit)
     }
 
     /// Notes that the target refused a request that found so many others there; it takes its slots in any case.
-    pub fn refused(&mut self, requests: u32, slots: u32) {
-        let found = f64::from(requests.max(slots));
-        self.most = Some(self.most.map_or(found, |most| most.min(found)));
+    pub fn on_refused(&mut self, in_flight: u32, slots: u32) {
+        let in_flight = f64::from(in_flight.max(slots));
+        self.limit = Some(self.limit.map_or(in_flight, |limit| limit.min(in_flight)));
     }
 
     /// Notes that the target took a request that found so many others there.
-    pub fn taken(&mut self, requests: u32) {
-        let Some(most) = &mut self.most else {
+    pub fn on_accepted(&mut self, in_flight: u32) {
+        let Some(limit) = &mut self.limit else {
             return;
         };
-        if f64::from(requests) + 1.0 >= *most {
-            *most += STEP;
+        if f64::from(in_flight) + 1.0 >= *limit {
+            *limit += INCREASE;
         }
     }
 }
--- a/crates/zinniastall-gateway/src/decide/fetch.rs
+++ b/crates/zinniastall-gateway/src/decide/fetch.rs
@@ -12,7 +12,7 @@
     /// What was sent there by this instance.
     pub known: u64,
     /// That, or what others are expected to have sent there.
-    pub hoped: u64,
+    pub expected: u64,
 }
 
 /// How memory of prompts is copied between the targets of a service.
@@ -33,9 +33,9 @@
 }
 
 /// Part of the time to read that copying may take. Links are shared, and who holds what is a guess.
-const WORTH: u32 = 4;
+const MIN_SPEEDUP: u32 = 4;
 /// Fewest tokens that are copied: a copy costs some milliseconds to set up, in which 200 tokens are read.
-const FEWEST: u64 = 500;
+const MIN_TOKENS: u64 = 500;
 
 /// Chooses the target from which `chosen` copies what it lacks; `read` is the time to read so many tokens.
 pub fn source(
@@ -44,10 +44,10 @@
     link: Link,
     read: impl Fn(u64) -> Duration,
 ) -> Option<usize> {
-    let held = holders[chosen].known;
+    let own = holders[chosen].known;
     let others = (0..holders.len()).filter(|at| *at != chosen);
-    let best = others.max_by_key(|at| (holders[*at].hoped, holders[*at].known))?;
-    let lacks = holders[best].hoped.saturating_sub(held);
-    let pays = link.mbps > 0 && link.time(lacks) * WORTH <= read(lacks);
-    (lacks >= FEWEST && pays).then_some(best)
+    let best = others.max_by_key(|at| (holders[*at].expected, holders[*at].known))?;
+    let missing = holders[best].expected.saturating_sub(own);
+    let is_worthwhile = link.mbps > 0 && link.time(missing) * MIN_SPEEDUP <= read(missing);
+    (missing >= MIN_TOKENS && is_worthwhile).then_some(best)
 }
--- a/crates/zinniastall-gateway/src/decide/identity.rs
+++ b/crates/zinniastall-gateway/src/decide/identity.rs
@@ -10,10 +10,10 @@
 
 /// Why a request's account is not known.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
-pub enum Unidentified {
+pub enum Unauthenticated {
     /// It carries no key, or one that no account holds.
     #[error("no account holds its key")]
-    Unknown,
+    UnknownKey,
     /// The accounts known here have not been confirmed yet.
     #[error("the accounts have not been confirmed yet")]
     Unconfirmed,
@@ -22,7 +22,7 @@
     Stale,
     /// The instance that passed it on knows other accounts.
     #[error("the instance that passed it on knows other accounts")]
-    Differs,
+    Mismatch,
 }
 
 /// Returns the place of the account of a caller's request; none where the request needs no key.
@@ -36,17 +36,17 @@
     route: &Route,
     headers: &HeaderMap,
     trust: Trust,
-) -> Result<Option<usize>, Unidentified> {
+) -> Result<Option<usize>, Unauthenticated> {
     if !needs_key(table, route) {
         return Ok(None);
     }
     match trust {
         Trust::Fresh => {}
-        Trust::Unconfirmed => return Err(Unidentified::Unconfirmed),
-        Trust::Stale => return Err(Unidentified::Stale),
+        Trust::Unconfirmed => return Err(Unauthenticated::Unconfirmed),
+        Trust::Stale => return Err(Unauthenticated::Stale),
     }
-    let key = key(headers).ok_or(Unidentified::Unknown)?;
-    let holder = table.holder(key).ok_or(Unidentified::Unknown)?;
+    let key = key(headers).ok_or(Unauthenticated::UnknownKey)?;
+    let holder = table.holder(key).ok_or(Unauthenticated::UnknownKey)?;
     Ok(Some(holder))
 }
 
@@ -60,14 +60,14 @@
     table: &Table,
     route: &Route,
     account: Option<&str>,
-) -> Result<Option<usize>, Unidentified> {
+) -> Result<Option<usize>, Unauthenticated> {
     match (needs_key(table, route), account) {
         (false, None) => Ok(None),
         (true, Some(account)) => {
             let place = table.account_named(account);
-            place.map(Some).ok_or(Unidentified::Differs)
+            place.map(Some).ok_or(Unauthenticated::Mismatch)
         }
-        _ => Err(Unidentified::Differs),
+        _ => Err(Unauthenticated::Mismatch),
     }
 }
 
--- a/crates/zinniastall-gateway/src/decide/quota.rs
+++ b/crates/zinniastall-gateway/src/decide/quota.rs
@@ -19,8 +19,8 @@
 //! Totals are some tenths of a second old. What is let in too much meanwhile is paid back: what is left goes below
 //! zero, and less is let in until it is back.
 
+mod history;
 mod meter;
-mod past;
 
 use std::time::{Duration, Instant};
 
@@ -29,10 +29,10 @@
 
 pub use self::meter::Usage;
 use self::{
-    meter::{Meter, SPAN},
-    past::Past,
+    history::History,
+    meter::{Meter, RATE_WINDOW},
 };
-use super::warm;
+use super::slow_start;
 
 /// What all instances together were asked for and let in.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
@@ -42,7 +42,7 @@
     /// What instances that fell silent may use, in units a second.
     pub reserved: u64,
     /// What was used within the last window, where the sender knows all of it.
-    pub past: Option<u64>,
+    pub window_usage: Option<u64>,
 }
 
 /// A client account, as instances name it among themselves: a hash of its name. Where two accounts share one, each
@@ -56,27 +56,27 @@
 pub type Usages = IndexMap<Key, Usage>;
 
 /// Age up to which totals count as those of now.
-const FRESH: Duration = Duration::from_millis(700);
+const MAX_TOTALS_AGE: Duration = Duration::from_millis(700);
 /// Part of the burst that is let in at once where the last window isn't known. The rest is for what totals don't
 /// show yet.
-const BURST: f64 = 0.5;
+const BURST_SHARE: f64 = 0.5;
 /// How many times the rate an account may ask for, beside a quarter of its burst and half of the slack, to be let in where
 /// nobody knows the last window: at that pace it stays about within its quota whatever it used before.
-const COOL: f64 = 1.2;
+const MODERATE_RATE_FACTOR: f64 = 1.2;
 /// Part of the rate that is let in beyond that: it may have used up its quota right before.
-const HOT: f64 = 0.15;
+const EXCESSIVE_RATE_SHARE: f64 = 0.15;
 /// Least time over which what was asked for right after a start is taken for a rate.
-const COUNTED: Duration = Duration::from_millis(200);
+const MIN_COUNTED_SPAN: Duration = Duration::from_millis(200);
 /// Time within which what was let in too much is paid back.
-const REPAY: Duration = Duration::from_secs(2);
+const REPAYMENT_TIME: Duration = Duration::from_secs(2);
 /// Most that is paid back, in seconds of the rate.
-const DEBT: f64 = 2.0;
+const MAX_DEBT_SECONDS: f64 = 2.0;
 /// Shortest and longest time after which a request beyond the quota should come back.
-const RETURN: (Duration, Duration) = (Duration::from_millis(500), Duration::from_secs(3));
+const RETRY_AFTER: (Duration, Duration) = (Duration::from_millis(500), Duration::from_secs(3));
 /// Instances that are taken to share quotas at least, before it is known how many do.
-const FEW: usize = 2;
+const MIN_INSTANCES: usize = 2;
 /// Time after its last request for which an account is remembered.
-const KEPT: Duration = Duration::from_mins(1);
+const ACCOUNT_TTL: Duration = Duration::from_mins(1);
 
 /// How quotas are measured.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -103,10 +103,10 @@
     bound: Bound,
     accounts: IndexMap<Key, Account>,
     /// What all used within the last window, of accounts that any caller used.
-    pasts: IndexMap<Key, Past>,
+    histories: IndexMap<Key, History>,
     totals: Totals,
     /// When totals were heard first and last.
-    heard: Option<(Instant, Instant)>,
+    totals_heard: Option<(Instant, Instant)>,
     instances: usize,
 }
 
@@ -116,10 +116,10 @@
     meter: Meter,
     /// What is left of the burst that is let in where the last window isn't known, in units; below zero for what
     /// was let in too much.
-    left: f64,
+    balance: f64,
     /// Own use when totals were last heard.
-    used_then: u64,
-    touched: Instant,
+    used_at_last_totals: u64,
+    last_request: Instant,
 }
 
 /// A request's claim on a quota.
@@ -137,20 +137,20 @@
     reason = "half of the hash is enough for some hundred accounts"
 )]
 pub fn key(account: &str) -> Key {
-    warm::weight(account, "") as Key
+    slow_start::weight(account, "") as Key
 }
 
 /// Why a request is beyond its account's quota.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Excess {
     /// Time after which it should come back.
-    pub after: Duration,
+    pub retry_after: Duration,
     /// What all instances are known to have been asked for and to have let in.
     pub total: Total,
     /// What was used within the last window, as far as it is known.
-    pub past: u64,
+    pub window_usage: u64,
     /// Part of such requests that is let in.
-    pub part: f64,
+    pub admitted_fraction: f64,
 }
 
 impl Quotas {
@@ -159,9 +159,9 @@
         Self {
             bound,
             accounts: IndexMap::new(),
-            pasts: IndexMap::new(),
+            histories: IndexMap::new(),
             totals: Totals::new(),
-            heard: None,
+            totals_heard: None,
             instances: 0,
         }
     }
@@ -178,110 +178,125 @@
         claim: Claim,
         now: Instant,
     ) -> Result<(), Excess> {
-        let part = self.part(key, quota, claim.cost, now);
-        if claim.draw < part {
+        let admitted_fraction = self.admitted_fraction(key, quota, claim.cost, now);
+        if claim.draw < admitted_fraction {
             let account = self.account(key, quota, now);
-            account.meter.use_up(claim.cost, now);
+            account.meter.add_used(claim.cost, now);
             return Ok(());
         }
         // A request in so many is let in; callers that come back spread out have that chance each time.
-        let rounds = RETURN.0.div_duration_f64(RETURN.1).max(part);
-        let after = RETURN.0.div_f64(rounds).min(RETURN.1);
+        let rounds = RETRY_AFTER
+            .0
+            .div_duration_f64(RETRY_AFTER.1)
+            .max(admitted_fraction);
+        let retry_after = RETRY_AFTER.0.div_f64(rounds).min(RETRY_AFTER.1);
         Err(Excess {
-            after: after.mul_f64(0.75 + 0.5 * claim.draw),
+            retry_after: retry_after.mul_f64(0.75 + 0.5 * claim.draw),
             total: self.totals.get(&key).copied().unwrap_or_default(),
-            past: self.pasts.get(&key).map_or(0, |past| whole(past.sum())),
-            part,
+            window_usage: self
+                .histories
+                .get(&key)
+                .map_or(0, |history| to_units(history.sum())),
+            admitted_fraction,
         })
     }
 
     /// Counts a request and returns the part of such requests that may be let in now.
-    fn part(&mut self, key: Key, quota: &Quota, cost: u64, now: Instant) -> f64 {
-        let is_fresh = |last: Instant| now.saturating_duration_since(last) < FRESH;
-        let is_known = self.heard.is_some_and(|(_, last)| is_fresh(last));
+    fn admitted_fraction(&mut self, key: Key, quota: &Quota, cost: u64, now: Instant) -> f64 {
+        let is_fresh = |last: Instant| now.saturating_duration_since(last) < MAX_TOTALS_AGE;
+        let is_known = self.totals_heard.is_some_and(|(_, last)| is_fresh(last));
         let total = self.totals.get(&key).copied().unwrap_or_default();
-        let instances = self.instances.max(FEW);
+        let instances = self.instances.max(MIN_INSTANCES);
         let account = self.account(key, quota, now);
-        account.meter.ask(cost, now);
+        account.meter.add_asked(cost, now);
         let own = account.meter.usage(now);
         if !is_known {
             let unused = quota.rate.saturating_sub(total.usage.used);
-            let share = float(unused) / float(instances as u64);
-            return (float(account.used_then) + share) / float(own.asked.max(1));
+            let share = as_f64(unused) / as_f64(instances as u64);
+            return (as_f64(account.used_at_last_totals) + share) / as_f64(own.asked.max(1));
         }
-        let asked = float(total.usage.asked.max(own.asked).max(1));
+        let asked = as_f64(total.usage.asked.max(own.asked).max(1));
         if total.reserved > 0 {
             return account
-                .allowed_beside(total)
+                .allowed_with_reserved(total)
                 .map_or(1.0, |allowed| allowed / asked);
         }
-        let first = self.heard.map_or(now, |(first, _)| first);
-        let unused = Past::new(first);
-        let past = self.pasts.get(&key).unwrap_or(&unused);
-        if past.is_whole(self.bound.window, now) {
-            let allowed = past.allowed(quota, total, self.bound, now);
+        let first = self.totals_heard.map_or(now, |(first, _)| first);
+        let empty = History::new(first);
+        let history = self.histories.get(&key).unwrap_or(&empty);
+        if history.is_complete(self.bound.window, now) {
+            let allowed = history.allowed(quota, total, self.bound, now);
             return allowed.map_or(1.0, |allowed| allowed / asked);
         }
         // Right after a start a part of a second was counted.
-        let counted = now.saturating_duration_since(first).clamp(COUNTED, SPAN);
+        let counted = now
+            .saturating_duration_since(first)
+            .clamp(MIN_COUNTED_SPAN, RATE_WINDOW);
         let counted = counted.as_secs_f64();
-        let spared = self.bound.slack / 2 + quota.burst / 4;
-        let before = float(total.usage.asked.max(own.asked.saturating_sub(cost)));
-        if before <= float(quota.rate) * COOL * counted + float(spared) {
+        let tolerated = self.bound.slack / 2 + quota.burst / 4;
+        let before = as_f64(total.usage.asked.max(own.asked.saturating_sub(cost)));
+        if before <= as_f64(quota.rate) * MODERATE_RATE_FACTOR * counted + as_f64(tolerated) {
             return 1.0;
         }
-        float(quota.rate) * HOT * counted / asked
+        as_f64(quota.rate) * EXCESSIVE_RATE_SHARE * counted / asked
     }
 
     /// Returns what was used of a quota within the last window, where all of it is known.
-    pub fn past(&self, key: Key, now: Instant) -> Option<u64> {
-        let past = self.pasts.get(&key)?;
-        past.is_whole(self.bound.window, now)
-            .then(|| whole(past.sum()))
+    pub fn window_usage(&self, key: Key, now: Instant) -> Option<u64> {
+        let history = self.histories.get(&key)?;
+        history
+            .is_complete(self.bound.window, now)
+            .then(|| to_units(history.sum()))
     }
 
     /// Gives back what a request was let in for, since it has not run.
-    pub fn give_back(&mut self, key: Key, cost: u64, now: Instant) {
+    pub fn refund(&mut self, key: Key, cost: u64, now: Instant) {
         if let Some(account) = self.accounts.get_mut(&key) {
-            account.meter.give_back(cost, now);
+            account.meter.refund(cost, now);
         }
     }
 
     /// Notes how many instances share quotas.
-    pub const fn share_among(&mut self, instances: usize) {
+    pub const fn set_instances(&mut self, instances: usize) {
         self.instances = instances;
     }
 
     /// Takes the totals over all instances.
-    pub fn hear(&mut self, totals: Totals, now: Instant) {
-        let (first, last) = self.heard.unwrap_or((now, now));
-        let since = now.saturating_duration_since(last).min(SPAN).as_secs_f64();
+    pub fn update_totals(&mut self, totals: Totals, now: Instant) {
+        let (first, last) = self.totals_heard.unwrap_or((now, now));
+        let since = now
+            .saturating_duration_since(last)
+            .min(RATE_WINDOW)
+            .as_secs_f64();
         for (key, account) in &mut self.accounts {
             let total = totals.get(key).copied().unwrap_or_default();
-            account.hear(total, since, now);
+            account.settle(total, since, now);
         }
-        self.remember(&totals, since, first, now);
+        self.record_totals(&totals, since, first, now);
         self.accounts
-            .retain(|_, account| now.saturating_duration_since(account.touched) < KEPT);
+            .retain(|_, account| now.saturating_duration_since(account.last_request) < ACCOUNT_TTL);
         self.totals = totals;
-        self.heard = Some((first, now));
+        self.totals_heard = Some((first, now));
     }
 
     /// Notes what all used since totals were heard last.
-    fn remember(&mut self, totals: &Totals, since: f64, first: Instant, now: Instant) {
+    fn record_totals(&mut self, totals: &Totals, since: f64, first: Instant, now: Instant) {
         for (key, total) in totals {
-            let past = self.pasts.entry(*key).or_insert_with(|| Past::new(first));
+            let history = self
+                .histories
+                .entry(*key)
+                .or_insert_with(|| History::new(first));
             let used = total.usage.used.saturating_add(total.reserved);
-            past.add(float(used) * since, now);
-            if let Some(told) = total.past {
-                past.learn(float(told), self.bound.window, now);
+            history.add(as_f64(used) * since, now);
+            if let Some(reported) = total.window_usage {
+                history.adopt(as_f64(reported), self.bound.window, now);
             }
         }
-        for past in self.pasts.values_mut() {
-            past.expire(self.bound.window, now);
+        for history in self.histories.values_mut() {
+            history.expire(self.bound.window, now);
         }
-        self.pasts
-            .retain(|key, past| !past.is_empty() || totals.contains_key(key));
+        self.histories
+            .retain(|key, history| !history.is_empty() || totals.contains_key(key));
     }
 
     /// Returns what callers of this instance asked for and were let in for.
@@ -296,51 +311,60 @@
             let total = self.totals.get(&key).copied().unwrap_or_default();
             let is_below = total.usage.asked <= quota.rate.saturating_sub(total.reserved);
             // Whoever has just started can't know what was let in before.
-            let knows = |(first, _)| now.saturating_duration_since(first) >= SPAN;
-            let has_saved = is_below && self.heard.is_some_and(knows);
-            let left = if has_saved { saved(quota, total) } else { 0.0 };
-            self.accounts.insert(key, Account::new(*quota, left, now));
+            let has_full_rate_window =
+                |(first, _)| now.saturating_duration_since(first) >= RATE_WINDOW;
+            let keeps_burst = is_below && self.totals_heard.is_some_and(has_full_rate_window);
+            let balance = if keeps_burst {
+                burst_allowance(quota, total)
+            } else {
+                0.0
+            };
+            self.accounts
+                .insert(key, Account::new(*quota, balance, now));
         }
         let account = &mut self.accounts[&key];
         account.quota = *quota;
-        account.touched = now;
+        account.last_request = now;
         account
     }
 }
 
 impl Account {
-    fn new(quota: Quota, left: f64, now: Instant) -> Self {
+    fn new(quota: Quota, balance: f64, now: Instant) -> Self {
         Self {
-            left,
+            balance,
             quota,
             meter: Meter::default(),
-            used_then: 0,
-            touched: now,
+            used_at_last_totals: 0,
+            last_request: now,
         }
     }
 
     /// Returns what may be let in beside what is reserved for silent instances, in units a second; `None` for all.
-    fn allowed_beside(&self, total: Total) -> Option<f64> {
-        if self.left > 0.0 {
+    fn allowed_with_reserved(&self, total: Total) -> Option<f64> {
+        if self.balance > 0.0 {
             return None;
         }
-        let rate = float(self.quota.rate.saturating_sub(total.reserved));
-        Some((rate + self.left / REPAY.as_secs_f64()).max(0.0))
+        let rate = as_f64(self.quota.rate.saturating_sub(total.reserved));
+        Some((rate + self.balance / REPAYMENT_TIME.as_secs_f64()).max(0.0))
     }
 
-    fn hear(&mut self, total: Total, since: f64, now: Instant) {
-        let rate = float(self.quota.rate);
-        let gained = rate - float(total.reserved) - float(total.usage.used);
-        let left = self.left + gained * since;
-        self.left = left.clamp(-DEBT * rate, saved(&self.quota, total));
-        self.used_then = self.meter.usage(now).used;
+    fn settle(&mut self, total: Total, since: f64, now: Instant) {
+        let rate = as_f64(self.quota.rate);
+        let gained = rate - as_f64(total.reserved) - as_f64(total.usage.used);
+        let balance = self.balance + gained * since;
+        self.balance = balance.clamp(
+            -MAX_DEBT_SECONDS * rate,
+            burst_allowance(&self.quota, total),
+        );
+        self.used_at_last_totals = self.meter.usage(now).used;
     }
 }
 
 /// Returns how much of a burst is let in at once, at most. Of what silent instances may use, they have their part.
-fn saved(quota: &Quota, total: Total) -> f64 {
-    let heard = float(quota.rate.saturating_sub(total.reserved)) / float(quota.rate.max(1));
-    float(quota.burst) * BURST * heard
+fn burst_allowance(quota: &Quota, total: Total) -> f64 {
+    let unreserved = as_f64(quota.rate.saturating_sub(total.reserved)) / as_f64(quota.rate.max(1));
+    as_f64(quota.burst) * BURST_SHARE * unreserved
 }
 
 #[expect(
@@ -348,7 +372,7 @@
     clippy::cast_sign_loss,
     reason = "clamped"
 )]
-const fn whole(units: f64) -> u64 {
+const fn to_units(units: f64) -> u64 {
     units.clamp(0.0, 1e15) as u64
 }
 
@@ -356,6 +380,6 @@
     clippy::cast_precision_loss,
     reason = "units that 52 bits don't hold are beyond any quota"
 )]
-const fn float(units: u64) -> f64 {
+const fn as_f64(units: u64) -> f64 {
     units as f64
 }
--- a/crates/zinniastall-gateway/src/decide/quota/past.rs
+++ b/crates/zinniastall-gateway/src/decide/quota/history.rs
@@ -7,37 +7,37 @@
 
 use zinniastall_model::routing::Quota;
 
-use super::{Bound, REPAY, Total, float, meter::SPAN};
+use super::{Bound, REPAYMENT_TIME, Total, as_f64, meter::RATE_WINDOW};
 
 /// Time by which totals are behind on average: half of the time over which they are summed, and their way.
-const BEHIND: Duration = Duration::from_millis(800);
+const TOTALS_LAG: Duration = Duration::from_millis(800);
 
 /// How many times the quota, beside the slack, may have been used for its excess to be paid back. Only a quota that
 /// was lowered meanwhile is exceeded by more, and what was used by the one before is no debt.
-const LOWERED: f64 = 1.25;
+const MAX_OVERUSE_FACTOR: f64 = 1.25;
 
 /// What was used within a window: when, and how much.
 #[derive(Debug)]
-pub(super) struct Past {
+pub(super) struct History {
     uses: VecDeque<(Instant, f64)>,
     sum: f64,
     /// Since when nothing is missing.
-    known_since: Instant,
+    complete_since: Instant,
 }
 
-impl Past {
+impl History {
     /// Creates the past of an account of which nothing was used since a time.
-    pub(super) const fn new(known_since: Instant) -> Self {
+    pub(super) const fn new(complete_since: Instant) -> Self {
         Self {
             uses: VecDeque::new(),
             sum: 0.0,
-            known_since,
+            complete_since,
         }
     }
 
     /// Tells whether all of the last window is known.
-    pub(super) fn is_whole(&self, window: Duration, now: Instant) -> bool {
-        now.saturating_duration_since(self.known_since) >= window
+    pub(super) fn is_complete(&self, window: Duration, now: Instant) -> bool {
+        now.saturating_duration_since(self.complete_since) >= window
     }
 
     /// Returns what may be let in, in units a second; `None` for all.
@@ -49,17 +49,17 @@
         now: Instant,
     ) -> Option<f64> {
         let Bound { window, slack } = bound;
-        let within = float(quota.rate) * window.as_secs_f64() + float(quota.burst);
-        if self.sum > within * LOWERED + float(slack) {
-            return Some(float(quota.rate));
+        let allowance = as_f64(quota.rate) * window.as_secs_f64() + as_f64(quota.burst);
+        if self.sum > allowance * MAX_OVERUSE_FACTOR + as_f64(slack) {
+            return Some(as_f64(quota.rate));
         }
-        let unseen = float(total.usage.used) * BEHIND.as_secs_f64();
-        let left = within - self.sum - unseen;
-        if left > 0.0 {
+        let unreported = as_f64(total.usage.used) * TOTALS_LAG.as_secs_f64();
+        let remaining = allowance - self.sum - unreported;
+        if remaining > 0.0 {
             return None;
         }
-        let leaving = self.leaving(window, now);
-        Some((leaving + left / REPAY.as_secs_f64()).max(0.0))
+        let expiring_rate = self.expiring_rate(window, now);
+        Some((expiring_rate + remaining / REPAYMENT_TIME.as_secs_f64()).max(0.0))
     }
 
     /// Notes what was used.
@@ -82,14 +82,14 @@
 
     /// Takes another instance's word on the last window, if this one doesn't know all of it. When within the window
     /// it was used isn't said; that it all leaves late is on the safe side.
-    pub(super) fn learn(&mut self, past: f64, window: Duration, now: Instant) {
-        if self.is_whole(window, now) {
+    pub(super) fn adopt(&mut self, used: f64, window: Duration, now: Instant) {
+        if self.is_complete(window, now) {
             return;
         }
         self.uses.clear();
         self.sum = 0.0;
-        self.add(past, now);
-        self.known_since = now.checked_sub(window).unwrap_or(now);
+        self.add(used, now);
+        self.complete_since = now.checked_sub(window).unwrap_or(now);
     }
 
     /// Returns what was used, as far as it is known.
@@ -103,11 +103,11 @@
     }
 
     /// Returns what leaves the window now, in units a second.
-    fn leaving(&self, window: Duration, now: Instant) -> f64 {
+    fn expiring_rate(&self, window: Duration, now: Instant) -> f64 {
         let oldest = self
             .uses
             .iter()
-            .take_while(|(at, _)| *at + window <= now + SPAN);
-        oldest.map(|(_, used)| used).sum::<f64>() / SPAN.as_secs_f64()
+            .take_while(|(at, _)| *at + window <= now + RATE_WINDOW);
+        oldest.map(|(_, used)| used).sum::<f64>() / RATE_WINDOW.as_secs_f64()
     }
 }
--- a/crates/zinniastall-gateway/src/decide/quota/meter.rs
+++ b/crates/zinniastall-gateway/src/decide/quota/meter.rs
@@ -6,9 +6,9 @@
 };
 
 /// Span over which use is counted, and the parts in which it leaves the count.
-pub(super) const SPAN: Duration = Duration::from_secs(1);
+pub(super) const RATE_WINDOW: Duration = Duration::from_secs(1);
 /// See [`SPAN`].
-const PART: Duration = Duration::from_millis(50);
+const BUCKET: Duration = Duration::from_millis(50);
 
 /// Units a second, over the last second.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
@@ -22,27 +22,27 @@
 /// Counts over the last second.
 #[derive(Debug, Default)]
 pub(super) struct Meter {
-    parts: VecDeque<(Instant, Usage)>,
+    buckets: VecDeque<(Instant, Usage)>,
 }
 
 impl Meter {
     /// Counts what was asked for.
-    pub(super) fn ask(&mut self, cost: u64, now: Instant) {
-        let part = self.part(now);
-        part.asked = part.asked.saturating_add(cost);
+    pub(super) fn add_asked(&mut self, cost: u64, now: Instant) {
+        let bucket = self.bucket(now);
+        bucket.asked = bucket.asked.saturating_add(cost);
     }
 
     /// Counts what was let in.
-    pub(super) fn use_up(&mut self, cost: u64, now: Instant) {
-        let part = self.part(now);
-        part.used = part.used.saturating_add(cost);
+    pub(super) fn add_used(&mut self, cost: u64, now: Instant) {
+        let bucket = self.bucket(now);
+        bucket.used = bucket.used.saturating_add(cost);
     }
 
     /// Takes back what was used up within the last second; before that it counts no more.
-    pub(super) fn give_back(&mut self, cost: u64, now: Instant) {
+    pub(super) fn refund(&mut self, cost: u64, now: Instant) {
         self.expire(now);
         let mut owed = cost;
-        for (_, usage) in self.parts.iter_mut().rev() {
+        for (_, usage) in self.buckets.iter_mut().rev() {
             let given = owed.min(usage.used);
             usage.used -= given;
             owed -= given;
@@ -52,27 +52,27 @@
     /// Returns the counts of the last second.
     pub(super) fn usage(&mut self, now: Instant) -> Usage {
         self.expire(now);
-        let usages = self.parts.iter().map(|(_, usage)| usage);
+        let usages = self.buckets.iter().map(|(_, usage)| usage);
         usages.fold(Usage::default(), |sum, usage| sum.plus(*usage))
     }
 
-    fn part(&mut self, now: Instant) -> &mut Usage {
+    fn bucket(&mut self, now: Instant) -> &mut Usage {
         self.expire(now);
-        let is_open = |(since, _): &(Instant, Usage)| now < *since + PART;
-        if !self.parts.back().is_some_and(is_open) {
-            self.parts.push_back((now, Usage::default()));
+        let is_open = |(since, _): &(Instant, Usage)| now < *since + BUCKET;
+        if !self.buckets.back().is_some_and(is_open) {
+            self.buckets.push_back((now, Usage::default()));
         }
-        let last = self.parts.len() - 1;
-        &mut self.parts[last].1
+        let last = self.buckets.len() - 1;
+        &mut self.buckets[last].1
     }
 
     fn expire(&mut self, now: Instant) {
         while self
-            .parts
+            .buckets
             .front()
-            .is_some_and(|(since, _)| *since + SPAN <= now)
+            .is_some_and(|(since, _)| *since + RATE_WINDOW <= now)
         {
-            self.parts.pop_front();
+            self.buckets.pop_front();
         }
     }
 }
--- a/crates/zinniastall-gateway/src/decide/warm.rs
+++ b/crates/zinniastall-gateway/src/decide/slow_start.rs
@@ -10,7 +10,7 @@
 
 /// Part of a target's rate that is used. Two senders at nine tenths each pass one and a half times a rate of
 /// 20 and three, 33 a second, by three; at seven tenths they stay under it at any rate.
-const USED: f64 = 0.7;
+const RATE_SHARE: f64 = 0.7;
 
 /// Returns which of the instances may send to a cold target.
 pub fn sender<'a>(target: &str, instances: impl Iterator<Item = &'a str>) -> Option<&'a str> {
@@ -31,40 +31,40 @@
 
 /// The pace at which one instance sends to one cold target.
 #[derive(Debug, Default)]
-pub struct Pace {
+pub struct Pacer {
     next: Option<Instant>,
 }
 
-impl Pace {
+impl Pacer {
     /// Tells whether a request may be sent now; `rate_milli` is in thousandths of a request a second, 0 for
     /// no bound.
     ///
     /// The first look begins the pace, and the first request waits a turn from then: another instance may
     /// have sent right before this one took over.
-    pub fn is_open(&mut self, rate_milli: u64, now: Instant) -> bool {
-        rate_milli == 0 || *self.next.get_or_insert(now + turn(rate_milli)) <= now
+    pub fn is_ready(&mut self, rate_milli: u64, now: Instant) -> bool {
+        rate_milli == 0 || *self.next.get_or_insert(now + interval(rate_milli)) <= now
     }
 
     /// Counts a request if one may be sent now; tells whether it may.
-    pub fn take(&mut self, rate_milli: u64, now: Instant) -> bool {
-        if !self.is_open(rate_milli, now) {
+    pub fn try_acquire(&mut self, rate_milli: u64, now: Instant) -> bool {
+        if !self.is_ready(rate_milli, now) {
             return false;
         }
         if rate_milli == 0 {
             return true;
         }
         if let Some(next) = self.next {
-            let turn = turn(rate_milli);
+            let interval = interval(rate_milli);
             // A pace that was left alone for long begins anew instead of sending at once what it saved.
-            let is_old = next + turn < now;
-            self.next = Some(if is_old { now } else { next } + turn);
+            let is_overdue = next + interval < now;
+            self.next = Some(if is_overdue { now } else { next } + interval);
         }
         true
     }
 }
 
 /// Time between two requests.
-fn turn(rate_milli: u64) -> Duration {
+fn interval(rate_milli: u64) -> Duration {
     #[expect(clippy::cast_precision_loss, reason = "a rate is far below 2^52")]
-    Duration::from_secs_f64(1_000.0 / (rate_milli as f64 * USED))
+    Duration::from_secs_f64(1_000.0 / (rate_milli as f64 * RATE_SHARE))
 }
--- a/crates/zinniastall-gateway/src/journal.rs
+++ b/crates/zinniastall-gateway/src/journal.rs
@@ -159,9 +159,9 @@
             asked = excess.total.usage.asked,
             used = excess.total.usage.used,
             reserved = excess.total.reserved,
-            past = excess.past,
-            part = excess.part,
-            retry_after_ms = millis(excess.after),
+            past = excess.window_usage,
+            part = excess.admitted_fraction,
+            retry_after_ms = millis(excess.retry_after),
         );
     }
 
@@ -174,7 +174,7 @@
             }
             Ended::NotRun(_) => "the target refused it",
             Ended::Failing(answer) => answer.status.as_str(),
-            Ended::Gone(_) => "nobody takes the answer",
+            Ended::CallerGone(_) => "nobody takes the answer",
         };
         if !self.allows(false) {
             return;
@@ -184,7 +184,7 @@
             id = job.id,
             route = job.route().name,
             place = place.name(),
-            outcome = ended.word(),
+            outcome = ended.as_str(),
             why,
             left_ms = millis(job.left(Instant::now())),
         );
--- a/crates/zinniastall-gateway/src/neighbours.rs
+++ b/crates/zinniastall-gateway/src/neighbours.rs
@@ -298,7 +298,7 @@
             return Vec::new();
         }
         let mut quotas = self.quotas.borrow_mut();
-        quotas.share_among(roster.len());
+        quotas.set_instances(roster.len());
         let own = quotas.usage(now);
         let accounts = Accounts {
             rates: &rates,
@@ -307,7 +307,7 @@
         };
         let sends = exchange.round(roster, &own, &accounts, now);
         if roster.collects() {
-            quotas.hear(exchange.totals().clone(), now);
+            quotas.update_totals(exchange.totals().clone(), now);
         }
         sends
     }
@@ -326,7 +326,7 @@
     }
 
     fn past(&self, account: quota::Key) -> Option<u64> {
-        self.quotas.past(account, self.now)
+        self.quotas.window_usage(account, self.now)
     }
 }
 
@@ -370,7 +370,7 @@
                     Datagram::Used { .. } | Datagram::ZoneUsed { .. } | Datagram::AllUsed { .. } => {
                         if exchange.hear(datagram, now) {
                             let totals = exchange.totals().clone();
-                            quotas.borrow_mut().hear(totals, now);
+                            quotas.borrow_mut().update_totals(totals, now);
                         }
                     }
                     Datagram::Suspects { for_all, part } => {
--- a/crates/zinniastall-gateway/src/neighbours/claims.rs
+++ b/crates/zinniastall-gateway/src/neighbours/claims.rs
@@ -26,7 +26,7 @@
     Load,
     datagram::{Datagram, Key, key},
 };
-use crate::{decide::warm, view::View};
+use crate::{decide::slow_start, view::View};
 
 /// Time for which a claim counts at its coordinator: until sums contain the request mostly.
 const RECENT: Duration = Duration::from_millis(150);
@@ -90,7 +90,7 @@
     pub async fn claim(&self, view: &View, target: &str, reading_us: u64) -> Option<Load> {
         let socket = self.socket.borrow().clone()?;
         let names = view.instances.ready_in(&view.place.region);
-        let coordinator = warm::sender(target, names.map(|held| held.instance.as_str()))?;
+        let coordinator = slow_start::sender(target, names.map(|held| held.instance.as_str()))?;
         let key = key(target);
         if coordinator == view.instance {
             let mut recent = self.recent.borrow_mut();
--- a/crates/zinniastall-gateway/src/neighbours/collector.rs
+++ b/crates/zinniastall-gateway/src/neighbours/collector.rs
@@ -7,7 +7,7 @@
 use indexmap::{IndexMap, IndexSet};
 use zinniastall_model::{id, place::Place, presence::Presence};
 
-use crate::{decide::warm::weight, view::View};
+use crate::{decide::slow_start::weight, view::View};
 
 /// Neighbours up to which each instance reports to all others: reports to all grow with the square.
 const SMALL: usize = 8;
--- a/crates/zinniastall-gateway/src/neighbours/datagram.rs
+++ b/crates/zinniastall-gateway/src/neighbours/datagram.rs
@@ -6,7 +6,7 @@
 use zinniastall_model::id;
 
 use super::{Load, Loads, suspicions, usage};
-use crate::decide::warm;
+use crate::decide::slow_start;
 
 /// Longest datagram, in bytes; one that is longer would be cut into packets and lost with any of them.
 pub const LONGEST: usize = 1_400;
@@ -211,6 +211,6 @@
         clippy::cast_possible_truncation,
         reason = "half of the hash is enough for a region's targets"
     )]
-    let key = warm::weight(target, "") as Key;
+    let key = slow_start::weight(target, "") as Key;
     key
 }
--- a/crates/zinniastall-gateway/src/neighbours/usage.rs
+++ b/crates/zinniastall-gateway/src/neighbours/usage.rs
@@ -228,7 +228,7 @@
         };
         let entry = |(key, total): (&Key, &Total)| {
             let Usage { asked, used } = total.usage;
-            Entry(*key, asked, used, total.reserved, total.past)
+            Entry(*key, asked, used, total.reserved, total.window_usage)
         };
         let entries: Vec<_> = self.totals.iter().map(entry).collect();
         cut(self.turn, &entries).into_iter().map(tell).collect()
@@ -275,7 +275,7 @@
             let total = Total {
                 usage,
                 reserved: *reserved,
-                past: *past,
+                window_usage: *past,
             };
             (*key, total)
         })
@@ -332,7 +332,7 @@
         totals.entry(*key).or_default().reserved = *units;
     }
     for (key, total) in &mut totals {
-        total.past = accounts.past(*key);
+        total.window_usage = accounts.past(*key);
     }
     totals
 }
--- a/crates/zinniastall-gateway/src/path/answer.rs
+++ b/crates/zinniastall-gateway/src/path/answer.rs
@@ -20,23 +20,23 @@
     /// Its head can't be read.
     Malformed,
     /// Its head is too long.
-    LongHead,
+    HeadTooLong,
     /// Its body is too long.
-    LongBody,
+    BodyTooLong,
     /// It did not arrive in time.
-    Slow,
+    ArrivalTimeout,
     /// No configuration has reached this instance yet.
     Unconfigured,
     /// The configuration known here may be out of date.
     Stale,
     /// The instance that passed it on goes by another configuration.
-    Differs,
+    Mismatch,
     /// No route serves its path.
-    Unknown,
+    NoRoute,
     /// No client account holds its key.
-    Unidentified,
+    Unauthenticated,
     /// Its client account has used up its quota; it may come back after a time.
-    Exceeded(Duration),
+    QuotaExceeded(Duration),
     /// It crashes the targets that run it, and is not run any more.
     Quarantined,
     /// It was never sent; it may come back after a time.
@@ -44,9 +44,9 @@
     /// A target refused it before it ran; it may come back after a time.
     Refused(Duration),
     /// It was sent, and nobody can tell whether it ran.
-    Lost,
+    AnswerLost,
     /// It was sent, and its time is over.
-    Late,
+    DeadlineExceeded,
 }
 
 /// What a refused request may rely on.
@@ -62,16 +62,16 @@
 
 /// Time after which a request should come back to an instance that has no configuration yet. Most have
 /// it half a second after their start.
-const UNCONFIGURED: Duration = Duration::from_millis(500);
+const UNCONFIGURED_RETRY_AFTER: Duration = Duration::from_millis(500);
 /// Time after which a request should come back to an instance whose configuration may be out of date. The control
 /// group confirms it within a few hundred milliseconds once it can be reached.
-const STALE: Duration = Duration::from_millis(400);
+const STALE_RETRY_AFTER: Duration = Duration::from_millis(400);
 /// Time after which a request should come back whose instances go by different configurations.
-const DIFFERS: Duration = Duration::from_millis(100);
+const MISMATCH_RETRY_AFTER: Duration = Duration::from_millis(100);
 
 impl Outcome {
     /// Returns the word that stands for it between instances.
-    pub const fn word(self) -> &'static str {
+    pub const fn as_str(self) -> &'static str {
         match self {
             Self::NotSent => "not-sent",
             Self::NotRun => "not-run",
@@ -82,7 +82,7 @@
     /// Reads the word that stands for it between instances.
     pub fn parse(word: &str) -> Option<Self> {
         let all = [Self::NotSent, Self::NotRun, Self::Unknown];
-        all.into_iter().find(|outcome| outcome.word() == word)
+        all.into_iter().find(|outcome| outcome.as_str() == word)
     }
 }
 
@@ -93,72 +93,76 @@
         match self {
             // It is the request that has to change; callers don't repeat it after this status.
             Self::Malformed | Self::Quarantined => StatusCode::BAD_REQUEST,
-            Self::LongHead => StatusCode::REQUEST_HEADER_FIELDS_TOO_LARGE,
-            Self::LongBody => StatusCode::PAYLOAD_TOO_LARGE,
-            Self::Slow => StatusCode::REQUEST_TIMEOUT,
-            Self::Unconfigured | Self::Stale | Self::Differs | Self::Busy(_) | Self::Refused(_) => {
-                StatusCode::SERVICE_UNAVAILABLE
-            }
-            Self::Unknown => StatusCode::NOT_FOUND,
-            Self::Unidentified => StatusCode::UNAUTHORIZED,
-            Self::Exceeded(_) => StatusCode::TOO_MANY_REQUESTS,
-            Self::Lost => StatusCode::BAD_GATEWAY,
-            Self::Late => StatusCode::GATEWAY_TIMEOUT,
+            Self::HeadTooLong => StatusCode::REQUEST_HEADER_FIELDS_TOO_LARGE,
+            Self::BodyTooLong => StatusCode::PAYLOAD_TOO_LARGE,
+            Self::ArrivalTimeout => StatusCode::REQUEST_TIMEOUT,
+            Self::Unconfigured
+            | Self::Stale
+            | Self::Mismatch
+            | Self::Busy(_)
+            | Self::Refused(_) => StatusCode::SERVICE_UNAVAILABLE,
+            Self::NoRoute => StatusCode::NOT_FOUND,
+            Self::Unauthenticated => StatusCode::UNAUTHORIZED,
+            Self::QuotaExceeded(_) => StatusCode::TOO_MANY_REQUESTS,
+            Self::AnswerLost => StatusCode::BAD_GATEWAY,
+            Self::DeadlineExceeded => StatusCode::GATEWAY_TIMEOUT,
         }
     }
 
     /// Returns what the caller may rely on.
     pub const fn outcome(self) -> Outcome {
         match self {
-            Self::Lost | Self::Late => Outcome::Unknown,
+            Self::AnswerLost | Self::DeadlineExceeded => Outcome::Unknown,
             Self::Refused(_) => Outcome::NotRun,
             _ => Outcome::NotSent,
         }
     }
 
     /// Returns the time after which the request may come back.
-    pub const fn after(self) -> Option<Duration> {
+    pub const fn retry_after(self) -> Option<Duration> {
         match self {
-            Self::Unconfigured => Some(UNCONFIGURED),
-            Self::Stale => Some(STALE),
-            Self::Differs => Some(DIFFERS),
-            Self::Busy(after) | Self::Refused(after) | Self::Exceeded(after) => Some(after),
+            Self::Unconfigured => Some(UNCONFIGURED_RETRY_AFTER),
+            Self::Stale => Some(STALE_RETRY_AFTER),
+            Self::Mismatch => Some(MISMATCH_RETRY_AFTER),
+            Self::Busy(retry_after)
+            | Self::Refused(retry_after)
+            | Self::QuotaExceeded(retry_after) => Some(retry_after),
             _ => None,
         }
     }
 
     /// Returns a word for logs and bodies.
-    pub const fn word(self) -> &'static str {
+    pub const fn as_str(self) -> &'static str {
         match self {
             Self::Malformed => "malformed",
-            Self::LongHead => "head-too-long",
-            Self::LongBody => "body-too-long",
-            Self::Slow => "arrived-too-slowly",
+            Self::HeadTooLong => "head-too-long",
+            Self::BodyTooLong => "body-too-long",
+            Self::ArrivalTimeout => "arrived-too-slowly",
             Self::Unconfigured => "no-configuration-yet",
             Self::Stale => "configuration-out-of-date",
-            Self::Differs => "configurations-differ",
-            Self::Unknown => "no-such-route",
-            Self::Unidentified => "unknown-key",
-            Self::Exceeded(_) => "quota-exceeded",
+            Self::Mismatch => "configurations-differ",
+            Self::NoRoute => "no-such-route",
+            Self::Unauthenticated => "unknown-key",
+            Self::QuotaExceeded(_) => "quota-exceeded",
             Self::Quarantined => "quarantined",
             Self::Busy(_) => "busy",
             Self::Refused(_) => "refused-by-target",
-            Self::Lost => "answer-lost",
-            Self::Late => "out-of-time",
+            Self::AnswerLost => "answer-lost",
+            Self::DeadlineExceeded => "out-of-time",
         }
     }
 
     /// Makes the answer for a caller.
-    pub fn answer(self) -> Reply {
-        let (word, outcome) = (self.word(), self.outcome().word());
+    pub fn reply(self) -> Reply {
+        let (word, outcome) = (self.as_str(), self.outcome().as_str());
         let body = format!("{{\"error\":\"{word}\",\"outcome\":\"{outcome}\"}}");
         let mut reply = Reply::json(self.status(), body);
-        if self == Self::Unidentified {
+        if self == Self::Unauthenticated {
             let scheme = HeaderValue::from_static("Bearer");
             reply.headers.insert(WWW_AUTHENTICATE, scheme);
         }
-        if let Some(after) = self.after() {
-            let seconds = format!("{:.2}", after.as_secs_f64());
+        if let Some(retry_after) = self.retry_after() {
+            let seconds = format!("{:.2}", retry_after.as_secs_f64());
             reply
                 .headers
                 .extend(HeaderValue::try_from(seconds).map(|value| (RETRY_AFTER, value)));
@@ -167,18 +171,18 @@
     }
 
     /// Makes the answer for the instance that passed the request on, with what is known against the request.
-    pub fn answer_instance(self, suspicion: Option<&Suspicion>) -> Reply {
-        let mut answer = self.answer();
-        let word = HeaderValue::from_static(self.outcome().word());
-        answer.headers.insert(OUTCOME, word);
+    pub fn reply_to_instance(self, suspicion: Option<&Suspicion>) -> Reply {
+        let mut reply = self.reply();
+        let word = HeaderValue::from_static(self.outcome().as_str());
+        reply.headers.insert(OUTCOME, word);
         let suspicion = suspicion.and_then(suspects::field);
-        answer
+        reply
             .headers
             .extend(suspicion.map(|value| (SUSPICION, value)));
-        if let Some(after) = self.after() {
-            let millis = u64::try_from(after.as_millis()).unwrap_or(u64::MAX);
-            answer.headers.insert(RETRY_MS, HeaderValue::from(millis));
+        if let Some(retry_after) = self.retry_after() {
+            let millis = u64::try_from(retry_after.as_millis()).unwrap_or(u64::MAX);
+            reply.headers.insert(RETRY_MS, HeaderValue::from(millis));
         }
-        answer
+        reply
     }
 }
--- a/crates/zinniastall-gateway/src/path/attempt.rs
+++ b/crates/zinniastall-gateway/src/path/attempt.rs
@@ -15,14 +15,16 @@
 use zinniastall_model::id;
 
 use super::{
-    Traffic,
+    Proxy,
     answer::Outcome,
-    client::Client,
     events::Events,
-    job::{Job, number, text},
-    pool::{CONNECT, CONNECT_FAR, Connection},
-    transfer::{collect, drained, ends_soon, hand_over, next_head, returned},
-    watch::watched,
+    job::{Job, header_number, header_text},
+    pool::{CONNECT_TIMEOUT, Connection, REMOTE_CONNECT_TIMEOUT},
+    responder::Responder,
+    transfer::{
+        drain_body, drain_refusal, end_to_end_headers, forward_events, next_head, read_body,
+    },
+    watch::until_unreachable,
 };
 use crate::{
     books::Flight,
@@ -30,7 +32,7 @@
 };
 
 /// Answers to other requests that are skipped on a connection before it counts as broken.
-const STRAYS: usize = 2;
+const MAX_STRAY_ANSWERS: usize = 2;
 
 /// Where an attempt goes.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -75,12 +77,12 @@
     /// The same in the middle of an event, behind which no other target can go on.
     Torn(Why),
     /// Nobody takes the answer any more.
-    Gone(io::Error),
+    CallerGone(io::Error),
 }
 
 impl Ended {
     /// Returns a word for logs and figures.
-    pub const fn word(&self) -> &'static str {
+    pub const fn as_str(&self) -> &'static str {
         match self {
             Self::Delivered => "delivered",
             Self::NotSent(_) => "not-sent",
@@ -89,7 +91,7 @@
             Self::Unknown(_) => "unknown",
             Self::Broken(_) => "broken",
             Self::Torn(_) => "torn",
-            Self::Gone(_) => "left",
+            Self::CallerGone(_) => "left",
         }
     }
 }
@@ -116,15 +118,18 @@
     /// Waits for what a target does, no longer than it can be reached where another one may go on.
     ///
     /// Where none may, a target that comes back within the caller's patience is all there is to hope for.
-    async fn watch<T>(&self, work: impl Future<Output = Result<T, Why>>) -> Result<T, Why> {
+    async fn while_reachable<T>(
+        &self,
+        work: impl Future<Output = Result<T, Why>>,
+    ) -> Result<T, Why> {
         let Place::Target { address, .. } = self.place else {
             return work.await;
         };
         if !self.job.route().repeats() {
             return work.await;
         }
-        let watched = watched(work, address).await;
-        watched.unwrap_or_else(|| Err("silent, and it can't be reached".to_owned()))
+        let outcome = until_unreachable(work, address).await;
+        outcome.unwrap_or_else(|| Err("silent, and it can't be reached".to_owned()))
     }
 }
 
@@ -144,21 +149,21 @@
     }
 }
 
-impl Traffic {
+impl Proxy {
     /// Sends a request to one place and hands its answer over.
     pub async fn attempt(
         &self,
         attempt: &Attempt<'_>,
         events: &mut Events,
-        client: &mut Client,
+        responder: &mut Responder,
     ) -> Ended {
         let (job, place) = (attempt.job, attempt.place);
-        let longest = match place {
-            Place::Target { .. } => CONNECT,
-            Place::Instance { .. } => CONNECT_FAR,
+        let timeout = match place {
+            Place::Target { .. } => CONNECT_TIMEOUT,
+            Place::Instance { .. } => REMOTE_CONNECT_TIMEOUT,
         };
         let repeats = job.route().repeats();
-        let connected = self.pool.connect(place.address(), repeats, longest).await;
+        let connected = self.pool.connect(place.address(), repeats, timeout).await;
         let mut connection = match connected {
             Ok(connection) => connection,
             Err(error) => return Ended::NotSent(format!("connect: {error}")),
@@ -170,47 +175,51 @@
             // What runs in another region is that region's load.
             Place::Instance { .. } => "",
         };
-        let mut flight = Flight::start(&self.books, name, service, attempt.reading_us, now);
-        let output = self.encode(attempt, events.last());
-        let before = attempt.may_have_run.replace(true);
+        let mut flight = Flight::start(&self.tracker, name, service, attempt.reading_us, now);
+        let output = self.encode(attempt, events.last_id());
+        let may_have_run_before = attempt.may_have_run.replace(true);
         let received = attempt
-            .watch(self.exchange(job, &mut connection, &output))
+            .while_reachable(self.exchange(job, &mut connection, &output))
             .await;
         let (response, is_clean) = match received {
             Ok(received) => received,
             Err(why) => return Ended::Unknown(why),
         };
-        if let Some(ended) = self.refused(attempt, &response, connection.is_used, before) {
-            if is_clean && ends_soon(&response, &mut connection.reader).await {
-                self.pool.rest(place.address(), connection, &response);
+        if let Some(ended) =
+            self.refusal(attempt, &response, connection.is_used, may_have_run_before)
+        {
+            if is_clean && drain_refusal(&response, &mut connection.reader).await {
+                self.pool.release(place.address(), connection, &response);
             }
             return ended;
         }
         let stream = job.is_stream() && response.status.is_success();
-        if client.has_begun() && !stream {
+        if responder.has_begun() && !stream {
             return Ended::Broken(format!(
                 "status {} where the stream should go on",
                 response.status
             ));
         }
         let ended = if stream {
-            self.relay(
+            self.forward_stream(
                 attempt,
                 &response,
                 &mut connection,
                 &mut flight,
                 events,
-                client,
+                responder,
             )
             .await
         } else {
             flight.begun();
-            let ended = self.whole(job, &response, &mut connection, client).await;
+            let ended = self
+                .forward_whole(job, &response, &mut connection, responder)
+                .await;
             self.note_work(attempt, &ended, now.elapsed());
             ended
         };
         if is_clean && matches!(ended, Ended::Delivered | Ended::Failing(_)) {
-            self.pool.rest(place.address(), connection, &response);
+            self.pool.release(place.address(), connection, &response);
         }
         ended
     }
@@ -227,7 +236,7 @@
     ) -> Result<(Response, bool), Why> {
         let Connection { reader, writer, .. } = connection;
         let mut is_written = false;
-        let mut strays = 0;
+        let mut stray_answers = 0;
         let mut writing = std::pin::pin!(writer.write(output));
         let response = loop {
             let response = if is_written {
@@ -239,7 +248,7 @@
                         is_written = true;
                         if written.is_err() {
                             // The answer may be there all the same.
-                            strays = STRAYS;
+                            stray_answers = MAX_STRAY_ANSWERS;
                         }
                         continue;
                     }
@@ -249,56 +258,59 @@
             if response.status.is_informational() {
                 continue;
             }
-            let echoed = text(&response.headers, &self.names.request_id);
+            let echoed = header_text(&response.headers, &self.header_names.request_id);
             if echoed.is_none_or(|echoed| echoed == job.id) {
                 break response;
             }
             // An answer to an earlier request came late; this request's own one is behind it.
-            strays += 1;
+            stray_answers += 1;
             tracing::info!(event = "stray-answer", id = job.id, other = echoed);
             let framing = response.framing(false).map_err(|fault| fault.to_string())?;
             let length_known = framing != Framing::Close;
-            if strays > STRAYS || !length_known || !drained(reader, Decoder::new(framing)).await {
+            if stray_answers > MAX_STRAY_ANSWERS
+                || !length_known
+                || !drain_body(reader, Decoder::new(framing)).await
+            {
                 return Err("answers of other requests".to_owned());
             }
         };
-        Ok((response, is_written && strays == 0))
+        Ok((response, is_written && stray_answers == 0))
     }
 
     /// Tells whether an answer says that the request has not run; `before` tells whether an earlier attempt
     /// may have run it, which this one's refusal takes nothing back of.
-    fn refused(
+    fn refusal(
         &self,
         attempt: &Attempt<'_>,
         response: &Response,
         is_used: bool,
-        before: bool,
+        may_have_run_before: bool,
     ) -> Option<Ended> {
         let headers = &response.headers;
         if matches!(attempt.place, Place::Instance { .. }) {
-            let outcome = text(headers, &OUTCOME).and_then(Outcome::parse)?;
-            self.hear_suspicion(attempt.job, headers);
-            let after = number(headers, &RETRY_MS).map(Duration::from_millis);
+            let outcome = header_text(headers, &OUTCOME).and_then(Outcome::parse)?;
+            self.merge_suspicion(attempt.job, headers);
+            let retry_after = header_number(headers, &RETRY_MS).map(Duration::from_millis);
             if outcome == Outcome::Unknown {
                 return Some(Ended::Unknown("unknown there".to_owned()));
             }
-            attempt.may_have_run.set(before);
+            attempt.may_have_run.set(may_have_run_before);
             return Some(match outcome {
                 Outcome::NotSent => Ended::NotSent("not sent there".to_owned()),
-                _ => Ended::NotRun(after),
+                _ => Ended::NotRun(retry_after),
             });
         }
-        let says_so = headers.contains_key(&self.names.not_run)
+        let says_not_run = headers.contains_key(&self.header_names.not_run)
             || response.status == StatusCode::MISDIRECTED_REQUEST;
-        if !says_so {
+        if !says_not_run {
             return None;
         }
         // Without an echo it may be a late word on an earlier request of the same connection.
-        let is_ours = headers.contains_key(&self.names.request_id) || !is_used;
-        if !is_ours && !attempt.job.route().repeats() {
+        let is_for_this_request = headers.contains_key(&self.header_names.request_id) || !is_used;
+        if !is_for_this_request && !attempt.job.route().repeats() {
             return Some(Ended::Unknown("a refusal without an id".to_owned()));
         }
-        attempt.may_have_run.set(before);
+        attempt.may_have_run.set(may_have_run_before);
         Some(Ended::NotRun(None))
     }
 
@@ -308,74 +320,74 @@
             return;
         };
         if matches!(ended, Ended::Delivered) {
-            let mut books = self.books.borrow_mut();
-            books.note_work(&attempt.job.service, took, attempt.ahead, *slots);
+            let mut tracker = self.tracker.borrow_mut();
+            tracker.note_work(&attempt.job.service, took, attempt.ahead, *slots);
         }
     }
 
     /// Hands a whole answer over, once all of it is here: a cut one can still become a refusal.
-    async fn whole(
+    async fn forward_whole(
         &self,
         job: &Job,
         response: &Response,
         connection: &mut Connection,
-        client: &mut Client,
+        responder: &mut Responder,
     ) -> Ended {
-        let body = match collect(job, response, &mut connection.reader).await {
+        let body = match read_body(job, response, &mut connection.reader).await {
             Ok(body) => body,
             Err(why) => return Ended::Unknown(why),
         };
         let answer = Reply {
             status: response.status,
-            headers: returned(&response.headers),
+            headers: end_to_end_headers(&response.headers),
             body,
         };
         if response.status.is_server_error() && job.route().repeats() {
             return Ended::Failing(answer);
         }
-        match client.answer(answer).await {
+        match responder.send(answer).await {
             Ok(()) => Ended::Delivered,
-            Err(error) => Ended::Gone(error),
+            Err(error) => Ended::CallerGone(error),
         }
     }
 
     /// Hands a stream over, event by event.
-    async fn relay(
+    async fn forward_stream(
         &self,
         attempt: &Attempt<'_>,
         response: &Response,
         connection: &mut Connection,
         flight: &mut Flight,
         events: &mut Events,
-        client: &mut Client,
+        responder: &mut Responder,
     ) -> Ended {
         let framing = match response.framing(attempt.job.head.method == Method::HEAD) {
             Ok(framing) => framing,
             Err(fault) => return Ended::Unknown(fault.to_string()),
         };
         let mut decoder = Decoder::new(framing);
-        events.resume();
+        events.discard_partial();
         loop {
             let next = async {
                 let piece = connection.reader.piece(&mut decoder).await;
                 piece.map_err(|error| error.to_string())
             };
-            let piece = match attempt.watch(next).await {
+            let piece = match attempt.while_reachable(next).await {
                 Ok(piece) => piece,
-                Err(why) if events.is_torn() => return Ended::Torn(why),
-                Err(why) if client.has_begun() => return Ended::Broken(why),
+                Err(why) if events.is_mid_event() => return Ended::Torn(why),
+                Err(why) if responder.has_begun() => return Ended::Broken(why),
                 Err(why) => return Ended::Unknown(why),
             };
             let is_end = piece.is_none();
-            let whole = match piece {
-                Some(piece) => events.take(&piece),
-                None => events.rest(),
+            let complete = match piece {
+                Some(piece) => events.push(&piece),
+                None => events.finish(),
             };
-            if !whole.is_empty() {
+            if !complete.is_empty() {
                 flight.begun();
             }
-            if let Err(error) = hand_over(response, whole, is_end, client).await {
-                return Ended::Gone(error);
+            if let Err(error) = forward_events(response, complete, is_end, responder).await {
+                return Ended::CallerGone(error);
             }
             if is_end {
                 return Ended::Delivered;
--- a/crates/zinniastall-gateway/src/path/crash.rs
+++ b/crates/zinniastall-gateway/src/path/crash.rs
@@ -15,10 +15,10 @@
 use zinniastall_model::fingerprint::Fingerprint;
 
 use super::{
-    Traffic,
+    Proxy,
     attempt::{Attempt, Ended, Place},
-    client::Client,
-    job::{Job, text},
+    job::{Job, header_text},
+    responder::Responder,
     watch::is_refused,
 };
 use crate::{
@@ -27,7 +27,7 @@
 };
 
 /// Time after which another region's news of a crash is here: a trip, and what gathers news on the way.
-const NEWS: Duration = Duration::from_millis(80);
+const NEWS_DELAY: Duration = Duration::from_millis(80);
 
 /// Whether a request may be sent, by what is known against it.
 #[derive(Debug)]
@@ -53,7 +53,7 @@
     }
 }
 
-impl Traffic {
+impl Proxy {
     /// Returns the crashes that count against a request.
     pub(super) fn crashes(&self, job: &Job) -> usize {
         let suspects = self.suspects.borrow();
@@ -92,26 +92,26 @@
     }
 
     /// Notes that a request was rejected because it is quarantined.
-    pub(super) fn note_rejected(&self, job: &Job) {
-        self.figures.suspect("rejected");
-        self.journal.quarantined(job, "quarantine-rejected");
+    pub(super) fn record_rejection(&self, job: &Job) {
+        self.metrics.suspect("rejected");
+        self.request_log.quarantined(job, "quarantine-rejected");
     }
 
     /// Learns from the end of an attempt what it says of the request, `before` being the crashes that were known when
     /// it was sent; tells whether its target crashed.
-    pub(super) async fn learn(
+    pub(super) async fn update_suspicion(
         &self,
         attempt: &Attempt<'_>,
         ended: &Ended,
         before: usize,
-        client: &Client,
+        responder: &Responder,
     ) -> bool {
         let job = attempt.job;
         match ended {
             Ended::Delivered => {
-                let status = client.status();
+                let status = responder.status();
                 if status.is_some_and(|status| status.is_success()) {
-                    self.note_finished(job);
+                    self.record_success(job);
                 }
                 false
             }
@@ -130,9 +130,9 @@
 
     /// Finds out whether a target whose connection broke has crashed, and notes that.
     async fn has_crashed(&self, job: &Job, target: &str, address: &str, was_suspect: bool) -> bool {
-        let has_crashed = self.is_to_stay(target) && is_refused(address).await;
+        let has_crashed = self.is_expected_to_stay(target) && is_refused(address).await;
         if has_crashed {
-            self.note_crash(job, target, was_suspect);
+            self.record_crash(job, target, was_suspect);
         }
         has_crashed
     }
@@ -141,14 +141,14 @@
     async fn has_crashed_elsewhere(&self, job: &Job, is_broken: bool, before: usize) -> bool {
         // A broken stream brings no word of what broke it; it only matters where it may go on.
         if is_broken && job.route().resumable {
-            time::sleep(NEWS).await;
+            time::sleep(NEWS_DELAY).await;
         }
         self.crashes(job) > before
     }
 
     /// Takes what another instance says of a request.
-    pub(super) fn hear_suspicion(&self, job: &Job, headers: &HeaderMap) {
-        let Some(suspicion) = text(headers, &SUSPICION) else {
+    pub(super) fn merge_suspicion(&self, job: &Job, headers: &HeaderMap) {
+        let Some(suspicion) = header_text(headers, &SUSPICION) else {
             return;
         };
         let suspicion: Suspicion = match serde_json::from_str(suspicion) {
@@ -164,7 +164,7 @@
 
     /// Takes what the control group holds of requests that aren't run any more, and shows it what it lacks.
     pub fn keep_suspects(&self) {
-        let kept = self.board.suspects();
+        let kept = self.state.suspects();
         let mut suspects = self.suspects.borrow_mut();
         let lacking = suspects.keep(&kept.held.load(), Instant::now());
         if **kept.lacking.load() != lacking {
@@ -174,8 +174,8 @@
 
     /// Takes what the control group holds where that is news, so that an instance that has just started doesn't run
     /// what it has been told of.
-    pub(super) fn hear_kept(&self) {
-        let held = self.board.suspects().held.load();
+    pub(super) fn sync_quarantine_if_changed(&self) {
+        let held = self.state.suspects().held.load();
         if self.suspects.borrow().is_kept(&held) {
             return;
         }
@@ -183,15 +183,15 @@
     }
 
     /// Tells whether a target is expected to stay: one that drains or was removed ends as planned.
-    fn is_to_stay(&self, target: &str) -> bool {
-        let view = self.board.view();
+    fn is_expected_to_stay(&self, target: &str) -> bool {
+        let view = self.state.view();
         let known = view.targets.by_name().get(target);
         known.is_some_and(|known| known.gone_at.is_none())
     }
 
-    fn note_crash(&self, job: &Job, target: &str, was_suspect: bool) {
+    fn record_crash(&self, job: &Job, target: &str, was_suspect: bool) {
         let now = Instant::now();
-        let view = self.board.view();
+        let view = self.state.view();
         let Some(known) = view.targets.by_name().get(target) else {
             return;
         };
@@ -200,35 +200,35 @@
         let change = suspects.crash(job.fingerprint(), run, was_suspect, now);
         let crashes = suspects.crashes(job.fingerprint());
         drop(suspects);
-        self.news.notify_one();
-        self.figures.suspect("crashed");
-        let flights = self.flights(target, now).saturating_add(1);
-        self.journal.crashed(job, target, flights, crashes);
+        self.suspects_changed.notify_one();
+        self.metrics.suspect("crashed");
+        let flights = self.in_flight(target, now).saturating_add(1);
+        self.request_log.crashed(job, target, flights, crashes);
         if change == Change::Quarantined {
-            self.figures.suspect("quarantined");
-            self.journal.quarantined(job, "quarantined");
+            self.metrics.suspect("quarantined");
+            self.request_log.quarantined(job, "quarantined");
         }
     }
 
     /// Returns the requests at a target, of all instances as far as they are known.
-    fn flights(&self, target: &str, now: Instant) -> u32 {
+    fn in_flight(&self, target: &str, now: Instant) -> u32 {
         let others = self.neighbours.borrow().at(target, now);
-        let mut books = self.books.borrow_mut();
-        let own = books.known(target);
+        let mut tracker = self.tracker.borrow_mut();
+        let own = tracker.known(target);
         let own = own.map_or(0, |account| account.flights);
         own.saturating_add(others.flights)
     }
 
-    fn note_finished(&self, job: &Job) {
+    fn record_success(&self, job: &Job) {
         if self.crashes(job) == 0 {
             return;
         }
         let mut suspects = self.suspects.borrow_mut();
         if suspects.finish(job.fingerprint(), Instant::now()) {
             drop(suspects);
-            self.news.notify_one();
-            self.figures.suspect("cleared");
-            self.journal.cleared(job);
+            self.suspects_changed.notify_one();
+            self.metrics.suspect("cleared");
+            self.request_log.cleared(job);
         }
     }
 }
--- a/crates/zinniastall-gateway/src/path/job.rs
+++ b/crates/zinniastall-gateway/src/path/job.rs
@@ -19,7 +19,7 @@
 use super::answer::Refusal;
 use crate::{
     decide::{
-        identity::{self, Unidentified},
+        identity::{self, Unauthenticated},
         quota,
     },
     freshness::Trust,
@@ -28,7 +28,7 @@
 };
 
 /// Requests of one route are spread over its services by this many points.
-const POINTS: u64 = 1 << 32;
+const SPLIT_POINTS: u64 = 1 << 32;
 
 /// A request that is to be served.
 #[derive(Debug)]
@@ -52,7 +52,7 @@
     configuration: Arc<Configuration>,
     /// Places of its route, its service and its account in the table.
     route: usize,
-    served: usize,
+    service_entry: usize,
     account: Option<usize>,
     fingerprint: OnceCell<Fingerprint>,
 }
@@ -76,19 +76,19 @@
     /// Tokens of the whole prompt.
     pub tokens: u64,
     /// Tokens of the prompt and, at most, of the answer, where the request states both.
-    pub stated: Option<u64>,
+    pub total_tokens: Option<u64>,
 }
 
 /// A request's head, judged before its body has arrived.
 #[derive(Debug)]
-pub struct Judged {
+pub struct Match {
     configuration: Arc<Configuration>,
     route: usize,
     account: Option<usize>,
     is_passed_on: bool,
 }
 
-impl Judged {
+impl Match {
     /// Finds the route of a request and the client account that makes it; `trust` tells whether the view's
     /// configuration may be relied on.
     ///
@@ -105,12 +105,12 @@
         let configuration = view.configuration.clone().ok_or(Refusal::Unconfigured)?;
         let table = configuration.table.as_ref().ok_or(Refusal::Unconfigured)?;
         let at = table.position(head.host(), head.path());
-        let route = at.ok_or(Refusal::Unknown)?;
-        let served = &table.routes[route];
+        let route = at.ok_or(Refusal::NoRoute)?;
+        let route_entry = &table.routes[route];
         let account = if forwarded {
-            identity::of_instance(table, served, text(&head.headers, &ACCOUNT))
+            identity::of_instance(table, route_entry, header_text(&head.headers, &ACCOUNT))
         } else {
-            identity::of_caller(table, served, &head.headers, trust)
+            identity::of_caller(table, route_entry, &head.headers, trust)
         };
         let account = account?;
         Ok(Self {
@@ -125,7 +125,7 @@
     ///
     /// # Errors
     ///
-    /// [`Refusal::Unknown`] when the route names no service of the table.
+    /// [`Refusal::NoRoute`] when the route names no service of the table.
     pub fn job(
         self,
         names: &Names,
@@ -133,7 +133,7 @@
         body: Bytes,
         arrived: Instant,
     ) -> Result<Job, Refusal> {
-        let id = text(&head.headers, &names.request_id)
+        let id = header_text(&head.headers, &names.request_id)
             .unwrap_or_default()
             .to_owned();
         let table = self
@@ -141,27 +141,27 @@
             .table
             .as_ref()
             .ok_or(Refusal::Unconfigured)?;
-        let route = table.routes.get(self.route).ok_or(Refusal::Unknown)?;
+        let route = table.routes.get(self.route).ok_or(Refusal::NoRoute)?;
         // Every instance comes to the same service for the same request.
-        let point = crate::decide::warm::weight(&route.name, &id) % POINTS;
-        let service = route.service_at(point).ok_or(Refusal::Unknown)?.clone();
-        let is_its = |held: &Service| held.name == service;
-        let served = table.services.iter().position(is_its);
-        let served = served.ok_or(Refusal::Unknown)?;
-        let asked = number(&head.headers, &names.deadline_ms).map(Duration::from_millis);
-        let time = asked.map_or(route.timeout(), |asked| asked.min(route.timeout()));
+        let point = crate::decide::slow_start::weight(&route.name, &id) % SPLIT_POINTS;
+        let service = route.service_at(point).ok_or(Refusal::NoRoute)?.clone();
+        let is_same = |held: &Service| held.name == service;
+        let service_entry = table.services.iter().position(is_same);
+        let service_entry = service_entry.ok_or(Refusal::NoRoute)?;
+        let requested = header_number(&head.headers, &names.deadline_ms).map(Duration::from_millis);
+        let timeout = requested.map_or(route.timeout(), |requested| requested.min(route.timeout()));
         let prompt = Prompt::read(&head.headers, names);
         Ok(Job {
             id,
             service,
             arrived,
-            deadline: arrived + time,
+            deadline: arrived + timeout,
             is_passed_on: self.is_passed_on,
             prompt,
             configuration: self.configuration,
             route: self.route,
             account: self.account,
-            served,
+            service_entry,
             fingerprint: OnceCell::new(),
             head,
             body,
@@ -189,11 +189,11 @@
 
     /// Returns what makes another request the same as this one; it is computed when it is first asked for.
     pub fn fingerprint(&self) -> Fingerprint {
-        let of_job = || {
+        let compute = || {
             let account = self.account().map(|account| account.name.as_str());
             Fingerprint::of(account, self.head.host(), &self.head.target, &self.body)
         };
-        *self.fingerprint.get_or_init(of_job)
+        *self.fingerprint.get_or_init(compute)
     }
 
     /// Returns what the request counts for in its account's quota, and which one that is.
@@ -202,7 +202,7 @@
         let quota = account.quota?;
         Some(Charge {
             account: quota::key(&account.name),
-            cost: quota.cost(self.prompt.stated),
+            cost: quota.cost(self.prompt.total_tokens),
             quota,
         })
     }
@@ -220,13 +220,13 @@
     }
 
     /// Returns what operators state of the service.
-    pub fn served(&self) -> &Service {
-        &self.table().services[self.served]
+    pub fn service_entry(&self) -> &Service {
+        &self.table().services[self.service_entry]
     }
 
     /// Returns what the service's engines can do, if it has engines.
     pub fn engine(&self) -> Option<&Engine> {
-        self.served().engine.as_ref()
+        self.service_entry().engine.as_ref()
     }
 
     /// Returns the slots of the service's engines, if it has engines.
@@ -236,7 +236,7 @@
 
     /// Returns the requests a second that a cold target bears, in thousandths; 0 for no bound.
     pub fn cold_rate(&self) -> u64 {
-        self.served().cold_rate_milli
+        self.service_entry().cold_rate_milli
     }
 
     /// Returns the revision by which the request was judged.
@@ -261,26 +261,26 @@
     }
 }
 
-impl From<Unidentified> for Refusal {
-    fn from(unidentified: Unidentified) -> Self {
-        match unidentified {
-            Unidentified::Unknown => Self::Unidentified,
-            Unidentified::Unconfirmed => Self::Unconfigured,
-            Unidentified::Stale => Self::Stale,
-            Unidentified::Differs => Self::Differs,
+impl From<Unauthenticated> for Refusal {
+    fn from(error: Unauthenticated) -> Self {
+        match error {
+            Unauthenticated::UnknownKey => Self::Unauthenticated,
+            Unauthenticated::Unconfirmed => Self::Unconfigured,
+            Unauthenticated::Stale => Self::Stale,
+            Unauthenticated::Mismatch => Self::Mismatch,
         }
     }
 }
 
 impl Prompt {
     fn read(headers: &HeaderMap, names: &Names) -> Self {
-        let parts = text(headers, &names.prompt_parts).unwrap_or_default();
+        let parts = header_text(headers, &names.prompt_parts).unwrap_or_default();
         let parts = parts.split(',').filter_map(|part| {
             let (id, tokens) = part.trim().split_once(':')?;
             Some((id.to_owned(), tokens.trim().parse().ok()?))
         });
         let parts: Vec<(String, u64)> = parts.collect();
-        let tokens = text(headers, &names.tokens).unwrap_or_default();
+        let tokens = header_text(headers, &names.tokens).unwrap_or_default();
         let mut tokens = tokens
             .split(',')
             .map(|count| count.trim().parse::<u64>().ok());
@@ -288,7 +288,7 @@
         let sum = parts.iter().map(|(_, tokens)| tokens).sum();
         Self {
             tokens: prompt.unwrap_or(sum),
-            stated: prompt
+            total_tokens: prompt
                 .zip(answer)
                 .map(|(prompt, answer)| prompt.saturating_add(answer)),
             parts,
@@ -303,11 +303,11 @@
 }
 
 /// Returns a field as text.
-pub fn text<'a>(headers: &'a HeaderMap, name: &HeaderName) -> Option<&'a str> {
+pub fn header_text<'a>(headers: &'a HeaderMap, name: &HeaderName) -> Option<&'a str> {
     headers.get(name)?.to_str().ok()
 }
 
 /// Returns a field as a number.
-pub fn number(headers: &HeaderMap, name: &HeaderName) -> Option<u64> {
-    text(headers, name)?.trim().parse().ok()
+pub fn header_number(headers: &HeaderMap, name: &HeaderName) -> Option<u64> {
+    header_text(headers, name)?.trim().parse().ok()
 }
--- a/crates/zinniastall-gateway/src/path/mod.rs
+++ b/crates/zinniastall-gateway/src/path/mod.rs
@@ -2,13 +2,13 @@
 
 pub mod answer;
 pub mod attempt;
-pub mod client;
 mod crash;
 pub mod events;
 pub mod job;
 mod outgoing;
-pub mod placing;
+pub mod placement;
 pub mod pool;
+pub mod responder;
 pub mod run;
 pub mod serve;
 mod transfer;
@@ -34,15 +34,15 @@
 
 /// What the request path of one traffic thread holds.
 #[derive(Debug)]
-pub struct Traffic {
+pub struct Proxy {
     /// What is known of the rest of the system.
-    pub board: Board,
+    pub state: Board,
     /// Names of header fields.
-    pub names: Names,
+    pub header_names: Names,
     /// Times and weights of the deployment.
     pub policy: Policy,
     /// What this thread counts.
-    pub books: Rc<RefCell<Books>>,
+    pub tracker: Rc<RefCell<Books>>,
     /// What the other instances of the region have at targets.
     pub neighbours: Rc<RefCell<Neighbours>>,
     /// What they have sent to targets within the last moments.
@@ -52,33 +52,33 @@
     /// Requests that are suspected of crashing targets.
     pub suspects: Rc<RefCell<Suspects>>,
     /// Says that the other instances have to be told of a suspect.
-    pub news: Rc<Notify>,
+    pub suspects_changed: Rc<Notify>,
     /// Connections at rest.
     pub pool: Pool,
     /// Connections of callers and instances.
     pub connections: Connections,
     /// Log lines on requests.
-    pub journal: Journal,
+    pub request_log: Journal,
     /// Counters and histograms.
-    pub figures: Figures,
+    pub metrics: Figures,
 }
 
-impl Traffic {
+impl Proxy {
     /// Creates the request path of a thread.
-    pub fn new(board: Board, names: Names, policy: Policy, figures: Figures) -> Self {
+    pub fn new(state: Board, header_names: Names, policy: Policy, metrics: Figures) -> Self {
         Self {
-            books: Rc::new(RefCell::new(Books::new(policy.repeats))),
+            tracker: Rc::new(RefCell::new(Books::new(policy.repeats))),
             neighbours: Rc::default(),
             claims: Rc::default(),
             quotas: Rc::new(RefCell::new(Quotas::new(policy.quota))),
             suspects: Rc::default(),
-            news: Rc::default(),
+            suspects_changed: Rc::default(),
             pool: Pool::default(),
             connections: Connections::default(),
-            journal: Journal::default(),
-            figures,
-            board,
-            names,
+            request_log: Journal::default(),
+            metrics,
+            state,
+            header_names,
             policy,
         }
     }
--- a/crates/zinniastall-gateway/src/path/outgoing.rs
+++ b/crates/zinniastall-gateway/src/path/outgoing.rs
@@ -10,7 +10,7 @@
 use zinniastall_http::head;
 
 use super::{
-    Traffic,
+    Proxy,
     attempt::{Attempt, Place},
 };
 use crate::{
@@ -21,7 +21,7 @@
 /// Least urgent priority that targets know.
 const LEAST_URGENT: u8 = 9;
 
-impl Traffic {
+impl Proxy {
     /// Encodes a request for a place.
     pub(super) fn encode(&self, attempt: &Attempt<'_>, last_event: Option<&str>) -> BytesMut {
         let job = attempt.job;
@@ -42,7 +42,7 @@
         }
         let left = job.left(Instant::now()).as_millis();
         let left = u64::try_from(left).unwrap_or(u64::MAX).max(1);
-        headers.insert(&self.names.deadline_ms, HeaderValue::from(left));
+        headers.insert(&self.header_names.deadline_ms, HeaderValue::from(left));
         if let Some(last) = last_event.and_then(|last| HeaderValue::try_from(last).ok()) {
             headers.insert(LAST_EVENT, last);
         }
@@ -50,14 +50,17 @@
             Place::Target { target, source, .. } => {
                 let source = source.as_deref().map(HeaderValue::try_from);
                 if let Some(Ok(source)) = source {
-                    headers.insert(&self.names.fetch_from, source);
+                    headers.insert(&self.header_names.fetch_from, source);
                 }
                 if let Ok(target) = HeaderValue::try_from(target.as_str()) {
-                    headers.insert(&self.names.expected_target, target);
+                    headers.insert(&self.header_names.expected_target, target);
                 }
                 let priority = job.priority().min(LEAST_URGENT);
-                headers.insert(&self.names.priority, HeaderValue::from(u16::from(priority)));
-                headers.extend(account.map(|account| (self.names.account.clone(), account)));
+                headers.insert(
+                    &self.header_names.priority,
+                    HeaderValue::from(u16::from(priority)),
+                );
+                headers.extend(account.map(|account| (self.header_names.account.clone(), account)));
             }
             Place::Instance { .. } => {
                 headers.insert(REVISION, HeaderValue::from(job.revision()));
@@ -75,13 +78,13 @@
 
     /// Removes what only the gateway may set.
     fn strip_reserved(&self, headers: &mut HeaderMap) {
-        for name in &self.names.reserved {
+        for name in &self.header_names.reserved {
             headers.remove(name);
         }
-        headers.remove(&self.names.expected_target);
-        headers.remove(&self.names.priority);
-        headers.remove(&self.names.fetch_from);
-        headers.remove(&self.names.account);
+        headers.remove(&self.header_names.expected_target);
+        headers.remove(&self.header_names.priority);
+        headers.remove(&self.header_names.fetch_from);
+        headers.remove(&self.header_names.account);
         let own: Vec<_> = headers
             .keys()
             .filter(|name| name.as_str().starts_with(OWN_PREFIX))
--- a/crates/zinniastall-gateway/src/path/pool.rs
+++ b/crates/zinniastall-gateway/src/path/pool.rs
@@ -15,18 +15,18 @@
 
 /// Longest time for a connection to open. Targets are in the same region, a few milliseconds away; one
 /// that takes longer is dark, or its queue of new connections is full and the retry takes seconds.
-pub const CONNECT: Duration = Duration::from_millis(400);
+pub const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
 /// Longest time for a connection to another region: a round trip of 110 ms and some lost packets.
-pub const CONNECT_FAR: Duration = Duration::from_millis(900);
+pub const REMOTE_CONNECT_TIMEOUT: Duration = Duration::from_millis(900);
 /// Rest after which a connection is closed where the other end names no time of its own.
-const REST: Duration = Duration::from_secs(4);
+const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(4);
 /// Part of the time that the other end names, so that it isn't closing while a request is on its way.
-const REST_PART: f64 = 0.7;
+const KEEP_ALIVE_SHARE: f64 = 0.7;
 /// Rest after which a connection is too old for a request that must not be repeated. Had the other end
 /// closed it meanwhile, nobody could tell whether the request ran.
-const REST_ONCE: Duration = Duration::from_millis(1_500);
+const MAX_IDLE_UNREPEATABLE: Duration = Duration::from_millis(1_500);
 /// Connections at rest to one address.
-const EACH: usize = 12;
+const MAX_IDLE_PER_ADDRESS: usize = 12;
 
 /// An open connection.
 #[derive(Debug)]
@@ -42,11 +42,11 @@
 /// Connections at rest, by address.
 #[derive(Debug, Default)]
 pub struct Pool {
-    resting: RefCell<IndexMap<String, Vec<Resting>>>,
+    idle: RefCell<IndexMap<String, Vec<Idle>>>,
 }
 
 #[derive(Debug)]
-struct Resting {
+struct Idle {
     connection: Connection,
     since: Instant,
     until: Instant,
@@ -62,12 +62,12 @@
         &self,
         address: &str,
         repeats: bool,
-        longest: Duration,
+        timeout: Duration,
     ) -> io::Result<Connection> {
         if let Some(connection) = self.take(address, repeats) {
             return Ok(connection);
         }
-        let stream = time::timeout(longest, TcpStream::connect(address)).await;
+        let stream = time::timeout(timeout, TcpStream::connect(address)).await;
         let stream = stream.map_err(|_| io::Error::from(io::ErrorKind::TimedOut))??;
         let (reader, writer) = connection::split(stream)?;
         Ok(Connection {
@@ -78,19 +78,19 @@
     }
 
     /// Lays a connection to rest after an answer that left nothing behind on it.
-    pub fn rest(&self, address: &str, mut connection: Connection, answer: &Response) {
+    pub fn release(&self, address: &str, mut connection: Connection, answer: &Response) {
         if !answer.keeps_open() || connection.reader.has_rest() {
             return;
         }
         connection.is_used = true;
         connection.reader.rest();
         let now = Instant::now();
-        let until = now + named_rest(answer).unwrap_or(REST);
-        let mut resting = self.resting.borrow_mut();
-        let list = resting.entry(address.to_owned()).or_default();
-        list.retain(|other| other.until > now);
-        if list.len() < EACH {
-            list.push(Resting {
+        let until = now + keep_alive_timeout(answer).unwrap_or(DEFAULT_IDLE_TIMEOUT);
+        let mut idle = self.idle.borrow_mut();
+        let connections = idle.entry(address.to_owned()).or_default();
+        connections.retain(|other| other.until > now);
+        if connections.len() < MAX_IDLE_PER_ADDRESS {
+            connections.push(Idle {
                 connection,
                 since: now,
                 until,
@@ -100,20 +100,21 @@
 
     /// Closes the connections that have rested for too long.
     pub fn sweep(&self, now: Instant) {
-        let mut resting = self.resting.borrow_mut();
-        for list in resting.values_mut() {
-            list.retain(|connection| connection.until > now);
+        let mut idle = self.idle.borrow_mut();
+        for connections in idle.values_mut() {
+            connections.retain(|connection| connection.until > now);
         }
-        resting.retain(|_, list| !list.is_empty());
+        idle.retain(|_, connections| !connections.is_empty());
     }
 
     fn take(&self, address: &str, repeats: bool) -> Option<Connection> {
         let now = Instant::now();
-        let mut resting = self.resting.borrow_mut();
-        let list = resting.get_mut(address)?;
-        while let Some(mut newest) = list.pop() {
-            let is_old = newest.until <= now || (!repeats && newest.since + REST_ONCE <= now);
-            if !is_old && !newest.connection.reader.is_disturbed() {
+        let mut idle = self.idle.borrow_mut();
+        let connections = idle.get_mut(address)?;
+        while let Some(mut newest) = connections.pop() {
+            let is_expired =
+                newest.until <= now || (!repeats && newest.since + MAX_IDLE_UNREPEATABLE <= now);
+            if !is_expired && !newest.connection.reader.is_disturbed() {
                 return Some(newest.connection);
             }
         }
@@ -122,12 +123,12 @@
 }
 
 /// Returns for how long a connection may rest by the word of the other end.
-fn named_rest(answer: &Response) -> Option<Duration> {
+fn keep_alive_timeout(answer: &Response) -> Option<Duration> {
     let value = answer.headers.get("keep-alive")?.to_str().ok()?;
-    let fields = value
+    let parameters = value
         .split(',')
         .filter_map(|field| field.trim().split_once('='));
-    let mut timeout = fields.filter(|(name, _)| name.eq_ignore_ascii_case("timeout"));
+    let mut timeout = parameters.filter(|(name, _)| name.eq_ignore_ascii_case("timeout"));
     let seconds: u64 = timeout.next_back()?.1.trim().parse().ok()?;
-    Some(Duration::from_secs(seconds).mul_f64(REST_PART))
+    Some(Duration::from_secs(seconds).mul_f64(KEEP_ALIVE_SHARE))
 }
--- a/crates/zinniastall-gateway/src/path/client.rs
+++ b/crates/zinniastall-gateway/src/path/responder.rs
@@ -23,17 +23,17 @@
 /// How far an answer is.
 #[derive(Debug, Clone, Copy)]
 enum Progress {
-    Waiting,
+    Pending,
     Begun,
-    Whole,
+    Complete,
 }
 
 /// Writes the answer of one request after the other on a connection.
 #[derive(Debug)]
-pub struct Client {
+pub struct Responder {
     writer: Writer,
     is_instance: bool,
-    keep: bool,
+    keep_alive: bool,
     is_modern: bool,
     progress: Progress,
     begun: Option<Instant>,
@@ -42,15 +42,15 @@
     pause: Duration,
 }
 
-impl Client {
+impl Responder {
     /// Creates the way back on a connection; `is_instance` tells that another instance is there.
     pub const fn new(writer: Writer, is_instance: bool) -> Self {
         Self {
             writer,
             is_instance,
-            keep: true,
+            keep_alive: true,
             is_modern: true,
-            progress: Progress::Waiting,
+            progress: Progress::Pending,
             begun: None,
             status: None,
             last_piece: None,
@@ -59,10 +59,10 @@
     }
 
     /// Begins the next request; `keep` tells whether the connection stays open after its answer.
-    pub const fn next(&mut self, is_modern: bool, keep: bool) {
-        self.keep = keep;
+    pub const fn next_request(&mut self, is_modern: bool, keep_alive: bool) {
+        self.keep_alive = keep_alive;
         self.is_modern = is_modern;
-        self.progress = Progress::Waiting;
+        self.progress = Progress::Pending;
         self.begun = None;
         self.status = None;
         self.last_piece = None;
@@ -71,7 +71,7 @@
 
     /// Tells whether a byte of the answer may have left.
     pub const fn has_begun(&self) -> bool {
-        !matches!(self.progress, Progress::Waiting)
+        !matches!(self.progress, Progress::Pending)
     }
 
     /// Returns when the answer began.
@@ -86,17 +86,17 @@
 
     /// Returns the longest time between two pieces of the body, the one that is due now included.
     pub fn pause(&self) -> Duration {
-        let is_due = matches!(self.progress, Progress::Begun);
-        let due = self
+        let is_streaming = matches!(self.progress, Progress::Begun);
+        let since_last = self
             .last_piece
-            .filter(|_| is_due)
+            .filter(|_| is_streaming)
             .map(|last| last.elapsed());
-        self.pause.max(due.unwrap_or_default())
+        self.pause.max(since_last.unwrap_or_default())
     }
 
     /// Tells whether the connection may serve another request.
     pub const fn keeps_open(&self) -> bool {
-        matches!(self.progress, Progress::Whole) && self.keep
+        matches!(self.progress, Progress::Complete) && self.keep_alive
     }
 
     /// Writes a whole answer.
@@ -104,12 +104,12 @@
     /// # Errors
     ///
     /// Fails when the connection does.
-    pub async fn answer(&mut self, answer: Reply) -> io::Result<()> {
+    pub async fn send(&mut self, reply: Reply) -> io::Result<()> {
         self.progress = Progress::Begun;
         self.begun = Some(Instant::now());
-        self.status = Some(answer.status);
-        self.writer.write(&answer.encode(self.keep)).await?;
-        self.progress = Progress::Whole;
+        self.status = Some(reply.status);
+        self.writer.write(&reply.encode(self.keep_alive)).await?;
+        self.progress = Progress::Complete;
         Ok(())
     }
 
@@ -123,12 +123,12 @@
         refusal: Refusal,
         suspicion: Option<&Suspicion>,
     ) -> io::Result<()> {
-        let answer = if self.is_instance {
-            refusal.answer_instance(suspicion)
+        let reply = if self.is_instance {
+            refusal.reply_to_instance(suspicion)
         } else {
-            refusal.answer()
+            refusal.reply()
         };
-        self.answer(answer).await
+        self.send(reply).await
     }
 
     /// Says that a body may be sent.
@@ -136,7 +136,7 @@
     /// # Errors
     ///
     /// Fails when the connection does.
-    pub async fn go_on(&mut self) -> io::Result<()> {
+    pub async fn send_continue(&mut self) -> io::Result<()> {
         self.writer.write(b"HTTP/1.1 100 Continue\r\n\r\n").await
     }
 
@@ -145,7 +145,11 @@
     /// # Errors
     ///
     /// Fails when the connection does.
-    pub async fn begin(&mut self, status: StatusCode, mut headers: HeaderMap) -> io::Result<()> {
+    pub async fn write_head(
+        &mut self,
+        status: StatusCode,
+        mut headers: HeaderMap,
+    ) -> io::Result<()> {
         self.progress = Progress::Begun;
         self.begun = Some(Instant::now());
         self.status = Some(status);
@@ -153,9 +157,9 @@
             let chunked = HeaderValue::from_static("chunked");
             headers.insert(TRANSFER_ENCODING, chunked);
         } else {
-            self.keep = false;
+            self.keep_alive = false;
         }
-        if !self.keep {
+        if !self.keep_alive {
             headers.insert(CONNECTION, HeaderValue::from_static("close"));
         }
         let mut output = BytesMut::with_capacity(512);
@@ -168,7 +172,7 @@
     /// # Errors
     ///
     /// Fails when the connection does.
-    pub async fn piece(&mut self, bytes: Bytes) -> io::Result<()> {
+    pub async fn write_piece(&mut self, bytes: Bytes) -> io::Result<()> {
         if bytes.is_empty() {
             return Ok(());
         }
@@ -189,11 +193,11 @@
     /// # Errors
     ///
     /// Fails when the connection does.
-    pub async fn end(&mut self) -> io::Result<()> {
+    pub async fn finish_body(&mut self) -> io::Result<()> {
         if self.is_modern {
             self.writer.write(LAST_CHUNK).await?;
         }
-        self.progress = Progress::Whole;
+        self.progress = Progress::Complete;
         Ok(())
     }
 
@@ -202,7 +206,7 @@
     /// # Errors
     ///
     /// Fails when the connection has failed already.
-    pub async fn finish(&mut self) -> io::Result<()> {
+    pub async fn shut_down(&mut self) -> io::Result<()> {
         self.writer.finish().await
     }
 }
--- a/crates/zinniastall-gateway/src/path/serve.rs
+++ b/crates/zinniastall-gateway/src/path/serve.rs
@@ -22,35 +22,35 @@
 use zinniastall_model::routing::Limits;
 
 use super::{
-    Traffic,
+    Proxy,
     answer::{Outcome, Refusal},
-    client::Client,
-    job::{Job, Judged, number, text},
+    job::{Job, Match, header_number, header_text},
+    responder::Responder,
     run,
 };
 use crate::{books::Use, decide::quota::Claim, journal::End, view::Drain};
 
 /// Pause after a failed accept: out of descriptors, most likely, and a loop would spin.
-const PAUSE: Duration = Duration::from_millis(100);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(100);
 /// Time for which a connection is still read after its last answer. Closing it with unread bytes
 /// resets it, and the reset can overtake the answer.
 const LINGER: Duration = Duration::from_secs(1);
 /// Time that a caller's connection may rest while this instance drains. Requests already on their way
 /// arrive within it.
-const DRAINING_REST: Duration = Duration::from_millis(1_500);
+const DRAINING_IDLE_TIMEOUT: Duration = Duration::from_millis(1_500);
 /// Time after the order to stop within which callers come who can't know of it: they keep an address
 /// for two seconds, and news of the order takes up to half a second.
-const UNAWARE: Duration = Duration::from_millis(2_800);
+const DRAIN_LAG: Duration = Duration::from_millis(2_800);
 /// Time after which a request comes back that was refused because this instance ends; any other one
 /// takes it at once.
-const AFTER_END: Duration = Duration::from_millis(50);
+const DRAINING_RETRY_AFTER: Duration = Duration::from_millis(50);
 /// Longest time for which a request is kept until this instance knows routes: after a loss of all
 /// power a leader is chosen and has committed within it.
-const STARTING: Duration = Duration::from_millis(1_200);
+const STARTUP_HOLD: Duration = Duration::from_millis(1_200);
 /// Time between two looks at whether routes are known.
-const STARTING_LOOK: Duration = Duration::from_millis(30);
+const STARTUP_POLL_INTERVAL: Duration = Duration::from_millis(30);
 /// Time between two looks at whether this instance drains.
-const LOOK: Duration = Duration::from_millis(250);
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(250);
 
 /// Counts of open connections and of requests in progress.
 #[derive(Debug, Default)]
@@ -72,121 +72,130 @@
 }
 
 /// Adds one to a count for as long as it lives.
-struct Counted<'a>(&'a Cell<usize>);
+struct CountGuard<'a>(&'a Cell<usize>);
 
-impl<'a> Counted<'a> {
+impl<'a> CountGuard<'a> {
     fn new(count: &'a Cell<usize>) -> Self {
         count.set(count.get() + 1);
         Self(count)
     }
 }
 
-impl Drop for Counted<'_> {
+impl Drop for CountGuard<'_> {
     fn drop(&mut self) {
         self.0.set(self.0.get() - 1);
     }
 }
 
 /// Accepts connections for ever; `from_instances` tells that instances pass requests on here.
-pub async fn accept(traffic: Rc<Traffic>, listener: TcpListener, from_instances: bool) {
+pub async fn accept(proxy: Rc<Proxy>, listener: TcpListener, from_instances: bool) {
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
-                let traffic = Rc::clone(&traffic);
+                let proxy = Rc::clone(&proxy);
                 tokio::task::spawn_local(async move {
-                    if let Err(error) = traffic.attend(stream, from_instances).await {
+                    if let Err(error) = proxy.handle_connection(stream, from_instances).await {
                         tracing::debug!(event = "caller-gone", error = %error);
                     }
                 });
             }
             Err(error) => {
                 tracing::error!(event = "accept-failed", error = %error);
-                time::sleep(PAUSE).await;
+                time::sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
     }
 }
 
-impl Traffic {
-    async fn attend(&self, stream: TcpStream, from_instances: bool) -> Result<(), Error> {
-        let _counted = Counted::new(&self.connections.open);
+impl Proxy {
+    async fn handle_connection(
+        &self,
+        stream: TcpStream,
+        from_instances: bool,
+    ) -> Result<(), Error> {
+        let _guard = CountGuard::new(&self.connections.open);
         let (mut reader, writer) = connection::split(stream)?;
-        let mut client = Client::new(writer, from_instances);
-        while self.next(&mut reader, &mut client, from_instances).await? {
+        let mut responder = Responder::new(writer, from_instances);
+        while self
+            .serve_next(&mut reader, &mut responder, from_instances)
+            .await?
+        {
             reader.rest();
         }
-        client.finish().await?;
-        let rest =
-            async { while reader.first_byte().await.is_ok_and(|any| any) && reader.skip() {} };
+        responder.shut_down().await?;
+        let rest = async {
+            while reader.first_byte().await.is_ok_and(|has_byte| has_byte) && reader.skip() {}
+        };
         // Whoever goes on sending is cut off after that.
         let _ = time::timeout(LINGER, rest).await;
         Ok(())
     }
 
     /// Serves the next request of a connection; tells whether another one may follow.
-    async fn next(
+    async fn serve_next(
         &self,
         reader: &mut Reader,
-        client: &mut Client,
+        responder: &mut Responder,
         from_instances: bool,
     ) -> Result<bool, Error> {
-        client.next(true, true);
+        responder.next_request(true, true);
         let limits = self.limits();
         if !self.wait_for_first(reader, &limits).await? {
             return Ok(false);
         }
-        let _counted = Counted::new(&self.connections.requests);
+        let _guard = CountGuard::new(&self.connections.requests);
         let arriving = Duration::from_millis(limits.head_ms);
         let read = time::timeout(arriving, reader.head::<Request>(limits.head_bytes)).await;
         let head = match read {
             Ok(Ok(Some(head))) => head,
             Ok(Ok(None)) => return Ok(false),
-            Ok(Err(error)) => return self.refuse("", client, unreadable(&error)).await,
-            Err(_) => return self.refuse("", client, Refusal::Slow).await,
+            Ok(Err(error)) => return self.refuse("", responder, head_refusal(&error)).await,
+            Err(_) => return self.refuse("", responder, Refusal::ArrivalTimeout).await,
         };
         let arrived = Instant::now();
-        let id = text(&head.headers, &self.names.request_id);
+        let id = header_text(&head.headers, &self.header_names.request_id);
         let id = id.unwrap_or_default().to_owned();
-        client.next(
+        responder.next_request(
             head.is_modern,
-            head.keeps_open() && !self.board.is_draining(),
+            head.keeps_open() && !self.state.is_draining(),
         );
-        let body = match self.body(&head, reader, client, &limits).await {
+        let body = match self.read_body(&head, reader, responder, &limits).await {
             Ok(body) => body,
-            Err(Stop::Refused(refusal)) => return self.refuse(&id, client, refusal).await,
-            Err(Stop::Failed(error)) => return Err(error),
+            Err(BodyError::Refused(refusal)) => return self.refuse(&id, responder, refusal).await,
+            Err(BodyError::Failed(error)) => return Err(error),
         };
-        let judged = self.judge(&head, arrived, from_instances).await;
-        let job = judged.and_then(|judged| judged.job(&self.names, head, body, arrived));
+        let matched = self.match_route(&head, arrived, from_instances).await;
+        let job = matched.and_then(|matched| matched.job(&self.header_names, head, body, arrived));
         match job {
-            Ok(job) => self.serve(&job, reader, client).await,
+            Ok(job) => self.serve(&job, reader, responder).await,
             Err(refusal) => {
-                self.note_refusal(&id, refusal);
-                client.refuse(refusal, None).await?;
-                Ok(client.keeps_open())
+                self.record_refusal(&id, refusal);
+                responder.refuse(refusal, None).await?;
+                Ok(responder.keeps_open())
             }
         }
     }
 
     /// Judges a request. One that comes before this instance knows any routes is kept for as long as
     /// those mostly take; sent away, it would find most other instances starting as well.
-    async fn judge(
+    async fn match_route(
         &self,
         head: &Request,
         arrived: Instant,
         from_instances: bool,
-    ) -> Result<Judged, Refusal> {
-        let left = number(&head.headers, &self.names.deadline_ms).map(Duration::from_millis);
-        let longest = left.map_or(STARTING, |left| (left / 4).min(STARTING));
+    ) -> Result<Match, Refusal> {
+        let left =
+            header_number(&head.headers, &self.header_names.deadline_ms).map(Duration::from_millis);
+        let max_hold = left.map_or(STARTUP_HOLD, |left| (left / 4).min(STARTUP_HOLD));
         loop {
             // The view is read after the lease: it is at least as new as the one that the lease is for.
-            let trust = self.board.trust();
-            let judged = Judged::new(&self.board.view(), trust, head, from_instances);
-            let waits = matches!(judged, Err(Refusal::Unconfigured));
-            if !waits || arrived.elapsed() >= longest {
-                return judged;
+            let trust = self.state.trust();
+            let matched = Match::new(&self.state.view(), trust, head, from_instances);
+            let waits = matches!(matched, Err(Refusal::Unconfigured));
+            if !waits || arrived.elapsed() >= max_hold {
+                return matched;
             }
-            time::sleep(STARTING_LOOK).await;
+            time::sleep(STARTUP_POLL_INTERVAL).await;
         }
     }
 
@@ -195,54 +204,54 @@
         &self,
         job: &Job,
         reader: &mut Reader,
-        client: &mut Client,
+        responder: &mut Responder,
     ) -> Result<bool, Error> {
-        self.enter(job);
-        self.hear_kept();
+        self.record_arrival(job);
+        self.sync_quarantine_if_changed();
         if job.is_passed_on {
-            self.hear_suspicion(job, &job.head.headers);
+            self.merge_suspicion(job, &job.head.headers);
         }
         if let Err((refusal, why)) = self.admit(job) {
             let suspicion = self.suspicion(job);
-            client.refuse(refusal, suspicion.as_ref()).await?;
-            self.note_end(job, client, refusal.outcome().word(), why);
-            return Ok(client.keeps_open());
+            responder.refuse(refusal, suspicion.as_ref()).await?;
+            self.record_end(job, responder, refusal.outcome().as_str(), why);
+            return Ok(responder.keeps_open());
         }
         let ended = tokio::select! {
             biased;
-            ended = self.run(job, client) => ended?,
+            ended = self.run(job, responder) => ended?,
             // Dropping the attempt closes its connection, which is how the target learns of it.
             () = reader.closed() => {
-                self.note_end(job, client, "left", "the caller closed the connection");
+                self.record_end(job, responder, "left", "the caller closed the connection");
                 return Ok(false);
             }
         };
         match ended {
-            run::End::Answered => self.note_end(job, client, "answered", ""),
+            run::End::Answered => self.record_end(job, responder, "answered", ""),
             run::End::Refused(refusal) => {
-                self.give_back(job, refusal.outcome());
-                self.note_end(job, client, refusal.outcome().word(), refusal.word());
+                self.refund(job, refusal.outcome());
+                self.record_end(job, responder, refusal.outcome().as_str(), refusal.as_str());
             }
             run::End::Aborted(why) => {
-                self.note_end(job, client, "aborted", &why);
+                self.record_end(job, responder, "aborted", &why);
                 return Err(Error::Ended);
             }
         }
         // An answer that said the connection stays open is kept to, also where this instance has begun to
         // drain meanwhile: the caller may have sent its next request already.
-        Ok(client.keeps_open())
+        Ok(responder.keeps_open())
     }
 
     /// Tells whether a request may be placed, or why it is refused before that.
     fn admit(&self, job: &Job) -> Result<(), (Refusal, &'static str)> {
-        if self.is_too_late(job) {
+        if self.outlasts_drain(job) {
             return Err((
-                Refusal::Busy(AFTER_END),
+                Refusal::Busy(DRAINING_RETRY_AFTER),
                 "this instance ends before it could",
             ));
         }
         if self.crashes(job) >= LIMIT {
-            self.note_rejected(job);
+            self.record_rejection(job);
             return Err((Refusal::Quarantined, "targets crash under it"));
         }
         // The instance to which its caller came has counted it already.
@@ -256,61 +265,66 @@
         let mut quotas = self.quotas.borrow_mut();
         let admitted = quotas.admit(charge.account, &charge.quota, claim, job.arrived);
         let account = job.account().map_or("", |account| account.name.as_str());
-        self.figures.charge(account, charge.cost, admitted.is_ok());
+        self.metrics.charge(account, charge.cost, admitted.is_ok());
         admitted.map_err(|excess| {
-            self.journal.exceeded(job, charge, excess);
+            self.request_log.exceeded(job, charge, excess);
             (
-                Refusal::Exceeded(excess.after),
+                Refusal::QuotaExceeded(excess.retry_after),
                 "beyond its account's quota",
             )
         })
     }
 
     /// Gives back what a request was let in for that has not run.
-    fn give_back(&self, job: &Job, outcome: Outcome) {
+    fn refund(&self, job: &Job, outcome: Outcome) {
         if outcome == Outcome::Unknown || job.is_passed_on {
             return;
         }
         if let Some(charge) = job.charge() {
             let mut quotas = self.quotas.borrow_mut();
-            quotas.give_back(charge.account, charge.cost, Instant::now());
+            quotas.refund(charge.account, charge.cost, Instant::now());
         }
     }
 
     /// Enters a request into the books.
-    fn enter(&self, job: &Job) {
-        let mut books = self.books.borrow_mut();
+    fn record_arrival(&self, job: &Job) {
+        let mut tracker = self.tracker.borrow_mut();
         let asked = Use {
             priority: job.priority(),
             route: job.route().priority,
             gap_ms: job.route().gap_ms,
         };
-        books.note_use(&job.service, asked, job.arrived);
+        tracker.note_use(&job.service, asked, job.arrived);
         // The instance to which its caller came has counted it already.
         if !job.is_passed_on {
-            books.budget(&job.service).request(job.arrived);
+            tracker.budget(&job.service).deposit(job.arrived);
         }
     }
 
     /// Refuses a request that can't be read; what follows on its connection can't be trusted either.
-    async fn refuse(&self, id: &str, client: &mut Client, refusal: Refusal) -> Result<bool, Error> {
-        self.note_refusal(id, refusal);
-        client.next(true, false);
-        client.refuse(refusal, None).await?;
+    async fn refuse(
+        &self,
+        id: &str,
+        responder: &mut Responder,
+        refusal: Refusal,
+    ) -> Result<bool, Error> {
+        self.record_refusal(id, refusal);
+        responder.next_request(true, false);
+        responder.refuse(refusal, None).await?;
         Ok(false)
     }
 
     /// Notes that a request was refused before it was judged.
-    fn note_refusal(&self, id: &str, refusal: Refusal) {
-        self.journal.refused(id, refusal.word());
-        let end = End::untimed(refusal.outcome().word());
-        self.figures.request("", &end);
+    fn record_refusal(&self, id: &str, refusal: Refusal) {
+        self.request_log.refused(id, refusal.as_str());
+        let end = End::untimed(refusal.outcome().as_str());
+        self.metrics.request("", &end);
     }
 
     /// Notes how a request ended.
-    fn note_end(&self, job: &Job, client: &Client, outcome: &'static str, why: &str) {
-        let status = client.status().map_or(0, |status| status.as_u16());
-        let first = client
+    fn record_end(&self, job: &Job, responder: &Responder, outcome: &'static str, why: &str) {
+        let status = responder.status().map_or(0, |status| status.as_u16());
+        let first = responder
             .begun()
             .map(|begun| begun.duration_since(job.arrived));
         let end = End {
@@ -318,20 +332,20 @@
             why,
             status,
             first,
-            pause: client.pause(),
+            pause: responder.pause(),
             took: job.arrived.elapsed(),
         };
-        self.journal.ended(job, &end);
-        self.figures.request(&job.route().name, &end);
+        self.request_log.ended(job, &end);
+        self.metrics.request(&job.route().name, &end);
     }
 
     /// Tells whether a request might outlast this instance, which drains.
     ///
     /// It would be cut in the middle of its answer; told at once, its caller finds another instance. Who
     /// comes right after the order to stop could not know, and is served as far as time goes.
-    fn is_too_late(&self, job: &Job) -> bool {
-        let late = |drain: Drain| job.arrived > drain.since + UNAWARE && job.deadline > drain.end;
-        self.board.draining().is_some_and(late)
+    fn outlasts_drain(&self, job: &Job) -> bool {
+        let late = |drain: Drain| job.arrived > drain.since + DRAIN_LAG && job.deadline > drain.end;
+        self.state.draining().is_some_and(late)
     }
 
     /// Waits for the first byte of a request; a connection that rests while this instance drains is
@@ -340,76 +354,76 @@
         let since = Instant::now();
         let idle = Duration::from_millis(limits.idle_ms);
         loop {
-            let looked = time::timeout(LOOK, reader.first_byte()).await;
-            if let Ok(any) = looked {
-                return Ok(any?);
+            let polled = time::timeout(DRAIN_POLL_INTERVAL, reader.first_byte()).await;
+            if let Ok(has_byte) = polled {
+                return Ok(has_byte?);
             }
-            let rest = if self.board.is_draining() {
-                DRAINING_REST
+            let idle_limit = if self.state.is_draining() {
+                DRAINING_IDLE_TIMEOUT
             } else {
                 idle
             };
-            if since.elapsed() >= rest {
+            if since.elapsed() >= idle_limit {
                 return Ok(false);
             }
         }
     }
 
-    async fn body(
+    async fn read_body(
         &self,
         head: &Request,
         reader: &mut Reader,
-        client: &mut Client,
+        responder: &mut Responder,
         limits: &Limits,
-    ) -> Result<Bytes, Stop> {
+    ) -> Result<Bytes, BodyError> {
         let framing = head
             .framing()
-            .map_err(|_| Stop::Refused(Refusal::Malformed))?;
+            .map_err(|_| BodyError::Refused(Refusal::Malformed))?;
         let mut decoder = Decoder::new(framing);
         if decoder.is_done() {
             return Ok(Bytes::new());
         }
         if head.headers.contains_key(EXPECT) {
-            client
-                .go_on()
+            responder
+                .send_continue()
                 .await
-                .map_err(|error| Stop::Failed(error.into()))?;
+                .map_err(|error| BodyError::Failed(error.into()))?;
         }
         let mut body = BytesMut::new();
         let idle = Duration::from_millis(limits.idle_ms);
         loop {
             let piece = time::timeout(idle, reader.piece(&mut decoder)).await;
-            let piece = piece.map_err(|_| Stop::Refused(Refusal::Slow))?;
+            let piece = piece.map_err(|_| BodyError::Refused(Refusal::ArrivalTimeout))?;
             match piece {
                 Ok(Some(piece)) if body.len() + piece.len() > limits.body_bytes => {
-                    return Err(Stop::Refused(Refusal::LongBody));
+                    return Err(BodyError::Refused(Refusal::BodyTooLong));
                 }
                 Ok(Some(piece)) => body.extend_from_slice(&piece),
                 Ok(None) => return Ok(body.freeze()),
                 Err(Error::Body(zinniastall_http::body::Fault::Chunk)) => {
-                    return Err(Stop::Refused(Refusal::Malformed));
+                    return Err(BodyError::Refused(Refusal::Malformed));
                 }
-                Err(error) => return Err(Stop::Failed(error)),
+                Err(error) => return Err(BodyError::Failed(error)),
             }
         }
     }
 
     fn limits(&self) -> Limits {
-        let view = self.board.view();
+        let view = self.state.view();
         let limits = view.table().map(|table| table.limits.clone());
         limits.unwrap_or_default()
     }
 }
 
 /// Why a body was not read.
-enum Stop {
+enum BodyError {
     Refused(Refusal),
     Failed(Error),
 }
 
-const fn unreadable(error: &Error) -> Refusal {
+const fn head_refusal(error: &Error) -> Refusal {
     match error {
-        Error::Head(head::Fault::Long) => Refusal::LongHead,
+        Error::Head(head::Fault::Long) => Refusal::HeadTooLong,
         _ => Refusal::Malformed,
     }
 }
--- a/crates/zinniastall-gateway/src/policy.rs
+++ b/crates/zinniastall-gateway/src/policy.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use crate::decide::{budget::Bound, quota, reading::Rates};
+use crate::decide::{budget::Bound, prefill::Rates, quota};
 
 /// Times and weights by which the request path decides.
 #[derive(Debug, Clone, Copy)]
--- a/crates/zinniastall-gateway/src/suspects.rs
+++ b/crates/zinniastall-gateway/src/suspects.rs
@@ -10,7 +10,7 @@
     target::Report,
 };
 
-use crate::decide::warm;
+use crate::decide::slow_start;
 
 /// Requests that are remembered: a quarter of a megabyte. A crash makes one suspect for each slot of its target.
 const CAPACITY: usize = 2_048;
@@ -229,5 +229,5 @@
 
 /// Returns the run of a target that made a report.
 pub fn run(report: &Report) -> Run {
-    warm::weight(&report.target, &report.incarnation.to_string())
+    slow_start::weight(&report.target, &report.incarnation.to_string())
 }
--- a/crates/zinniastall-gateway/tests/claims.rs
+++ b/crates/zinniastall-gateway/tests/claims.rs
@@ -13,7 +13,7 @@
     decide::{
         budget::Bound,
         quota::{self, Quotas},
-        warm,
+        slow_start,
     },
     neighbours::{
         self, Load, Shared,
@@ -116,8 +116,8 @@
 /// Returns the name of a target whose coordinator is an instance.
 fn coordinated_by(instance: &str, names: &[&str]) -> String {
     let targets = (0..).map(|number| format!("target-{number}"));
-    let mut its =
-        targets.filter(|target| warm::sender(target, names.iter().copied()) == Some(instance));
+    let mut its = targets
+        .filter(|target| slow_start::sender(target, names.iter().copied()) == Some(instance));
     its.next().expect("endless")
 }
 
--- a/crates/zinniastall-gateway/tests/decide/budget.rs
+++ b/crates/zinniastall-gateway/tests/decide/budget.rs
@@ -66,9 +66,9 @@
             for (instance, later, fails, believed) in steps {
                 now += later;
                 let at = start + Duration::from_millis(now);
-                budgets[instance].request(at);
+                budgets[instance].deposit(at);
                 requests.push(now);
-                if fails && budgets[instance].repeat(at, believed) {
+                if fails && budgets[instance].withdraw(at, believed) {
                     repeats.push(now);
                 }
             }
@@ -87,7 +87,7 @@
 fn a_single_instance_may_use_most_of_the_bound() {
     let now = Instant::now();
     let mut budget = Budget::new(BOUND);
-    let taken = (0..200).filter(|_| budget.repeat(now, 1)).count();
+    let taken = (0..200).filter(|_| budget.withdraw(now, 1)).count();
     assert!((40..=58).contains(&taken), "{taken}");
 }
 
@@ -96,8 +96,8 @@
 fn losing_sight_of_others_frees_nothing_at_once() {
     let now = Instant::now();
     let mut budget = Budget::new(BOUND);
-    let first = (0..200).filter(|_| budget.repeat(now, 9)).count();
+    let first = (0..200).filter(|_| budget.withdraw(now, 9)).count();
     let later = now + Duration::from_secs(2);
-    let more = (0..200).filter(|_| budget.repeat(later, 1)).count();
+    let more = (0..200).filter(|_| budget.withdraw(later, 1)).count();
     assert!(first + more <= 58 / 9, "{first} and {more}");
 }
--- a/crates/zinniastall-gateway/tests/decide/fetch.rs
+++ b/crates/zinniastall-gateway/tests/decide/fetch.rs
@@ -9,8 +9,8 @@
     mbps: 370_000,
 };
 
-const fn holder(known: u64, hoped: u64) -> Holder {
-    Holder { known, hoped }
+const fn holder(known: u64, expected: u64) -> Holder {
+    Holder { known, expected }
 }
 
 /// Time to read tokens at 40 a millisecond.
--- a/crates/zinniastall-gateway/tests/decide/outlier.rs
+++ b/crates/zinniastall-gateway/tests/decide/outlier.rs
@@ -43,9 +43,9 @@
     let mut waits = Vec::new();
     for _ in 0..6 {
         let wait = record.unreachable(now);
-        assert!(record.is_out(now));
+        assert!(record.is_ejected(now));
         now += wait;
-        assert!(!record.is_out(now));
+        assert!(!record.is_ejected(now));
         waits.push(wait.as_millis());
     }
     assert_eq!(waits, [500, 1_000, 2_000, 4_000, 4_000, 4_000]);
--- a/crates/zinniastall-gateway/tests/decide/place.rs
+++ b/crates/zinniastall-gateway/tests/decide/place.rs
@@ -4,7 +4,7 @@
 
 use zinniastall_gateway::decide::{
     fetch::{Holder, Link, source},
-    place::{Candidate, Choice, Patience, Region, choose},
+    place::{Candidate, Choice, Constraints, Region, choose},
 };
 
 const fn ms(millis: u64) -> Duration {
@@ -14,15 +14,15 @@
 const fn candidate(wait: u64, read: u64) -> Candidate {
     Candidate {
         wait: ms(wait),
-        before: ms(wait),
-        crowd: 0.0,
-        read: ms(read),
-        is_out: false,
-        tie: 0,
+        prefill_ahead: ms(wait),
+        occupancy: 0.0,
+        prefill: ms(read),
+        is_ejected: false,
+        tie_breaker: 0,
     }
 }
 
-const PATIENCE: Patience = Patience {
+const PATIENCE: Constraints = Constraints {
     left: ms(10_000),
     objective: ms(1_000),
     rank: 0,
@@ -36,8 +36,8 @@
 #[test]
 fn a_held_prompt_is_worth_a_short_queue() {
     let held = |wait| [candidate(wait, 30), candidate(0, 200)];
-    assert_eq!(choose(&held(330), &[], PATIENCE), Choice::Here(0));
-    assert_eq!(choose(&held(350), &[], PATIENCE), Choice::Here(1));
+    assert_eq!(choose(&held(330), &[], PATIENCE), Choice::Local(0));
+    assert_eq!(choose(&held(350), &[], PATIENCE), Choice::Local(1));
 }
 
 /// A region's peak passes its own capacity while another one is idle.
@@ -45,32 +45,32 @@
 fn a_queue_that_is_longer_than_the_way_leads_to_another_region() {
     let far = [Region {
         wait: ms(10),
-        trip: ms(120),
+        round_trip: ms(120),
     }];
     assert_eq!(
         choose(&[candidate(100, 0)], &far, PATIENCE),
-        Choice::Here(0)
+        Choice::Local(0)
     );
     assert_eq!(
         choose(&[candidate(400, 0)], &far, PATIENCE),
-        Choice::There(0)
+        Choice::Remote(0)
     );
 }
 
 #[test]
 fn a_failing_target_is_the_last_resort() {
     let mut failing = candidate(0, 0);
-    failing.is_out = true;
+    failing.is_ejected = true;
     assert_eq!(
         choose(&[failing, candidate(500, 0)], &[], PATIENCE),
-        Choice::Here(1)
+        Choice::Local(1)
     );
-    assert_eq!(choose(&[failing], &[], PATIENCE), Choice::Here(0));
+    assert_eq!(choose(&[failing], &[], PATIENCE), Choice::Local(0));
     let far = [Region {
         wait: ms(0),
-        trip: ms(120),
+        round_trip: ms(120),
     }];
-    assert_eq!(choose(&[failing], &far, PATIENCE), Choice::There(0));
+    assert_eq!(choose(&[failing], &far, PATIENCE), Choice::Remote(0));
 }
 
 /// Most of many targets fail their requests, and two are well. Only a few are weighed, and the two must be among
@@ -79,27 +79,27 @@
 fn failing_targets_of_many_are_the_last_resort() {
     let mut many = [candidate(0, 100); 20];
     for (at, one) in many.iter_mut().enumerate() {
-        one.is_out = at != 7 && at != 12;
-        one.tie = u64::try_from(at).unwrap() * 7 % 20;
+        one.is_ejected = at != 7 && at != 12;
+        one.tie_breaker = u64::try_from(at).unwrap() * 7 % 20;
     }
     many[12].wait = ms(50);
-    assert_eq!(choose(&many, &[], PATIENCE), Choice::Here(7));
-    many[7].is_out = true;
-    assert_eq!(choose(&many, &[], PATIENCE), Choice::Here(12));
-    many[12].is_out = true;
-    assert!(matches!(choose(&many, &[], PATIENCE), Choice::Here(_)));
+    assert_eq!(choose(&many, &[], PATIENCE), Choice::Local(7));
+    many[7].is_ejected = true;
+    assert_eq!(choose(&many, &[], PATIENCE), Choice::Local(12));
+    many[12].is_ejected = true;
+    assert!(matches!(choose(&many, &[], PATIENCE), Choice::Local(_)));
 }
 
 /// No target takes a request now, and one is about to: the request is kept for part of its objective,
 /// and is told to come back after that. Where none is in sight it is told at once.
 #[test]
 fn a_request_is_kept_only_where_a_target_opens_soon() {
-    let soon = Patience {
+    let soon = Constraints {
         opens_soon: true,
         ..PATIENCE
     };
     assert!(matches!(choose(&[], &[], soon), Choice::Wait(_)));
-    let late = Patience {
+    let late = Constraints {
         objective: ms(10),
         ..soon
     };
@@ -160,8 +160,8 @@
             .map(|queue| candidate(queue.wait(now), 0))
             .collect();
         match decide(&seen) {
-            Choice::Here(at) if queues[at].add(now) + before <= 1_000 => in_time += 1,
-            Choice::Here(_) => late += 1,
+            Choice::Local(at) if queues[at].add(now) + before <= 1_000 => in_time += 1,
+            Choice::Local(_) => late += 1,
             Choice::Refuse(after) if before == 0 => {
                 let after = u64::try_from(after.as_millis()).unwrap();
                 let at = due.partition_point(|(other, _)| *other <= now + after);
@@ -180,7 +180,7 @@
     let least = |seen: &[Candidate]| {
         let places = seen.iter().enumerate();
         let best = places.min_by_key(|(_, candidate)| candidate.wait);
-        Choice::Here(best.map_or(0, |(at, _)| at))
+        Choice::Local(best.map_or(0, |(at, _)| at))
     };
     let (before, _) = play(200, least);
     let (after, late) = play(200, |seen| choose(seen, &[], PATIENCE));
@@ -233,7 +233,7 @@
         };
         Holder {
             known,
-            hoped: known,
+            expected: known,
         }
     }
 
@@ -276,7 +276,7 @@
         let seen: Vec<Candidate> = seen
             .map(|engine| engine.candidate(beginning, now, count))
             .collect();
-        if let Choice::Here(at) = choose(&seen, &[], PATIENCE) {
+        if let Choice::Local(at) = choose(&seen, &[], PATIENCE) {
             let holders: Vec<Holder> = engines
                 .iter()
                 .map(|engine| engine.holder(beginning))
@@ -344,14 +344,14 @@
     let mut shares = [Share::default(); 2];
     for (now, kind) in due {
         shares[kind].asked += 1;
-        let patience = Patience {
+        let patience = Constraints {
             rank: kind * rank,
             route_rank: kind * rank,
             objective: ms(OBJECTIVES[kind]),
             ..PATIENCE
         };
         let waits = queues.iter_mut().map(|queue| candidate(queue.wait(now), 0));
-        if let Choice::Here(at) = choose(&waits.collect::<Vec<_>>(), &[], patience) {
+        if let Choice::Local(at) = choose(&waits.collect::<Vec<_>>(), &[], patience) {
             queues[at].pace = [10, 100][kind];
             shares[kind].in_time += u32::from(queues[at].add(now) <= OBJECTIVES[kind]);
         }
--- a/crates/zinniastall-gateway/tests/decide/reading.rs
+++ b/crates/zinniastall-gateway/tests/decide/reading.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use zinniastall_gateway::decide::reading::Rates;
+use zinniastall_gateway::decide::prefill::Rates;
 
 const RATES: Rates = Rates {
     tokens_per_ms: 40.0,
--- a/crates/zinniastall-gateway/tests/decide/steady.rs
+++ b/crates/zinniastall-gateway/tests/decide/steady.rs
@@ -3,7 +3,7 @@
 use std::{collections::VecDeque, time::Duration};
 
 use rand::{Rng, SeedableRng, rngs::StdRng};
-use zinniastall_gateway::decide::place::{Candidate, Choice, Patience, choose};
+use zinniastall_gateway::decide::place::{Candidate, Choice, Constraints, choose};
 
 /// Time of a step that reads nothing, in microseconds.
 const STEP: u64 = 4_000;
@@ -167,11 +167,11 @@
         let before = Duration::from_micros(engine.reading(request.by) + others);
         Candidate {
             wait: before,
-            before,
-            crowd: engine.crowd(),
-            read: Duration::from_micros(request.expected),
-            is_out: false,
-            tie: 0,
+            prefill_ahead: before,
+            occupancy: engine.crowd(),
+            prefill: Duration::from_micros(request.expected),
+            is_ejected: false,
+            tie_breaker: 0,
         }
     }
 
@@ -222,11 +222,11 @@
         }
         let request = Request::new(is_long, at % setting.instances, now);
         let seen = engines.iter().map(|(engine, seen)| Candidate {
-            tie: random.random(),
+            tie_breaker: random.random(),
             ..seen.candidate(engine, &request)
         });
         let candidates: Vec<Candidate> = seen.collect();
-        if let Choice::Here(at) = decide(&candidates, is_long) {
+        if let Choice::Local(at) = decide(&candidates, is_long) {
             engines[at].0.waiting.push_back(request);
         }
     }
@@ -239,8 +239,8 @@
     shares
 }
 
-fn patience(is_long: bool, gap: Duration) -> Patience {
-    Patience {
+fn patience(is_long: bool, gap: Duration) -> Constraints {
+    Constraints {
         left: Duration::from_secs(5),
         objective: objective(is_long),
         rank: usize::from(is_long),
@@ -283,10 +283,10 @@
     let all = |seen: &[Candidate], is_long| {
         let places = seen.iter().enumerate();
         let (at, best) = places
-            .min_by_key(|(_, candidate)| (candidate.cost(), candidate.tie))
+            .min_by_key(|(_, candidate)| (candidate.cost(), candidate.tie_breaker))
             .unwrap();
         match choose(&[*best], &[], patience(is_long, gap)) {
-            Choice::Here(_) => Choice::Here(at),
+            Choice::Local(_) => Choice::Local(at),
             other => other,
         }
     };
@@ -306,20 +306,20 @@
 fn a_prompt_that_takes_longer_than_any_pause_is_let_in() {
     let huge = |wait| Candidate {
         wait: Duration::from_millis(wait),
-        before: Duration::from_millis(wait),
-        crowd: 1.5,
-        read: Duration::from_secs(2),
-        is_out: false,
-        tie: 0,
+        prefill_ahead: Duration::from_millis(wait),
+        occupancy: 1.5,
+        prefill: Duration::from_secs(2),
+        is_ejected: false,
+        tie_breaker: 0,
     };
     for rank in 0..4 {
-        let patience = Patience {
+        let patience = Constraints {
             rank,
             route_rank: rank,
             ..patience(false, Duration::from_micros(GAP))
         };
         let choice = choose(&[huge(0)], &[], patience);
-        assert_eq!(choice, Choice::Here(0), "rank {rank}");
+        assert_eq!(choice, Choice::Local(0), "rank {rank}");
         let refused = choose(&[huge(250)], &[], patience);
         assert!(matches!(refused, Choice::Refuse(_)), "{refused:?}");
     }
@@ -331,18 +331,18 @@
 fn an_accounts_rank_leaves_the_bound_on_pauses_alone() {
     let reading = Candidate {
         wait: Duration::from_millis(150),
-        before: Duration::from_millis(150),
-        crowd: 0.2,
-        read: Duration::from_millis(180),
-        is_out: false,
-        tie: 0,
+        prefill_ahead: Duration::from_millis(150),
+        occupancy: 0.2,
+        prefill: Duration::from_millis(180),
+        is_ejected: false,
+        tie_breaker: 0,
     };
     let short = Candidate {
-        read: Duration::from_millis(10),
+        prefill: Duration::from_millis(10),
         ..reading
     };
     for rank in 0..3 {
-        let by_route = |is_long| Patience {
+        let by_route = |is_long| Constraints {
             rank,
             route_rank: usize::from(is_long),
             ..patience(is_long, Duration::from_micros(GAP))
@@ -351,7 +351,7 @@
         assert!(matches!(long, Choice::Refuse(_)), "rank {rank}: {long:?}");
         assert_eq!(
             choose(&[short], &[], by_route(false)),
-            Choice::Here(0),
+            Choice::Local(0),
             "rank {rank}"
         );
     }
--- a/crates/zinniastall-gateway/tests/decide/warm.rs
+++ b/crates/zinniastall-gateway/tests/decide/warm.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant};
 
-use zinniastall_gateway::decide::warm::{Pace, sender};
+use zinniastall_gateway::decide::slow_start::{Pacer, sender};
 
 /// Rate that a cold target bears, in thousandths of a request a second.
 const RATE: u64 = 2_200;
@@ -21,8 +21,8 @@
     times.iter().map(within).max().unwrap_or(0)
 }
 
-fn sent(pace: &mut Pace, from: u64, to: u64, base: Instant) -> Vec<u64> {
-    let open = |at: &u64| pace.take(RATE, base + Duration::from_millis(*at));
+fn sent(pace: &mut Pacer, from: u64, to: u64, base: Instant) -> Vec<u64> {
+    let open = |at: &u64| pace.try_acquire(RATE, base + Duration::from_millis(*at));
     (from..to).step_by(5).filter(open).collect()
 }
 
@@ -32,13 +32,13 @@
 #[test]
 fn two_senders_together_stay_under_the_bound() {
     let base = Instant::now();
-    let (mut one, mut two) = (Pace::default(), Pace::default());
+    let (mut one, mut two) = (Pacer::default(), Pacer::default());
     for shift in 0..20 {
         let mut times = sent(&mut one, 0, 6_000, base);
         times.extend(sent(&mut two, 2_000 + shift * 25, 6_000, base));
         let most = most(times);
         assert!(most <= BEARS, "{most} within a second");
-        (one, two) = (Pace::default(), Pace::default());
+        (one, two) = (Pacer::default(), Pacer::default());
     }
 }
 
@@ -49,11 +49,11 @@
     let base = Instant::now();
     for rate in [1_u32, 2, 5, 10, 20, 50] {
         let times = |shift: u64| {
-            let mut pace = Pace::default();
+            let mut pace = Pacer::default();
             let open = |at: &u64| {
                 let now = base + Duration::from_millis(*at);
-                pace.is_open(u64::from(rate) * 1_000, now)
-                    && pace.take(u64::from(rate) * 1_000, now)
+                pace.is_ready(u64::from(rate) * 1_000, now)
+                    && pace.try_acquire(u64::from(rate) * 1_000, now)
             };
             (shift..6_000).step_by(5).filter(open).collect::<Vec<u64>>()
         };
@@ -69,21 +69,21 @@
 #[test]
 fn a_target_that_is_only_looked_at_opens_in_time() {
     let base = Instant::now();
-    let mut pace = Pace::default();
+    let mut pace = Pacer::default();
     assert!(
-        !pace.is_open(RATE, base),
+        !pace.is_ready(RATE, base),
         "another one may have sent just now"
     );
-    assert!(pace.is_open(RATE, base + Duration::from_secs(1)));
-    assert!(pace.take(RATE, base + Duration::from_secs(1)));
-    assert!(!pace.is_open(RATE, base + Duration::from_secs(1)));
+    assert!(pace.is_ready(RATE, base + Duration::from_secs(1)));
+    assert!(pace.try_acquire(RATE, base + Duration::from_secs(1)));
+    assert!(!pace.is_ready(RATE, base + Duration::from_secs(1)));
 }
 
 /// A sender that was idle for long doesn't send what it saved at once.
 #[test]
 fn an_idle_sender_saves_nothing() {
     let base = Instant::now();
-    let mut pace = Pace::default();
+    let mut pace = Pacer::default();
     let mut times = sent(&mut pace, 0, 1_000, base);
     times.extend(sent(&mut pace, 30_000, 34_000, base));
     assert!(most(times) <= 3);
@@ -113,6 +113,6 @@
 #[test]
 fn a_target_without_a_rate_is_not_paced() {
     let now = Instant::now();
-    let mut pace = Pace::default();
-    assert!((0..100).all(|_| pace.take(0, now)));
+    let mut pace = Pacer::default();
+    assert!((0..100).all(|_| pace.try_acquire(0, now)));
 }
--- a/crates/zinniastall-gateway/tests/decide/work.rs
+++ b/crates/zinniastall-gateway/tests/decide/work.rs
@@ -2,14 +2,14 @@
 
 use std::time::Duration;
 
-use zinniastall_gateway::decide::work::Work;
+use zinniastall_gateway::decide::service_time::Estimate;
 
 const ASSUMED: Duration = Duration::from_millis(20);
 
 fn learned(answers: impl IntoIterator<Item = (u64, u32)>) -> Duration {
-    let mut work = Work::default();
+    let mut work = Estimate::default();
     for (took_ms, ahead) in answers {
-        work.note(Duration::from_millis(took_ms), ahead, 6);
+        work.observe(Duration::from_millis(took_ms), ahead, 6);
     }
     work.expected(ASSUMED)
 }
--- a/crates/zinniastall-gateway/tests/events.rs
+++ b/crates/zinniastall-gateway/tests/events.rs
@@ -8,13 +8,13 @@
 #[test]
 fn a_half_event_is_dropped_where_another_target_goes_on() {
     let mut events = Events::default();
-    let first = events.take(b"id: 1\ndata: a\n\nid: 2\nda");
+    let first = events.push(b"id: 1\ndata: a\n\nid: 2\nda");
     assert_eq!(&first[..], b"id: 1\ndata: a\n\n");
-    assert_eq!(events.last(), Some("1"));
-    events.resume();
-    let rest = events.take(b"id: 2\ndata: b\n\n");
+    assert_eq!(events.last_id(), Some("1"));
+    events.discard_partial();
+    let rest = events.push(b"id: 2\ndata: b\n\n");
     assert_eq!(&rest[..], b"id: 2\ndata: b\n\n");
-    assert_eq!(events.last(), Some("2"));
+    assert_eq!(events.last_id(), Some("2"));
 }
 
 /// Events arrive in any pieces; what is passed on is the same bytes, and never a half event before
@@ -28,11 +28,11 @@
         let mut events = Events::default();
         let mut passed = Vec::new();
         for piece in text.chunks(size) {
-            let whole = events.take(piece);
+            let whole = events.push(piece);
             assert!(whole.is_empty() || whole.ends_with(b"\n\n"), "size {size}");
             passed.extend_from_slice(&whole);
         }
-        passed.extend_from_slice(&events.rest());
+        passed.extend_from_slice(&events.finish());
         assert_eq!(passed, text, "size {size}");
     }
 }
@@ -44,10 +44,10 @@
         let text = format!("id: 1{end}id: 2{end}");
         for cut in 1..text.len() {
             let mut events = Events::default();
-            let first = events.take(&text.as_bytes()[..cut]);
-            let second = events.take(&text.as_bytes()[cut..]);
+            let first = events.push(&text.as_bytes()[..cut]);
+            let second = events.push(&text.as_bytes()[cut..]);
             assert_eq!([first, second].concat(), text.as_bytes(), "cut at {cut}");
-            assert_eq!(events.last(), Some("2"));
+            assert_eq!(events.last_id(), Some("2"));
         }
     }
 }
@@ -57,25 +57,25 @@
 fn a_long_event_is_torn_until_its_end() {
     let mut events = Events::default();
     let piece = vec![b'x'; 64 << 10];
-    let passed: usize = (0..8).map(|_| events.take(&piece).len()).sum();
-    assert!(passed > 0 && events.is_torn());
-    let last = events.take(b"\n\n");
+    let passed: usize = (0..8).map(|_| events.push(&piece).len()).sum();
+    assert!(passed > 0 && events.is_mid_event());
+    let last = events.push(b"\n\n");
     assert_eq!(passed + last.len(), 8 * piece.len() + 2);
-    assert!(!events.is_torn());
+    assert!(!events.is_mid_event());
 }
 
 /// Event sources may end lines with a carriage return.
 #[test]
 fn lines_may_end_with_a_carriage_return() {
     let mut events = Events::default();
-    let whole = events.take(b"id: 7\r\ndata: a\r\n\r\nid: 8");
+    let whole = events.push(b"id: 7\r\ndata: a\r\n\r\nid: 8");
     assert_eq!(&whole[..], b"id: 7\r\ndata: a\r\n\r\n");
-    assert_eq!(events.last(), Some("7"));
+    assert_eq!(events.last_id(), Some("7"));
 }
 
 /// A stream that a caller resumes goes on after the event that the caller names.
 #[test]
 fn a_resumed_stream_starts_after_the_named_event() {
-    let events = Events::after(Some("12".to_owned()));
-    assert_eq!(events.last(), Some("12"));
+    let events = Events::resuming_after(Some("12".to_owned()));
+    assert_eq!(events.last_id(), Some("12"));
 }
--- a/crates/zinniastall-gateway/tests/path/accounts.rs
+++ b/crates/zinniastall-gateway/tests/path/accounts.rs
@@ -141,7 +141,7 @@
     // The only target is known to be full for the moment, so that the request waits.
     let now = std::time::Instant::now();
     {
-        let mut books = stage.traffic.books.borrow_mut();
+        let mut books = stage.traffic.tracker.borrow_mut();
         let account = books.target("target-0", crate::stage::SERVICE, now);
         account.shut_until = Some(now + Duration::from_millis(150));
     }
@@ -155,8 +155,8 @@
 /// Lets an instance know that it is alone, and that nobody used anything.
 fn hear_nothing_of_others(stage: &Stage) {
     let mut quotas = stage.traffic.quotas.borrow_mut();
-    quotas.share_among(1);
-    quotas.hear(IndexMap::new(), std::time::Instant::now());
+    quotas.set_instances(1);
+    quotas.update_totals(IndexMap::new(), std::time::Instant::now());
 }
 
 async fn a_quota_is_held_and_the_caller_told_when_to_return() {
--- a/crates/zinniastall-gateway/tests/path/bounds.rs
+++ b/crates/zinniastall-gateway/tests/path/bounds.rs
@@ -174,7 +174,7 @@
     );
     let since = Instant::now();
     let end = since + Duration::from_secs(10);
-    stage.traffic.board.drain(Drain { since, end });
+    stage.traffic.state.drain(Drain { since, end });
     let got = caller.call(&get("/plans/1", "b", "")).await;
     assert_eq!((got.status, got.header("connection")), (200, "close"));
     assert!(caller.ends().await);
@@ -188,7 +188,7 @@
     let now = Instant::now();
     let since = now.checked_sub(Duration::from_secs(4)).unwrap();
     let end = now + Duration::from_secs(3);
-    stage.traffic.board.drain(Drain { since, end });
+    stage.traffic.state.drain(Drain { since, end });
     // The route's time of five seconds is longer than what is left, the caller's own is shorter.
     let got = stage.connect().await.call(&post("/pay/1", "a", "x")).await;
     assert_eq!(got.status, 503);
--- a/crates/zinniastall-gateway/tests/path/stage.rs
+++ b/crates/zinniastall-gateway/tests/path/stage.rs
@@ -13,7 +13,7 @@
 use zinniastall_gateway::{
     figures::Figures,
     names::Names,
-    path::{Traffic, serve},
+    path::{Proxy, serve},
     policy::Policy,
     view::{Board, Target as Known, View},
 };
@@ -265,7 +265,7 @@
     /// Address for other instances.
     pub(crate) forward: SocketAddr,
     /// The path itself.
-    pub(crate) traffic: Rc<Traffic>,
+    pub(crate) traffic: Rc<Proxy>,
 }
 
 /// Makes a route to the one service.
@@ -351,7 +351,7 @@
         };
         let mut policy = Policy::default();
         policy.repeats.slack = 100;
-        let traffic = Rc::new(Traffic::new(board, names, policy, Figures::new()));
+        let traffic = Rc::new(Proxy::new(board, names, policy, Figures::new()));
         let callers = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let forward = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let stage = Self {
--- a/crates/zinniastall-gateway/tests/quotas.rs
+++ b/crates/zinniastall-gateway/tests/quotas.rs
@@ -161,7 +161,7 @@
             let node = &mut nodes[to];
             if node.exchange.hear(datagram, now) {
                 let totals = node.exchange.totals().clone();
-                node.quotas.hear(totals, now);
+                node.quotas.update_totals(totals, now);
             }
         }
         for from in 0..nodes.len() {
@@ -194,17 +194,17 @@
 }
 
 fn round(node: &mut Node, account: Key, rate: u64, now: Instant) -> Vec<(usize, Datagram)> {
-    node.quotas.share_among(node.roster.len());
+    node.quotas.set_instances(node.roster.len());
     let own = node.quotas.usage(now);
     let accounts = Account {
         key: account,
         rate,
-        past: node.quotas.past(account, now),
+        past: node.quotas.window_usage(account, now),
     };
     let sends = node.exchange.round(&node.roster, &own, &accounts, now);
     if node.roster.collects() {
         let totals = node.exchange.totals().clone();
-        node.quotas.hear(totals, now);
+        node.quotas.update_totals(totals, now);
     }
     let number = |name: &String| name["edge-".len()..].parse().expect("a number");
     let sends = sends.into_iter().flat_map(|sent| {
@@ -377,7 +377,7 @@
 fn a_lowered_quota_is_given_at_once() {
     const ASKED: u64 = 1_000_000;
     let (mut quotas, account, start) = (quotas(), key("studio"), Instant::now());
-    quotas.share_among(2);
+    quotas.set_instances(2);
     let mut random = StdRng::seed_from_u64(1);
     let (mut let_in, mut used) = (0, 0);
     for round in 0..200 {
@@ -387,7 +387,7 @@
             usage,
             ..Total::default()
         };
-        quotas.hear([(account, total)].into_iter().collect(), now);
+        quotas.update_totals([(account, total)].into_iter().collect(), now);
         let rate = if round < 100 { ASKED } else { ASKED / 10 };
         let claim = |draw| Claim { cost: 1, draw };
         let admitted = (0..200).filter(|_| {
