--- a/crates/zinniastall-gateway/src/daemon.rs
+++ b/crates/zinniastall-gateway/src/daemon.rs
@@ -27,7 +27,7 @@
     headers::Names,
     metrics::Metrics,
     neighbours::{self, Context},
-    path::{Traffic, serve},
+    path::{Proxy, serve},
     policy::Policy,
     uplink::Uplinks,
     view::{Drain, Shared, View},
@@ -106,7 +106,7 @@
         let (drain, drain_orders) = oneshot::channel();
         Arbiter::new().spawn_fn(move || {
             let (state, names, policy, metrics) = traffic;
-            let traffic = Rc::new(Traffic::new(state, names, policy, metrics));
+            let traffic = Rc::new(Proxy::new(state, names, policy, metrics));
             actix::spawn(run(
                 traffic,
                 [callers, forward],
@@ -206,7 +206,7 @@
 
 /// Serves callers and instances on the traffic thread until it is told to end.
 async fn run(
-    traffic: Rc<Traffic>,
+    traffic: Rc<Proxy>,
     listeners: [Listener; 2],
     peer_socket: std::net::UdpSocket,
     shared_load: Arc<SharedLoad>,
@@ -221,13 +221,13 @@
     match UdpSocket::from_std(peer_socket) {
         Ok(socket) => {
             let context = Context {
-                state: traffic.board.clone(),
-                tracker: Rc::clone(&traffic.books),
+                state: traffic.state.clone(),
+                tracker: Rc::clone(&traffic.tracker),
                 neighbours: Rc::clone(&traffic.neighbours),
                 claims: Rc::clone(&traffic.claims),
                 quotas: Rc::clone(&traffic.quotas),
                 suspects: Rc::clone(&traffic.suspects),
-                news: Rc::clone(&traffic.news),
+                news: Rc::clone(&traffic.suspects_changed),
             };
             actix::spawn(neighbours::run(Rc::new(socket), context));
         }
@@ -242,15 +242,15 @@
         tokio::select! {
             _ = tick.tick() => {
                 traffic.pool.sweep(Instant::now());
-                let load = traffic.books.borrow().load();
-                let view = traffic.board.view();
+                let load = traffic.tracker.borrow().load();
+                let view = traffic.state.view();
                 let instances = view.instances.by_name().values();
                 let ready = instances.filter(|held| held.ready).count();
-                traffic.figures.set_known(view.revision(), view.targets.by_name().len(), ready);
-                traffic.figures.set_connections(traffic.connections.open());
+                traffic.metrics.set_known(view.revision(), view.targets.by_name().len(), ready);
+                traffic.metrics.set_connections(traffic.connections.open());
                 traffic.keep_suspects();
                 let quarantined = traffic.suspects.borrow().quarantined();
-                traffic.figures.set_quarantined(quarantined);
+                traffic.metrics.set_quarantined(quarantined);
                 *shared_load.load.lock().unwrap_or_else(PoisonError::into_inner) = load;
             }
             order = &mut drain => {
@@ -266,7 +266,7 @@
 /// Ends in order. Connections are taken for as long as callers may not know of the end, and those that
 /// were taken are served to theirs: a process that stopped right after a look at its counts would cut
 /// the request that came between.
-async fn finish(traffic: &Traffic, accepting: [JoinHandle<()>; 2], order: DrainOrder) {
+async fn finish(traffic: &Proxy, accepting: [JoinHandle<()>; 2], order: DrainOrder) {
     let since = Instant::now();
     let connections = &traffic.connections;
     let is_expired = |since: Instant| since.elapsed() >= order.max_wait;
--- a/crates/zinniastall-gateway/src/neighbours.rs
+++ b/crates/zinniastall-gateway/src/neighbours.rs
@@ -299,7 +299,7 @@
             return Vec::new();
         }
         let mut quotas = self.quotas.borrow_mut();
-        quotas.share_among(roster.len());
+        quotas.set_instances(roster.len());
         let own = quotas.usage(now);
         let accounts = Accounts {
             rates: &rates,
@@ -308,7 +308,7 @@
         };
         let outgoing = exchange.round(roster, &own, &accounts, now);
         if roster.is_collector() {
-            quotas.hear(exchange.totals().clone(), now);
+            quotas.update_totals(exchange.totals().clone(), now);
         }
         outgoing
     }
@@ -327,7 +327,7 @@
     }
 
     fn past(&self, account: quota::Key) -> Option<u64> {
-        self.quotas.past(account, self.now)
+        self.quotas.window_usage(account, self.now)
     }
 }
 
@@ -371,7 +371,7 @@
                     Datagram::Used { .. } | Datagram::ZoneUsed { .. } | Datagram::AllUsed { .. } => {
                         if exchange.receive(datagram, now) {
                             let totals = exchange.totals().clone();
-                            quotas.borrow_mut().hear(totals, now);
+                            quotas.borrow_mut().update_totals(totals, now);
                         }
                     }
                     Datagram::Suspects { for_all, part } => {
--- a/crates/zinniastall-gateway/src/request_log.rs
+++ b/crates/zinniastall-gateway/src/request_log.rs
@@ -161,9 +161,9 @@
             asked = excess.total.usage.asked,
             used = excess.total.usage.used,
             reserved = excess.total.reserved,
-            past = excess.past,
-            part = excess.part,
-            retry_after_ms = millis(excess.after),
+            past = excess.window_usage,
+            part = excess.admitted_fraction,
+            retry_after_ms = millis(excess.retry_after),
         );
     }
 
@@ -176,7 +176,7 @@
             }
             Ended::NotRun(_) => "the target refused it",
             Ended::Failing(answer) => answer.status.as_str(),
-            Ended::Gone(_) => "nobody takes the answer",
+            Ended::CallerGone(_) => "nobody takes the answer",
         };
         if !self.admits(false) {
             return;
@@ -186,7 +186,7 @@
             id = job.id,
             route = job.route().name,
             place = place.name(),
-            outcome = ended.word(),
+            outcome = ended.as_str(),
             why,
             left_ms = millis(job.left(Instant::now())),
         );
--- a/crates/zinniastall-gateway/src/tracker.rs
+++ b/crates/zinniastall-gateway/src/tracker.rs
@@ -12,10 +12,10 @@
 use crate::{
     decide::{
         budget::{Bound, Budget},
+        concurrency::Limit,
         outlier::Record,
-        room::Room,
-        warm::Pace,
-        work::Work,
+        service_time::Estimate,
+        slow_start::Pacer,
     },
     neighbours,
 };
@@ -34,7 +34,7 @@
     retry_bound: Bound,
     targets: IndexMap<id::Target, Target>,
     budgets: IndexMap<id::Service, Budget>,
-    service_times: IndexMap<id::Service, Work>,
+    service_times: IndexMap<id::Service, Estimate>,
     blocked_regions: IndexMap<id::Service, IndexMap<id::Region, Instant>>,
     demands: IndexMap<id::Service, IndexMap<Demand, Instant>>,
 }
@@ -62,9 +62,9 @@
     /// How its requests ended.
     pub record: Record,
     /// Pace while it is cold.
-    pub pace: Pace,
+    pub pace: Pacer,
     /// How many requests it takes at once, if it is a plain one.
-    pub concurrency: Room,
+    pub concurrency: Limit,
     /// Until when it is known to take no request, because it refused one or a connection.
     pub blocked_until: Option<Instant>,
     parts: IndexMap<String, Instant>,
@@ -104,8 +104,8 @@
             in_flight: 0,
             reading_us: 0,
             record: Record::default(),
-            pace: Pace::default(),
-            concurrency: Room::default(),
+            pace: Pacer::default(),
+            concurrency: Limit::default(),
             blocked_until: None,
             parts: IndexMap::new(),
             last_used: now,
@@ -134,7 +134,7 @@
     /// Notes an answer of a plain service; see [`Work::note`].
     pub fn record_service_time(&mut self, service: &str, took: Duration, ahead: u32, slots: u32) {
         let work = self.service_times.entry(service.to_owned()).or_default();
-        work.note(took, ahead, slots);
+        work.observe(took, ahead, slots);
     }
 
     /// Notes that a request was made for a service.
