--- a/crates/zinniastall-gateway/tests/books.rs
+++ b/crates/zinniastall-gateway/tests/books.rs
@@ -7,7 +7,7 @@
     decide::budget::Bound,
 };
 
-const fn asked(priority: u8, gap_ms: u64) -> Use {
+const fn usage(priority: u8, gap_ms: u64) -> Use {
     Use {
         priority,
         route: priority,
@@ -18,14 +18,14 @@
 /// Operators keep routes for the day when they are needed. One that nobody uses must neither push others
 /// back in the queue nor hold the queue short for streams that don't run.
 #[test]
-fn only_routes_in_use_weigh_on_others() {
+fn only_routes_in_use_affect_others() {
     let now = Instant::now();
     let mut books = Books::new(Bound::default());
     assert_eq!(books.gap("s", now), Duration::ZERO);
-    books.note_use("s", asked(0, 900), now);
-    books.note_use("s", asked(0, 600), now);
-    books.note_use("s", asked(1, 0), now);
-    books.note_use("other", asked(0, 100), now);
+    books.note_use("s", usage(0, 900), now);
+    books.note_use("s", usage(0, 600), now);
+    books.note_use("s", usage(1, 0), now);
+    books.note_use("other", usage(0, 100), now);
     assert_eq!(books.gap("s", now), Duration::from_millis(600));
     assert_eq!(
         books.rank("s", 2, now),
@@ -33,7 +33,7 @@
         "two priorities, on three routes"
     );
     let later = now + Duration::from_secs(8);
-    books.note_use("s", asked(0, 900), later);
+    books.note_use("s", usage(0, 900), later);
     let after = now + Duration::from_secs(12);
     assert_eq!(books.gap("s", after), Duration::from_millis(900));
     assert_eq!(books.rank("s", 2, after), 1);
--- a/crates/zinniastall-gateway/tests/claims.rs
+++ b/crates/zinniastall-gateway/tests/claims.rs
@@ -24,7 +24,7 @@
 };
 use zinniastall_model::{place::Place, presence::Presence};
 
-const LONGEST: Duration = Duration::from_secs(20);
+const TIMEOUT: Duration = Duration::from_secs(20);
 
 fn load(flights: u32, reading_us: u64) -> Load {
     Load {
@@ -116,21 +116,21 @@
 /// Returns the name of a target whose coordinator is an instance.
 fn coordinated_by(instance: &str, names: &[&str]) -> String {
     let targets = (0..).map(|number| format!("target-{number}"));
-    let mut its =
+    let mut candidates =
         targets.filter(|target| warm::sender(target, names.iter().copied()) == Some(instance));
-    its.next().expect("endless")
+    candidates.next().expect("endless")
 }
 
 fn run(test: impl Future<Output = ()>) {
     actix::System::new().block_on(async {
-        time::timeout(LONGEST, test).await.expect("the test hangs");
+        time::timeout(TIMEOUT, test).await.expect("the test hangs");
     });
 }
 
 /// Four instances see the same free target in the same moment. Told of each other's requests a tenth of a second
 /// later, all four would send it a long prompt, and the last caller would wait for three others' prompts.
 #[test]
-fn who_comes_second_hears_of_the_first() {
+fn later_claims_see_earlier_ones() {
     run(async {
         let names = ["a", "b", "c", "d"];
         let region = Region::start(&names, |_| true).await;
@@ -148,7 +148,7 @@
 /// The coordinator has crashed, and lists of instances still name it. Requests go on without it after some
 /// milliseconds, and the next ones don't wait for it at all.
 #[test]
-fn a_dead_coordinator_holds_nothing_up() {
+fn a_dead_coordinator_does_not_block_claims() {
     run(async {
         let names = ["a", "b", "c"];
         let region = Region::start(&names, |name| name != "b").await;
@@ -165,7 +165,7 @@
 /// Sums contain a request soon after it was sent. Were its claim counted for longer, it would count twice, and
 /// targets would seem full that aren't.
 #[test]
-fn claims_fade() {
+fn claims_expire() {
     let mut recent = Recent::default();
     let now = Instant::now();
     let later = |millis| now + Duration::from_millis(millis);
--- a/crates/zinniastall-gateway/tests/daemon.rs
+++ b/crates/zinniastall-gateway/tests/daemon.rs
@@ -30,29 +30,29 @@
     link::Link,
 };
 
-const ANY: &str = "127.0.0.1:0";
-const LONGEST: Duration = Duration::from_secs(20);
+const ANY_PORT: &str = "127.0.0.1:0";
+const TIMEOUT: Duration = Duration::from_secs(20);
 
 /// A control replica that says what a test makes it say.
 struct Replica {
     address: SocketAddr,
-    say: mpsc::UnboundedSender<Message>,
+    messages: mpsc::UnboundedSender<Message>,
 }
 
 impl Replica {
     async fn start(held: Configuration) -> Self {
-        let listener = TcpListener::bind(ANY).await.unwrap();
+        let listener = TcpListener::bind(ANY_PORT).await.unwrap();
         let address = listener.local_addr().unwrap();
-        let (say, said) = mpsc::unbounded_channel();
-        actix::spawn(serve(listener, held, said));
-        Self { address, say }
+        let (messages, queued) = mpsc::unbounded_channel();
+        actix::spawn(serve(listener, held, queued));
+        Self { address, messages }
     }
 }
 
 async fn serve(
     listener: TcpListener,
     held: Configuration,
-    mut said: mpsc::UnboundedReceiver<Message>,
+    mut messages: mpsc::UnboundedReceiver<Message>,
 ) {
     let (stream, _) = listener.accept().await.unwrap();
     let hello = |peer: &Hello| {
@@ -73,7 +73,7 @@
     let mut alive = time::interval(Duration::from_millis(200));
     loop {
         let message = tokio::select! {
-            Some(message) = said.recv() => message,
+            Some(message) = messages.recv() => message,
             _ = alive.tick() => Message::Reached(held.revision),
             frame = receiver.next() => match frame {
                 Some(Ok(Frame::Hub(Message::Fetch(_)))) => {
@@ -119,7 +119,7 @@
 
 /// A target that answers after a few milliseconds.
 async fn target() -> SocketAddr {
-    let listener = TcpListener::bind(ANY).await.unwrap();
+    let listener = TcpListener::bind(ANY_PORT).await.unwrap();
     let address = listener.local_addr().unwrap();
     actix::spawn(async move {
         while let Ok((mut stream, _)) = listener.accept().await {
@@ -146,7 +146,7 @@
 }
 
 fn gateway(seeds: Vec<String>) -> Gateway {
-    let any: SocketAddr = ANY.parse().unwrap();
+    let any: SocketAddr = ANY_PORT.parse().unwrap();
     let settings = Settings {
         instance: "edge-1".to_owned(),
         incarnation: 1,
@@ -160,17 +160,17 @@
     Gateway::start(&settings).unwrap()
 }
 
-async fn until(what: &str, holds: impl Fn() -> bool) {
+async fn wait_until(what: &str, condition: impl Fn() -> bool) {
     let since = time::Instant::now();
-    while !holds() {
-        assert!(since.elapsed() < LONGEST, "waited too long until {what}");
+    while !condition() {
+        assert!(since.elapsed() < TIMEOUT, "waited too long until {what}");
         time::sleep(Duration::from_millis(5)).await;
     }
 }
 
 fn run(test: impl Future<Output = ()>) {
     actix::System::new().block_on(async {
-        time::timeout(LONGEST, test).await.expect("the test hangs");
+        time::timeout(TIMEOUT, test).await.expect("the test hangs");
     });
 }
 
@@ -206,10 +206,10 @@
         let callers = gateway.callers;
         let board = gateway.board.clone();
         replica
-            .say
+            .messages
             .send(Message::Targets(vec![report(target().await)]))
             .unwrap();
-        until("the instance is ready", || {
+        wait_until("the instance is ready", || {
             board.is_ready() && !board.view().targets.by_name().is_empty()
         })
         .await;
@@ -244,7 +244,7 @@
                 }
             });
         }
-        until("callers are served", || served.get() > 100).await;
+        wait_until("callers are served", || served.get() > 100).await;
         gateway
             .drain(Duration::from_millis(300), Duration::from_secs(10))
             .await;
@@ -261,18 +261,18 @@
         let newer = Replica::start(configuration(9, 40)).await;
         let gateway = gateway(vec![newer.address.to_string()]);
         let board = gateway.board.clone();
-        until("the newer one is in force", || board.view().revision() == 9).await;
+        wait_until("the newer one is in force", || board.view().revision() == 9).await;
         let older = Replica::start(configuration(8, 39)).await;
         gateway
             .uplinks
             .reseed(vec![newer.address.to_string(), older.address.to_string()]);
         let late = Message::Configuration(Box::new(configuration(8, 39)));
-        older.say.send(late).unwrap();
+        older.messages.send(late).unwrap();
         older
-            .say
+            .messages
             .send(Message::Targets(vec![report(target().await)]))
             .unwrap();
-        until("the older replica was heard", || {
+        wait_until("the older replica was heard", || {
             !board.view().targets.by_name().is_empty()
         })
         .await;
--- a/crates/zinniastall-gateway/tests/decide/budget.rs
+++ b/crates/zinniastall-gateway/tests/decide/budget.rs
@@ -20,23 +20,23 @@
 type Step = (usize, u64, bool, usize);
 
 /// Returns the most repeats beyond the share of requests that any window saw.
-fn most_beyond(requests: &[u64], repeats: &[u64]) -> f64 {
+fn max_excess(requests: &[u64], repeats: &[u64]) -> f64 {
     let count = |times: &[u64], from: u64, to: u64| {
         let inside = times.iter().filter(|at| **at >= from && **at < to);
         f64::from(u32::try_from(inside.count()).unwrap())
     };
     let window = 10_000;
     let starts = repeats.iter().copied();
-    let beyond = starts.map(|start| {
-        let made = count(repeats, start, start + window);
+    let excess = starts.map(|start| {
+        let repeated = count(repeats, start, start + window);
         let before = start.saturating_sub(window);
         let half = start.saturating_sub(window / 2);
-        let asked = count(requests, start, start + window)
+        let requested = count(requests, start, start + window)
             .max(count(requests, before, before + window))
             .max(count(requests, half, half + window));
-        made - BOUND.ratio * asked
+        repeated - BOUND.ratio * requested
     });
-    beyond.fold(0.0, f64::max)
+    excess.fold(0.0, f64::max)
 }
 
 /// All targets fail, instances come and go, and each believes in another number of them. The sum of what
@@ -72,10 +72,10 @@
                     repeats.push(now);
                 }
             }
-            let beyond = most_beyond(&requests, &repeats);
+            let excess = max_excess(&requests, &repeats);
             prop_assert!(
-                beyond <= f64::from(BOUND.slack),
-                "{beyond} beyond the share"
+                excess <= f64::from(BOUND.slack),
+                "{excess} beyond the share"
             );
             Ok(())
         })
@@ -87,13 +87,13 @@
 fn a_single_instance_may_use_most_of_the_bound() {
     let now = Instant::now();
     let mut budget = Budget::new(BOUND);
-    let taken = (0..200).filter(|_| budget.repeat(now, 1)).count();
-    assert!((40..=58).contains(&taken), "{taken}");
+    let granted = (0..200).filter(|_| budget.repeat(now, 1)).count();
+    assert!((40..=58).contains(&granted), "{granted}");
 }
 
 /// An instance that lost sight of the others still takes its old part only, for one window.
 #[test]
-fn losing_sight_of_others_frees_nothing_at_once() {
+fn losing_peers_frees_no_budget_at_once() {
     let now = Instant::now();
     let mut budget = Budget::new(BOUND);
     let first = (0..200).filter(|_| budget.repeat(now, 9)).count();
--- a/crates/zinniastall-gateway/tests/decide/fetch.rs
+++ b/crates/zinniastall-gateway/tests/decide/fetch.rs
@@ -14,7 +14,7 @@
 }
 
 /// Time to read tokens at 40 a millisecond.
-fn read(tokens: u64) -> Duration {
+fn prefill_time(tokens: u64) -> Duration {
     Duration::from_micros(tokens * 25)
 }
 
@@ -22,21 +22,21 @@
     ($($(#[$doc:meta])* $name:ident: $holders:expr, $link:expr => $source:expr;)*) => {
         $($(#[$doc])* #[test]
         fn $name() {
-            assert_eq!(source(&$holders, 0, $link, read), $source);
+            assert_eq!(source(&$holders, 0, $link, prefill_time), $source);
         })*
     };
 }
 
 cases! {
-    what_is_lacking_is_copied_from_who_holds_most:
+    missing_tokens_are_copied_from_the_target_that_holds_most:
         [holder(0, 0), holder(2_500, 2_500), holder(0, 6_300)], LINK => Some(2);
     /// Of two that are expected to hold as much, one was sent it by this instance.
-    who_is_known_to_hold_it_goes_first:
+    a_known_holder_is_preferred_to_a_likely_one:
         [holder(0, 0), holder(0, 6_300), holder(6_300, 6_300)], LINK => Some(2);
     /// Others may have sent it here too, but nobody knows.
-    what_is_only_hoped_for_here_is_copied_all_the_same:
+    tokens_that_are_only_likely_held_are_copied_anyway:
         [holder(0, 6_300), holder(6_300, 6_300)], LINK => Some(1);
-    what_is_held_is_not_copied:
+    tokens_that_are_held_are_not_copied:
         [holder(6_300, 6_300), holder(6_300, 6_300)], LINK => None;
     /// Setting a copy up takes as long as reading that little.
     few_tokens_are_not_copied: [holder(0, 0), holder(198, 198)], LINK => None;
@@ -45,5 +45,5 @@
     /// Copying at a hundredth of the rate takes 250 ms, and reading 158 ms.
     a_link_that_is_slower_than_reading_is_not_used:
         [holder(0, 0), holder(6_300, 6_300)], Link { mbps: 3_700, ..LINK } => None;
-    nobody_else_is_there: [holder(0, 6_300)], LINK => None;
+    a_single_target_has_no_source: [holder(0, 6_300)], LINK => None;
 }
--- a/crates/zinniastall-gateway/tests/decide/outlier.rs
+++ b/crates/zinniastall-gateway/tests/decide/outlier.rs
@@ -6,7 +6,7 @@
 
 /// A target fails four of ten requests and calls itself well. It is left alone after some of them.
 #[test]
-fn a_target_that_fails_in_part_is_found_out() {
+fn a_target_with_partial_failures_is_ejected() {
     let now = Instant::now();
     let mut record = Record::default();
     let mut fails = (0..200).map(|at| at % 5 < 3);
@@ -22,7 +22,7 @@
 
 /// A service fails one request in seven for reasons of its own; its targets stay in use.
 #[test]
-fn a_service_with_failures_of_its_own_stays_in_use() {
+fn a_service_with_a_base_failure_rate_stays_in_use() {
     let now = Instant::now();
     let mut record = Record::default();
     for at in 0..2_000 {
@@ -37,7 +37,7 @@
 /// A target that can't be reached is tried again after half a second, then more and more rarely, and
 /// every four seconds at the latest.
 #[test]
-fn an_unreachable_target_is_tried_more_and_more_rarely() {
+fn an_unreachable_target_backs_off_exponentially() {
     let mut now = Instant::now();
     let mut record = Record::default();
     let mut waits = Vec::new();
--- a/crates/zinniastall-gateway/tests/decide/place.rs
+++ b/crates/zinniastall-gateway/tests/decide/place.rs
@@ -42,7 +42,7 @@
 
 /// A region's peak passes its own capacity while another one is idle.
 #[test]
-fn a_queue_that_is_longer_than_the_way_leads_to_another_region() {
+fn a_queue_longer_than_the_trip_spills_to_another_region() {
     let far = [Region {
         wait: ms(10),
         trip: ms(120),
@@ -93,7 +93,7 @@
 /// No target takes a request now, and one is about to: the request is kept for part of its objective,
 /// and is told to come back after that. Where none is in sight it is told at once.
 #[test]
-fn a_request_is_kept_only_where_a_target_opens_soon() {
+fn a_request_waits_only_if_a_target_opens_soon() {
     let soon = Patience {
         opens_soon: true,
         ..PATIENCE
@@ -109,7 +109,7 @@
 
 /// A refusal names a time that grows with the queue.
 #[test]
-fn a_refusal_says_when_to_come_back() {
+fn a_refusal_carries_a_retry_delay() {
     let after = |wait| match choose(&[candidate(wait, 0)], &[], PATIENCE) {
         Choice::Refuse(after) => after,
         other => panic!("{other:?}"),
@@ -120,41 +120,43 @@
 
 /// One queue of a target that finishes a request every so often.
 struct Queue {
-    ends: VecDeque<u64>,
-    pace: u64,
+    finish_times: VecDeque<u64>,
+    service_ms: u64,
 }
 
 impl Queue {
     fn wait(&mut self, now: u64) -> u64 {
-        while self.ends.front().is_some_and(|end| *end <= now) {
-            self.ends.pop_front();
+        while self.finish_times.front().is_some_and(|end| *end <= now) {
+            self.finish_times.pop_front();
         }
-        self.ends.back().map_or(0, |end| end.saturating_sub(now))
+        self.finish_times
+            .back()
+            .map_or(0, |end| end.saturating_sub(now))
     }
 
     /// Adds a request and returns how long it takes.
     fn add(&mut self, now: u64) -> u64 {
-        let took = self.wait(now) + self.pace;
-        self.ends.push_back(now + took);
+        let took = self.wait(now) + self.service_ms;
+        self.finish_times.push_back(now + took);
         took
     }
 }
 
 /// Plays ten seconds of arrivals at four targets that finish 25 requests a second each; returns how many
 /// were answered within the objective, and how many late. Refused ones come back once.
-fn play(per_second: u64, decide: impl Fn(&[Candidate]) -> Choice) -> (u32, u32) {
+fn simulate(per_second: u64, decide: impl Fn(&[Candidate]) -> Choice) -> (u32, u32) {
     let mut queues: Vec<Queue> = (0..4)
         .map(|_| Queue {
-            ends: VecDeque::new(),
-            pace: 40,
+            finish_times: VecDeque::new(),
+            service_ms: 40,
         })
         .collect();
     let gap = 1_000_000 / per_second;
-    let mut due: VecDeque<(u64, u64)> = (0..per_second * 10)
+    let mut arrivals: VecDeque<(u64, u64)> = (0..per_second * 10)
         .map(|at| (at * gap / 1_000, 0))
         .collect();
     let (mut in_time, mut late) = (0, 0);
-    while let Some((now, before)) = due.pop_front() {
+    while let Some((now, before)) = arrivals.pop_front() {
         let seen: Vec<Candidate> = queues
             .iter_mut()
             .map(|queue| candidate(queue.wait(now), 0))
@@ -164,8 +166,8 @@
             Choice::Here(_) => late += 1,
             Choice::Refuse(after) if before == 0 => {
                 let after = u64::try_from(after.as_millis()).unwrap();
-                let at = due.partition_point(|(other, _)| *other <= now + after);
-                due.insert(at, (now + after, after));
+                let at = arrivals.partition_point(|(other, _)| *other <= now + after);
+                arrivals.insert(at, (now + after, after));
             }
             _ => {}
         }
@@ -182,8 +184,8 @@
         let best = places.min_by_key(|(_, candidate)| candidate.wait);
         Choice::Here(best.map_or(0, |(at, _)| at))
     };
-    let (before, _) = play(200, least);
-    let (after, late) = play(200, |seen| choose(seen, &[], PATIENCE));
+    let (before, _) = simulate(200, least);
+    let (after, late) = simulate(200, |seen| choose(seen, &[], PATIENCE));
     println!(
         "in time of 2,000, capacity 1,000: {before} without a bound, {after} with it, {late} late"
     );
@@ -195,7 +197,7 @@
 /// Below capacity nothing is refused.
 #[test]
 fn nothing_is_refused_below_capacity() {
-    let (in_time, late) = play(95, |seen| choose(seen, &[], PATIENCE));
+    let (in_time, late) = simulate(95, |seen| choose(seen, &[], PATIENCE));
     assert_eq!((in_time, late), (950, 0));
 }
 
@@ -207,14 +209,14 @@
 }
 
 /// Times to read a beginning that many prompts share, and a prompt's own part, in milliseconds.
-const BEGINNING: u64 = 170;
-const OWN: u64 = 90;
+const PREFIX_MS: u64 = 170;
+const SUFFIX_MS: u64 = 90;
 /// Time to copy a beginning from another engine, the set-up included.
-const COPY: u64 = 8;
+const COPY_MS: u64 = 8;
 /// Beginnings that an engine holds.
-const HOLDS: usize = 25;
+const PREFIXES_HELD: usize = 25;
 /// Beginnings that prompts share.
-const BEGINNINGS: u64 = 80;
+const PREFIXES: u64 = 80;
 
 /// Engines that copy at a thousandth of the time to read, and engines that don't copy. A token takes a
 /// millisecond to read here.
@@ -225,8 +227,8 @@
 const NO_LINK: Link = Link { mbps: 0, ..LINK };
 
 impl Engine {
-    fn holder(&self, beginning: u64) -> Holder {
-        let known = if self.held.contains(&beginning) {
+    fn holder(&self, prefix: u64) -> Holder {
+        let known = if self.held.contains(&prefix) {
             1_000
         } else {
             0
@@ -237,28 +239,29 @@
         }
     }
 
-    fn candidate(&self, beginning: u64, now: u64, count: u64) -> Candidate {
-        let kept = self.held.contains(&beginning);
-        let read = OWN + if kept { 0 } else { BEGINNING };
+    fn candidate(&self, prefix: u64, now: u64, count: u64) -> Candidate {
+        let is_held = self.held.contains(&prefix);
+        let read = SUFFIX_MS + if is_held { 0 } else { PREFIX_MS };
         candidate(self.free_at.saturating_sub(now), read * count / 2)
     }
 
     /// Reads a prompt, or copies its beginning where it may; returns when it is read, and whether its
     /// beginning was read again.
-    fn read(&mut self, beginning: u64, now: u64, copies: bool) -> (u64, bool) {
-        let kept = self.held.iter().position(|held| *held == beginning);
-        if let Some(at) = kept {
+    fn read(&mut self, prefix: u64, now: u64, copies: bool) -> (u64, bool) {
+        let position = self.held.iter().position(|held| *held == prefix);
+        if let Some(at) = position {
             self.held.remove(at);
         }
-        self.held.push_back(beginning);
-        self.held.drain(..self.held.len().saturating_sub(HOLDS));
-        let beginning = match kept {
+        self.held.push_back(prefix);
+        self.held
+            .drain(..self.held.len().saturating_sub(PREFIXES_HELD));
+        let prefix_ms = match position {
             Some(_) => 0,
-            None if copies => COPY,
-            None => BEGINNING,
+            None if copies => COPY_MS,
+            None => PREFIX_MS,
         };
-        self.free_at = self.free_at.max(now) + OWN + beginning;
-        (self.free_at, beginning == BEGINNING)
+        self.free_at = self.free_at.max(now) + SUFFIX_MS + prefix_ms;
+        (self.free_at, prefix_ms == PREFIX_MS)
     }
 }
 
@@ -266,23 +269,20 @@
 /// engines are compared, beside the one that the decision itself doubles. Returns how many prompts were
 /// answered in time, and how many beginnings were read. With `link`, an engine copies a beginning from the first
 /// one that holds it.
-fn play_beginnings(each: u64, count: u64, link: Link) -> (usize, usize) {
+fn simulate_prefixes(interval: u64, count: u64, link: Link) -> (usize, usize) {
     let mut engines: Vec<Engine> = (0..4).map(|_| Engine::default()).collect();
     let (mut in_time, mut read) = (0, 0);
-    for at in 0..30_000 / each {
+    for at in 0..30_000 / interval {
         // A fixed order in which every beginning comes about as often.
-        let (now, beginning) = (at * each, at * at * 31 % 7_919 % BEGINNINGS);
+        let (now, prefix) = (at * interval, at * at * 31 % 7_919 % PREFIXES);
         let seen = engines.iter();
         let seen: Vec<Candidate> = seen
-            .map(|engine| engine.candidate(beginning, now, count))
+            .map(|engine| engine.candidate(prefix, now, count))
             .collect();
         if let Choice::Here(at) = choose(&seen, &[], PATIENCE) {
-            let holders: Vec<Holder> = engines
-                .iter()
-                .map(|engine| engine.holder(beginning))
-                .collect();
+            let holders: Vec<Holder> = engines.iter().map(|engine| engine.holder(prefix)).collect();
             let copies = source(&holders, at, link, Duration::from_millis).is_some();
-            let (end, again) = engines[at].read(beginning, now, copies);
+            let (end, again) = engines[at].read(prefix, now, copies);
             in_time += usize::from(end <= now + 1_000);
             read += usize::from(again);
         }
@@ -294,9 +294,9 @@
 /// holds its beginning for a shorter queue has it read there once more, from which that queue grows too, until
 /// every engine reads everything and a part of the prompts is refused.
 #[test]
-fn prompts_stay_with_what_holds_their_beginnings() {
-    let (before, read_before) = play_beginnings(28, 1, NO_LINK);
-    let (after, read_after) = play_beginnings(28, 2, NO_LINK);
+fn prompts_stay_with_targets_that_hold_their_prefixes() {
+    let (before, read_before) = simulate_prefixes(28, 1, NO_LINK);
+    let (after, read_after) = simulate_prefixes(28, 2, NO_LINK);
     println!("counted once: {before} in time, {read_before} read; twice: {after}, {read_after}");
     assert!(after > before, "{before}, {after}");
     assert!(
@@ -308,12 +308,12 @@
 /// More prompts come than engines can read if a beginning is read wherever its prompt is sent. Copied from an
 /// engine that holds it, more of them are answered in time, and the engines' time goes to what is new.
 #[test]
-fn beginnings_are_copied_rather_than_read_again() {
-    let (before, read_before) = play_beginnings(21, 2, NO_LINK);
-    let (after, read_after) = play_beginnings(21, 2, LINK);
+fn prefixes_are_copied_rather_than_recomputed() {
+    let (before, read_before) = simulate_prefixes(21, 2, NO_LINK);
+    let (after, read_after) = simulate_prefixes(21, 2, LINK);
     println!("read again: {before} in time, {read_before} read; copied: {after}, {read_after}");
     assert!(after > before, "{before}, {after}");
-    let again = |read: usize| read - usize::try_from(BEGINNINGS).unwrap();
+    let again = |read: usize| read - usize::try_from(PREFIXES).unwrap();
     assert!(again(read_after) * 2 < again(read_before));
 }
 
@@ -325,35 +325,35 @@
 }
 
 /// Objectives of urgent and of less urgent requests, in milliseconds.
-const OBJECTIVES: [u64; 2] = [800, 1_000];
+const OBJECTIVES_MS: [u64; 2] = [800, 1_000];
 
 /// Plays twenty seconds in which urgent requests, which take 10 ms each, and less urgent ones, which take
 /// 100 ms, come to four targets; `rank` is the one that the less urgent ones are judged by.
-fn play_ranks(urgent: u64, others: u64, rank: usize) -> [Share; 2] {
+fn simulate_ranks(urgent: u64, others: u64, rank: usize) -> [Share; 2] {
     let mut queues: Vec<Queue> = (0..4)
         .map(|_| Queue {
-            ends: VecDeque::new(),
-            pace: 0,
+            finish_times: VecDeque::new(),
+            service_ms: 0,
         })
         .collect();
     let times = |per_second: u64, kind: usize| {
         (0..per_second * 20).map(move |at| (at * 1_000 / per_second, kind))
     };
-    let mut due: Vec<(u64, usize)> = times(urgent, 0).chain(times(others, 1)).collect();
-    due.sort_unstable();
+    let mut arrivals: Vec<(u64, usize)> = times(urgent, 0).chain(times(others, 1)).collect();
+    arrivals.sort_unstable();
     let mut shares = [Share::default(); 2];
-    for (now, kind) in due {
+    for (now, kind) in arrivals {
         shares[kind].asked += 1;
         let patience = Patience {
             rank: kind * rank,
             route_rank: kind * rank,
-            objective: ms(OBJECTIVES[kind]),
+            objective: ms(OBJECTIVES_MS[kind]),
             ..PATIENCE
         };
         let waits = queues.iter_mut().map(|queue| candidate(queue.wait(now), 0));
         if let Choice::Here(at) = choose(&waits.collect::<Vec<_>>(), &[], patience) {
-            queues[at].pace = [10, 100][kind];
-            shares[kind].in_time += u32::from(queues[at].add(now) <= OBJECTIVES[kind]);
+            queues[at].service_ms = [10, 100][kind];
+            shares[kind].in_time += u32::from(queues[at].add(now) <= OBJECTIVES_MS[kind]);
         }
     }
     shares
@@ -365,8 +365,8 @@
 #[test]
 fn urgent_requests_are_served_before_others_in_an_overload() {
     let percent = |share: Share| share.in_time * 100 / share.asked;
-    let [urgent, others] = play_ranks(100, 70, 0).map(percent);
-    let [urgent_first, others_first] = play_ranks(100, 70, 1).map(percent);
+    let [urgent, others] = simulate_ranks(100, 70, 0).map(percent);
+    let [urgent_first, others_first] = simulate_ranks(100, 70, 1).map(percent);
     println!(
         "in time of 100: {urgent} and {others} alike, {urgent_first} and {others_first} by rank"
     );
--- a/crates/zinniastall-gateway/tests/decide/reading.rs
+++ b/crates/zinniastall-gateway/tests/decide/reading.rs
@@ -12,7 +12,7 @@
 /// A prompt twice as long takes more than twice as long, and what is held takes nothing again: without the
 /// second, a caller's next question would go to any idle engine and be read from its beginning.
 #[test]
-fn reading_grows_with_what_is_not_held() {
+fn prefill_time_grows_with_tokens_not_held() {
     assert_eq!(RATES.expected(4_000, 0), Duration::from_millis(108));
     assert_eq!(RATES.expected(8_000, 0), Duration::from_millis(232));
     assert_eq!(RATES.expected(8_000, 4_000), Duration::from_millis(124));
@@ -21,6 +21,6 @@
 
 /// A caller names more shared tokens than its prompt has; the rest must not come out as less than nothing.
 #[test]
-fn more_held_than_there_is_counts_as_all() {
+fn more_tokens_held_than_the_prompt_has_count_as_all() {
     assert_eq!(RATES.expected(4_000, 9_000), Duration::ZERO);
 }
--- a/crates/zinniastall-gateway/tests/decide/room.rs
+++ b/crates/zinniastall-gateway/tests/decide/room.rs
@@ -4,24 +4,24 @@
 
 /// Sends requests to a target with room for so many as long as it is expected to take them; the target finishes
 /// some in each of a number of rounds. Returns how many it took and how many it refused.
-fn play(room_for: u32, finishes: u32, rounds: u32) -> (u32, u32) {
+fn simulate(capacity: u32, finishes: u32, rounds: u32) -> (u32, u32) {
     let mut room = Room::default();
-    let (mut there, mut taken, mut refused) = (0_u32, 0, 0);
+    let (mut in_flight, mut taken, mut refused) = (0_u32, 0, 0);
     for _ in 0..rounds {
         for _ in 0..2 * finishes {
-            if !room.is_open(there) {
+            if !room.is_open(in_flight) {
                 break;
             }
-            if there < room_for {
-                room.taken(there);
-                there += 1;
+            if in_flight < capacity {
+                room.taken(in_flight);
+                in_flight += 1;
                 taken += 1;
             } else {
-                room.refused(there, 6);
+                room.refused(in_flight, 6);
                 refused += 1;
             }
         }
-        there = there.saturating_sub(finishes);
+        in_flight = in_flight.saturating_sub(finishes);
     }
     (taken, refused)
 }
@@ -30,14 +30,14 @@
 /// trip and with its caller's only attempt gone.
 #[test]
 fn hardly_a_request_is_sent_to_a_full_target() {
-    let (taken, refused) = play(30, 10, 100);
+    let (taken, refused) = simulate(30, 10, 100);
     assert!(taken >= 1_000, "{taken}");
     assert!(refused * 20 < taken, "{refused} of {taken}");
 }
 
 /// A target comes back with a longer queue. It is found out within forty requests.
 #[test]
-fn room_that_has_grown_is_found() {
+fn grown_capacity_is_discovered() {
     let mut room = Room::default();
     room.refused(10, 6);
     assert!(!room.is_open(10));
@@ -49,7 +49,7 @@
 
 /// A target refuses for reasons of its own while it is idle. It still gets as many as it has slots.
 #[test]
-fn slots_are_always_used() {
+fn an_idle_target_gets_as_many_as_it_has_slots() {
     let mut room = Room::default();
     room.refused(0, 6);
     assert!(room.is_open(5));
--- a/crates/zinniastall-gateway/tests/decide/steady.rs
+++ b/crates/zinniastall-gateway/tests/decide/steady.rs
@@ -6,44 +6,44 @@
 use zinniastall_gateway::decide::place::{Candidate, Choice, Patience, choose};
 
 /// Time of a step that reads nothing, in microseconds.
-const STEP: u64 = 4_000;
+const STEP_US: u64 = 4_000;
 /// Most reading within one step, in microseconds: 4,096 tokens.
-const SLICE: u64 = 100_000;
+const MAX_PREFILL_US: u64 = 100_000;
 /// Steps that one event takes.
-const EVENT: u32 = 7;
+const STEPS_PER_EVENT: u32 = 7;
 /// Longest pause that callers bear, in microseconds.
-const GAP: u64 = 600_000;
+const MAX_GAP_US: u64 = 600_000;
 /// Requests that an engine runs at once.
 const SLOTS: f64 = 64.0;
 /// Most instances that share the engines.
-const INSTANCES: usize = 12;
+const MAX_INSTANCES: usize = 12;
 
 /// Engines and the load that is played at them.
 #[derive(Debug, Clone, Copy)]
-struct Setting {
+struct Scenario {
     engines: usize,
     instances: usize,
     /// Time between two words of the instances to each other, in microseconds.
-    word: u64,
+    report_interval: u64,
     /// Time between two long prompts and between two short ones, in microseconds.
     long: u64,
     short: u64,
 }
 
 /// A region with long prompts for 1.3 times what its engines can read.
-const OVERLOADED: Setting = Setting {
+const OVERLOADED: Scenario = Scenario {
     engines: 4,
     instances: 4,
-    word: 100_000,
+    report_interval: 100_000,
     long: 25_000,
     short: 83_000,
 };
 /// A large region with long prompts for seven tenths of what its engines can read; its instances are so many
 /// that each hears of the others only now and then.
-const LARGE: Setting = Setting {
+const LARGE: Scenario = Scenario {
     engines: 16,
     instances: 12,
-    word: 300_000,
+    report_interval: 300_000,
     long: 11_600,
     short: 20_000,
 };
@@ -59,7 +59,7 @@
     /// What of the reading is left.
     left: u64,
     tokens: u32,
-    made: u32,
+    generated: u32,
     arrived: u64,
     last: Option<u64>,
     pause: u64,
@@ -76,7 +76,7 @@
             expected: reading * 3 / 4,
             left: reading,
             tokens: if is_long { 49 } else { 294 },
-            made: 0,
+            generated: 0,
             arrived,
             last: None,
             pause: 0,
@@ -84,9 +84,9 @@
         }
     }
 
-    fn make(&mut self, now: u64) {
-        self.made += 1;
-        if !self.made.is_multiple_of(EVENT) {
+    fn generate_token(&mut self, now: u64) {
+        self.generated += 1;
+        if !self.generated.is_multiple_of(STEPS_PER_EVENT) {
             return;
         }
         match self.last.replace(now) {
@@ -96,7 +96,7 @@
     }
 
     fn is_in_time(&self, objective: u64) -> bool {
-        self.first <= objective && self.pause <= GAP
+        self.first <= objective && self.pause <= MAX_GAP_US
     }
 }
 
@@ -113,8 +113,8 @@
     /// Runs all steps that end by a time.
     fn run(&mut self, until: u64) {
         while !(self.waiting.is_empty() && self.running.is_empty()) {
-            let slice = self.waiting.iter().map(|request| request.left).sum::<u64>();
-            let end = self.now + STEP + slice.min(SLICE);
+            let prefill = self.waiting.iter().map(|request| request.left).sum::<u64>();
+            let end = self.now + STEP_US + prefill.min(MAX_PREFILL_US);
             if end > until {
                 return;
             }
@@ -126,15 +126,15 @@
     fn step(&mut self, end: u64) {
         self.now = end;
         for request in &mut self.running {
-            request.make(end);
+            request.generate_token(end);
         }
-        let is_done = |request: &mut Request| request.made >= request.tokens;
+        let is_done = |request: &mut Request| request.generated >= request.tokens;
         self.done.extend(self.running.extract_if(.., is_done));
-        let mut slice = SLICE;
+        let mut prefill = MAX_PREFILL_US;
         while let Some(next) = self.waiting.front_mut() {
-            let read = next.left.min(slice);
+            let read = next.left.min(prefill);
             next.left -= read;
-            slice -= read;
+            prefill -= read;
             if next.left > 0 {
                 return;
             }
@@ -157,13 +157,13 @@
 
 /// What the instances know of one engine: each its own requests, and the others' by their last word.
 #[derive(Debug, Default)]
-struct Seen {
-    said: [u64; INSTANCES],
+struct Reports {
+    reported: [u64; MAX_INSTANCES],
 }
 
-impl Seen {
+impl Reports {
     fn candidate(&self, engine: &Engine, request: &Request) -> Candidate {
-        let others = self.said.iter().sum::<u64>() - self.said[request.by];
+        let others = self.reported.iter().sum::<u64>() - self.reported[request.by];
         let before = Duration::from_micros(engine.reading(request.by) + others);
         Candidate {
             wait: before,
@@ -175,8 +175,8 @@
         }
     }
 
-    fn hear(&mut self, engine: &Engine) {
-        self.said = std::array::from_fn(|by| engine.reading(by));
+    fn update(&mut self, engine: &Engine) {
+        self.reported = std::array::from_fn(|by| engine.reading(by));
     }
 }
 
@@ -200,27 +200,27 @@
 }
 
 /// Plays twenty seconds; refused requests don't come back. Returns what became of the long and of the short.
-fn play(setting: Setting, decide: impl Fn(&[Candidate], bool) -> Choice) -> [Share; 2] {
-    let mut engines: Vec<(Engine, Seen)> =
-        (0..setting.engines).map(|_| Default::default()).collect();
+fn simulate(scenario: Scenario, decide: impl Fn(&[Candidate], bool) -> Choice) -> [Share; 2] {
+    let mut engines: Vec<(Engine, Reports)> =
+        (0..scenario.engines).map(|_| Default::default()).collect();
     let times = |each: u64, is_long| (0..20_000_000 / each).map(move |at| (at * each, is_long));
-    let times = times(setting.long, true).chain(times(setting.short, false));
+    let times = times(scenario.long, true).chain(times(scenario.short, false));
     let mut due: Vec<(u64, bool)> = times.collect();
     due.sort_unstable();
     let mut shares = [Share::default(); 2];
-    let mut told = 0;
+    let mut last_report = 0;
     let mut random = StdRng::seed_from_u64(1);
     for (at, (now, is_long)) in due.into_iter().enumerate() {
         shares[usize::from(!is_long)].asked += 1;
-        let is_told = now >= told + setting.word;
-        told = if is_told { now } else { told };
+        let is_report_due = now >= last_report + scenario.report_interval;
+        last_report = if is_report_due { now } else { last_report };
         for (engine, seen) in &mut engines {
             engine.run(now);
-            if is_told {
-                seen.hear(engine);
+            if is_report_due {
+                seen.update(engine);
             }
         }
-        let request = Request::new(is_long, at % setting.instances, now);
+        let request = Request::new(is_long, at % scenario.instances, now);
         let seen = engines.iter().map(|(engine, seen)| Candidate {
             tie: random.random(),
             ..seen.candidate(engine, &request)
@@ -260,12 +260,12 @@
 /// hardly fewer long prompts are answered in time.
 #[test]
 fn streams_go_on_while_long_prompts_are_read() {
-    let gap = Duration::from_micros(GAP);
+    let gap = Duration::from_micros(MAX_GAP_US);
     let unbound =
         |seen: &[Candidate], is_long| choose(seen, &[], patience(is_long, Duration::ZERO));
     let bound = |seen: &[Candidate], is_long| choose(seen, &[], patience(is_long, gap));
-    let [long, short] = play(OVERLOADED, unbound);
-    let [long_bound, short_bound] = play(OVERLOADED, bound);
+    let [long, short] = simulate(OVERLOADED, unbound);
+    let [long_bound, short_bound] = simulate(OVERLOADED, bound);
     println!("unbound: long {long:?}, short {short:?}");
     println!("bound: long {long_bound:?}, short {short_bound:?}");
     assert!(short.late * 2 > short.asked, "{short:?}");
@@ -278,8 +278,8 @@
 /// the best, all turn to the same one: a part of the engines reads long queues, in which streams stand still and
 /// answers are late, while others are idle.
 #[test]
-fn many_instances_dont_all_turn_to_one_engine() {
-    let gap = Duration::from_micros(GAP);
+fn many_instances_do_not_all_pick_one_engine() {
+    let gap = Duration::from_micros(MAX_GAP_US);
     let all = |seen: &[Candidate], is_long| {
         let places = seen.iter().enumerate();
         let (at, best) = places
@@ -291,8 +291,8 @@
         }
     };
     let few = |seen: &[Candidate], is_long| choose(seen, &[], patience(is_long, gap));
-    let [long, short] = play(LARGE, all);
-    let [long_few, short_few] = play(LARGE, few);
+    let [long, short] = simulate(LARGE, all);
+    let [long_few, short_few] = simulate(LARGE, few);
     println!("all weighed: long {long:?}, short {short:?}");
     println!("few weighed: long {long_few:?}, short {short_few:?}");
     assert!(long_few.in_time * 5 > long.in_time * 6);
@@ -303,7 +303,7 @@
 /// nothing waits, however full its batch and whatever their rank; otherwise they would be refused for as long
 /// as a stream runs anywhere.
 #[test]
-fn a_prompt_that_takes_longer_than_any_pause_is_let_in() {
+fn a_prompt_that_takes_longer_than_any_pause_is_admitted() {
     let huge = |wait| Candidate {
         wait: Duration::from_millis(wait),
         before: Duration::from_millis(wait),
@@ -316,7 +316,7 @@
         let patience = Patience {
             rank,
             route_rank: rank,
-            ..patience(false, Duration::from_micros(GAP))
+            ..patience(false, Duration::from_micros(MAX_GAP_US))
         };
         let choice = choose(&[huge(0)], &[], patience);
         assert_eq!(choice, Choice::Here(0), "rank {rank}");
@@ -345,7 +345,7 @@
         let by_route = |is_long| Patience {
             rank,
             route_rank: usize::from(is_long),
-            ..patience(is_long, Duration::from_micros(GAP))
+            ..patience(is_long, Duration::from_micros(MAX_GAP_US))
         };
         let long = choose(&[reading], &[], by_route(true));
         assert!(matches!(long, Choice::Refuse(_)), "rank {rank}: {long:?}");
--- a/crates/zinniastall-gateway/tests/decide/warm.rs
+++ b/crates/zinniastall-gateway/tests/decide/warm.rs
@@ -5,12 +5,12 @@
 use zinniastall_gateway::decide::warm::{Pace, sender};
 
 /// Rate that a cold target bears, in thousandths of a request a second.
-const RATE: u64 = 2_200;
+const RATE_MILLI: u64 = 2_200;
 /// Requests within one second that a cold target bears: one and a half times the rate, and three.
-const BEARS: usize = 6;
+const MAX_PER_SECOND: usize = 6;
 
 /// Returns the most requests of any second.
-fn most(mut times: Vec<u64>) -> usize {
+fn max_per_second(mut times: Vec<u64>) -> usize {
     times.sort_unstable();
     let within = |start: &u64| {
         times
@@ -21,8 +21,8 @@
     times.iter().map(within).max().unwrap_or(0)
 }
 
-fn sent(pace: &mut Pace, from: u64, to: u64, base: Instant) -> Vec<u64> {
-    let open = |at: &u64| pace.take(RATE, base + Duration::from_millis(*at));
+fn send_times(pace: &mut Pace, from: u64, to: u64, base: Instant) -> Vec<u64> {
+    let open = |at: &u64| pace.take(RATE_MILLI, base + Duration::from_millis(*at));
     (from..to).step_by(5).filter(open).collect()
 }
 
@@ -34,10 +34,10 @@
     let base = Instant::now();
     let (mut one, mut two) = (Pace::default(), Pace::default());
     for shift in 0..20 {
-        let mut times = sent(&mut one, 0, 6_000, base);
-        times.extend(sent(&mut two, 2_000 + shift * 25, 6_000, base));
-        let most = most(times);
-        assert!(most <= BEARS, "{most} within a second");
+        let mut times = send_times(&mut one, 0, 6_000, base);
+        times.extend(send_times(&mut two, 2_000 + shift * 25, 6_000, base));
+        let peak = max_per_second(times);
+        assert!(peak <= MAX_PER_SECOND, "{peak} within a second");
         (one, two) = (Pace::default(), Pace::default());
     }
 }
@@ -58,40 +58,40 @@
             (shift..6_000).step_by(5).filter(open).collect::<Vec<u64>>()
         };
         let both = [times(0), times(2_013)].concat();
-        let bears = usize::try_from(rate * 3 / 2 + 3).unwrap();
-        let most = most(both);
-        assert!(most <= bears, "{most} within a second at {rate} a second");
+        let limit = usize::try_from(rate * 3 / 2 + 3).unwrap();
+        let peak = max_per_second(both);
+        assert!(peak <= limit, "{peak} within a second at {rate} a second");
     }
 }
 
 /// A sender looks whether a target may get a request before it sends one. If looking didn't begin the pace, no
 /// cold target would ever get any: a region whose targets all come back cold would serve nobody.
 #[test]
-fn a_target_that_is_only_looked_at_opens_in_time() {
+fn checking_a_target_starts_its_pace() {
     let base = Instant::now();
     let mut pace = Pace::default();
     assert!(
-        !pace.is_open(RATE, base),
+        !pace.is_open(RATE_MILLI, base),
         "another one may have sent just now"
     );
-    assert!(pace.is_open(RATE, base + Duration::from_secs(1)));
-    assert!(pace.take(RATE, base + Duration::from_secs(1)));
-    assert!(!pace.is_open(RATE, base + Duration::from_secs(1)));
+    assert!(pace.is_open(RATE_MILLI, base + Duration::from_secs(1)));
+    assert!(pace.take(RATE_MILLI, base + Duration::from_secs(1)));
+    assert!(!pace.is_open(RATE_MILLI, base + Duration::from_secs(1)));
 }
 
 /// A sender that was idle for long doesn't send what it saved at once.
 #[test]
-fn an_idle_sender_saves_nothing() {
+fn an_idle_sender_saves_no_burst() {
     let base = Instant::now();
     let mut pace = Pace::default();
-    let mut times = sent(&mut pace, 0, 1_000, base);
-    times.extend(sent(&mut pace, 30_000, 34_000, base));
-    assert!(most(times) <= 3);
+    let mut times = send_times(&mut pace, 0, 1_000, base);
+    times.extend(send_times(&mut pace, 30_000, 34_000, base));
+    assert!(max_per_second(times) <= 3);
 }
 
 /// All instances pick the same sender, and another one only where it leaves.
 #[test]
-fn all_pick_the_same_sender() {
+fn all_instances_pick_the_same_sender() {
     let names = ["edge-1", "edge-2", "edge-3", "edge-4"];
     for target in 0..50 {
         let target = format!("target-{target}");
--- a/crates/zinniastall-gateway/tests/decide/work.rs
+++ b/crates/zinniastall-gateway/tests/decide/work.rs
@@ -6,7 +6,7 @@
 
 const ASSUMED: Duration = Duration::from_millis(20);
 
-fn learned(answers: impl IntoIterator<Item = (u64, u32)>) -> Duration {
+fn learned_from(answers: impl IntoIterator<Item = (u64, u32)>) -> Duration {
     let mut work = Work::default();
     for (took_ms, ahead) in answers {
         work.note(Duration::from_millis(took_ms), ahead, 6);
@@ -18,7 +18,7 @@
     ($($name:ident: $answers:expr => $least:expr, $most:expr;)*) => {$(
         #[test]
         fn $name() {
-            let work = learned($answers);
+            let work = learned_from($answers);
             let range = Duration::from_millis($least)..=Duration::from_millis($most);
             assert!(range.contains(&work), "{work:?}");
         }
@@ -26,15 +26,15 @@
 }
 
 learns! {
-    nothing_is_what_was_assumed: [] => 20, 20;
-    a_few_answers_count: [(60, 0); 5] => 50, 60;
-    a_slow_service_is_known_after_twenty_answers: [(60, 0); 20] => 57, 60;
-    a_quick_service_is_known_after_twenty_answers: [(5, 2); 20] => 5, 6;
-    waiting_for_a_slot_is_no_work: [(240, 23); 30] => 55, 62;
-    a_quarter_that_fail_at_once_move_it_little:
+    no_responses_yield_the_assumed_time: [] => 20, 20;
+    a_few_responses_count: [(60, 0); 5] => 50, 60;
+    a_slow_service_is_known_after_twenty_responses: [(60, 0); 20] => 57, 60;
+    a_fast_service_is_known_after_twenty_responses: [(5, 2); 20] => 5, 6;
+    time_in_the_queue_does_not_count: [(240, 23); 30] => 55, 62;
+    a_quarter_of_immediate_failures_changes_little:
         (0..400).map(|number| (if number % 4 == 0 { 0 } else { 60 }, 0)) => 42, 62;
-    one_answer_that_was_held_up_moves_it_little:
+    one_delayed_response_changes_little:
         (0..100).map(|number| (if number == 99 { 5_000 } else { 60 }, 0)) => 60, 72;
-    a_service_that_turns_slow_is_followed:
+    a_service_that_slows_down_is_tracked:
         (0..200).map(|number| (if number < 50 { 20 } else { 100 }, 0)) => 95, 101;
 }
--- a/crates/zinniastall-gateway/tests/events.rs
+++ b/crates/zinniastall-gateway/tests/events.rs
@@ -6,7 +6,7 @@
 /// begins with a whole event. If the half one were kept, the caller would read an event made of
 /// halves of two runs, in the middle of an answer that looks whole.
 #[test]
-fn a_half_event_is_dropped_where_another_target_goes_on() {
+fn a_partial_event_is_dropped_when_another_target_resumes() {
     let mut events = Events::default();
     let first = events.take(b"id: 1\ndata: a\n\nid: 2\nda");
     assert_eq!(&first[..], b"id: 1\ndata: a\n\n");
--- a/crates/zinniastall-gateway/tests/fetching.rs
+++ b/crates/zinniastall-gateway/tests/fetching.rs
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn a_lost_link_passes_the_turn_on_at_once() {
+fn a_lost_link_frees_the_fetch_at_once() {
     let (mut fetching, now) = (Fetching::default(), Instant::now());
     assert_eq!(fetching.ask("a", now), Ok(()));
     assert!(!fetching.lose("b"));
--- a/crates/zinniastall-gateway/tests/knowledge.rs
+++ b/crates/zinniastall-gateway/tests/knowledge.rs
@@ -146,7 +146,7 @@
 
 /// A replica restarts. For as long as it takes, its word on instances stands; with it gone, the others'.
 #[test]
-fn a_replicas_word_outlives_its_link_for_a_moment() {
+fn a_replicas_list_outlives_its_link_for_a_moment() {
     let (mut known, now) = (knowledge(), Instant::now());
     known.ask("r1", now);
     known.ask("r2", now);
@@ -163,7 +163,7 @@
 
 /// An instance drains, and one replica has not heard of it yet.
 #[test]
-fn who_knows_of_the_end_is_believed() {
+fn a_replica_that_knows_of_a_drain_is_believed() {
     let (mut known, now) = (knowledge(), Instant::now());
     known.ask("r1", now);
     known.ask("r2", now);
--- a/crates/zinniastall-gateway/tests/locate.rs
+++ b/crates/zinniastall-gateway/tests/locate.rs
@@ -47,7 +47,7 @@
     view
 }
 
-fn named(view: &View) -> Vec<String> {
+fn located(view: &View) -> Vec<String> {
     list(view, HOST, "patras", "patras-a").addresses
 }
 
@@ -57,7 +57,7 @@
         &[("patras", "p1", true), ("athens", "a1", true)],
         &[&["athens"]],
     );
-    assert_eq!(named(&view), ["p1"]);
+    assert_eq!(located(&view), ["p1"]);
 }
 
 /// All instances of a region restart one after the other, and for a moment none of them is ready. Its
@@ -70,7 +70,7 @@
         ("thess", "t1", true),
     ];
     let both = view(&instances, &[&["athens"], &["athens", "thess"], &[]]);
-    assert_eq!(named(&both), ["a1"]);
+    assert_eq!(located(&both), ["a1"]);
 }
 
 /// Two routes of a host have no home in common, and the region's last instance drains. It still
@@ -83,20 +83,20 @@
         ("thess", "t1", true),
     ];
     let apart = view(&instances, &[&["athens"], &["thess"]]);
-    assert_eq!(named(&apart), ["p1"]);
+    assert_eq!(located(&apart), ["p1"]);
 }
 
 #[test]
 fn without_homes_any_region_will_do() {
     let instances = [("athens", "a1", true), ("thess", "t1", true)];
-    assert_eq!(named(&view(&instances, &[&[]])), ["a1", "t1"]);
+    assert_eq!(located(&view(&instances, &[&[]])), ["a1", "t1"]);
 }
 
 /// An instance that has just started knows instances before it knows routes, and with them homes. An
 /// answer then could send callers to a region that their requests may not enter.
 #[test]
-fn nobody_is_named_before_routes_are_known() {
+fn no_instance_is_listed_before_routes_are_known() {
     let mut early = view(&[("athens", "a1", true)], &[&["patras"]]);
     early.configuration = None;
-    assert!(named(&early).is_empty());
+    assert!(located(&early).is_empty());
 }
--- a/crates/zinniastall-gateway/tests/neighbours.rs
+++ b/crates/zinniastall-gateway/tests/neighbours.rs
@@ -27,14 +27,14 @@
     loads.collect()
 }
 
-fn part(turn: u32, held: &[(&str, u32)]) -> Part {
-    parts(turn, &loads(held)).remove(0)
+fn part(round: u32, held: &[(&str, u32)]) -> Part {
+    parts(round, &loads(held)).remove(0)
 }
 
-fn report(instance: &str, turn: u32, held: &[(&str, u32)]) -> Datagram {
+fn report(instance: &str, round: u32, held: &[(&str, u32)]) -> Datagram {
     Datagram::Report {
         instance: instance.to_owned(),
-        part: part(turn, held),
+        part: part(round, held),
     }
 }
 
@@ -55,7 +55,7 @@
     members: IndexMap<id::Instance, (View, Neighbours)>,
     now: Instant,
     sent: usize,
-    across: usize,
+    cross_zone: usize,
 }
 
 impl Region {
@@ -68,7 +68,7 @@
             members: IndexMap::new(),
             now: Instant::now(),
             sent: 0,
-            across: 0,
+            cross_zone: 0,
         };
         for (name, held) in &present {
             let view = View::new(name.clone(), held.place.clone());
@@ -107,7 +107,7 @@
                 self.sent += 1;
                 let zone = |name: &str| self.members[name].0.place.zone.clone();
                 if zone(&from) != zone(&to) {
-                    self.across += 1;
+                    self.cross_zone += 1;
                 }
                 if !is_dead(&to) {
                     let datagram = Datagram::decode(&bytes).expect("is a datagram");
@@ -130,7 +130,7 @@
 
 /// An instance dies with requests in progress. Its last report must not weigh on its targets for long.
 #[test]
-fn the_last_report_of_a_neighbour_fades() {
+fn the_last_report_of_a_neighbour_expires() {
     let now = Instant::now();
     let mut neighbours = Neighbours::default();
     neighbours.hear(report("a", 1, &[("t", 3)]), now);
@@ -154,7 +154,7 @@
 /// A region has more targets than one datagram holds. The parts of a report stand beside each other, and the
 /// next report replaces all of them: a target that it doesn't name has no requests any more.
 #[test]
-fn parts_of_a_report_stand_beside_each_other() {
+fn parts_of_a_report_add_up() {
     let now = Instant::now();
     let mut neighbours = Neighbours::default();
     neighbours.hear(report("a", 7, &[("t1", 3)]), now);
@@ -215,17 +215,17 @@
 /// anything crosses between its zones, where bytes are dear.
 #[test]
 fn datagrams_grow_no_faster_than_the_region() {
-    let play = |instances: usize| {
+    let simulate = |instances: usize| {
         let mut region = Region::new(instances);
         for _ in 0..10 {
             region.round(1, |_| false);
         }
-        (region.sent, region.across)
+        (region.sent, region.cross_zone)
     };
-    let (few, many) = (play(20), play(200));
-    assert!(many.0 <= few.0 * 11, "{few:?} {many:?}");
-    assert_eq!(few.1, many.1);
-    assert!(many.0 <= 10 * 200 * 4, "{many:?}");
+    let (small, large) = (simulate(20), simulate(200));
+    assert!(large.0 <= small.0 * 11, "{small:?} {large:?}");
+    assert_eq!(small.1, large.1);
+    assert!(large.0 <= 10 * 200 * 4, "{large:?}");
 }
 
 /// The collector of a zone crashes. Until all lists of instances say so, its zone would place by what was true
--- a/crates/zinniastall-gateway/tests/path/accounts.rs
+++ b/crates/zinniastall-gateway/tests/path/accounts.rs
@@ -12,7 +12,7 @@
 
 use crate::{
     cases,
-    stage::{Got, PLACE, Stage, Target, get, instance, route, view},
+    harness::{Gateway, PLACE, Response, Target, get, instance, route, view},
 };
 
 /// A route for all who hold a key, and one for everybody.
@@ -31,74 +31,78 @@
     view
 }
 
-async fn stage_of(accounts: Vec<Account>) -> (Stage, Target) {
-    let target = Target::answering("fine").await;
+async fn gateway_with(accounts: Vec<Account>) -> (Gateway, Target) {
+    let target = Target::responding_with("fine").await;
     let view = with_accounts(view(routes(), &[&target]), accounts);
-    (Stage::start(view).await, target)
+    (Gateway::start(view).await, target)
 }
 
-async fn stage() -> (Stage, Target) {
+async fn gateway() -> (Gateway, Target) {
     let studio = Account::new("studio").key("k-studio").key("k-second");
-    stage_of(vec![studio, Account::new("school").key("k-school")]).await
+    gateway_with(vec![studio, Account::new("school").key("k-school")]).await
 }
 
-async fn call(stage: &Stage, path: &str, fields: &str) -> Got {
-    stage.connect().await.call(&get(path, "a", fields)).await
+async fn call(gateway: &Gateway, path: &str, fields: &str) -> Response {
+    gateway.connect().await.call(&get(path, "a", fields)).await
 }
 
-async fn a_key_opens_its_accounts_requests() {
-    let (stage, target) = stage().await;
+async fn authenticates_and_strips_the_key() {
+    let (gateway, target) = gateway().await;
     for key in ["Bearer k-studio", "bearer  k-second ", "BEARER k-studio"] {
         let fields = format!("Authorization: {key}\r\naccount: school\r\nzs-account: school\r\n");
-        assert_eq!(call(&stage, "/plans/1", &fields).await.status, 200, "{key}");
+        assert_eq!(
+            call(&gateway, "/plans/1", &fields).await.status,
+            200,
+            "{key}"
+        );
     }
-    for seen in target.seen() {
-        assert_eq!(seen.header("account"), "studio");
-        assert!(!seen.head.contains("k-studio"), "{}", seen.head);
-        assert_eq!(seen.header("zs-account"), "");
-        assert_eq!(seen.header("authorization"), "");
+    for request in target.requests() {
+        assert_eq!(request.header("account"), "studio");
+        assert!(!request.head.contains("k-studio"), "{}", request.head);
+        assert_eq!(request.header("zs-account"), "");
+        assert_eq!(request.header("authorization"), "");
     }
 }
 
 /// Checks that a request with some fields gets a status, runs nowhere and leaves its connection open.
 async fn refused(fields: &'static str, status: u16) {
-    let (stage, target) = stage().await;
-    let mut caller = stage.connect().await;
-    let got = caller.call(&get("/plans/1", "a", fields)).await;
-    assert_eq!(got.status, status, "{}", got.body);
-    assert_eq!(target.seen().len(), 0);
+    let (gateway, target) = gateway().await;
+    let mut caller = gateway.connect().await;
+    let response = caller.call(&get("/plans/1", "a", fields)).await;
+    assert_eq!(response.status, status, "{}", response.body);
+    assert_eq!(target.requests().len(), 0);
     let fields = "Authorization: Bearer k-studio\r\n";
-    let got = caller.call(&get("/plans/2", "b", fields)).await;
-    assert_eq!(got.status, 200, "the connection goes on");
+    let response = caller.call(&get("/plans/2", "b", fields)).await;
+    assert_eq!(response.status, 200, "the connection goes on");
 }
 
-async fn a_public_route_needs_no_key() {
-    let (stage, target) = stage().await;
+async fn serves_a_public_route_without_a_key() {
+    let (gateway, target) = gateway().await;
     let fields = "Authorization: Bearer k-studio\r\naccount: school\r\n";
     for fields in ["", fields, "Authorization: Bearer unknown\r\n"] {
-        assert_eq!(call(&stage, "/open/1", fields).await.status, 200);
+        assert_eq!(call(&gateway, "/open/1", fields).await.status, 200);
     }
-    for seen in target.seen() {
+    for request in target.requests() {
         assert_eq!(
-            (seen.header("account"), seen.header("authorization")),
+            (request.header("account"), request.header("authorization")),
             ("", "")
         );
     }
 }
 
-async fn a_table_without_accounts_passes_the_field_on() {
-    let target = Target::answering("fine").await;
-    let stage = Stage::start(view(routes(), &[&target])).await;
+async fn passes_credentials_on_without_accounts() {
+    let target = Target::responding_with("fine").await;
+    let gateway = Gateway::start(view(routes(), &[&target])).await;
     let fields = "Authorization: Basic eDp5\r\naccount: school\r\n";
-    assert_eq!(call(&stage, "/plans/1", fields).await.status, 200);
-    let seen = target.seen().remove(0);
-    assert_eq!(seen.header("authorization"), "Basic eDp5");
-    assert_eq!(seen.header("account"), "", "only the gateway sets it");
+    assert_eq!(call(&gateway, "/plans/1", fields).await.status, 200);
+    let request = target.requests().remove(0);
+    assert_eq!(request.header("authorization"), "Basic eDp5");
+    assert_eq!(request.header("account"), "", "only the gateway sets it");
 }
 
 /// Serves with a lease that ends before now, or was never given.
-async fn without_lease(confirmed: bool) -> (Got, Got, usize) {
-    let target = Target::answering("fine").await;
+async fn without_lease(confirmed: bool) -> (Response, Response, usize) {
+    let target = Target::responding_with("fine").await;
     let view = with_accounts(
         view(routes(), &[&target]),
         vec![Account::new("studio").key("k-studio")],
@@ -107,28 +111,28 @@
     if confirmed {
         lease.extend(clock::now().saturating_sub(Duration::from_millis(10)));
     }
-    let stage = Stage::on(Board::new(view).leased(lease)).await;
+    let gateway = Gateway::on(Board::new(view).leased(lease)).await;
     let fields = "deadline-ms: 400\r\nAuthorization: Bearer ";
-    let known = call(&stage, "/plans/1", &format!("{fields}k-studio\r\n")).await;
-    let unknown = call(&stage, "/plans/1", &format!("{fields}k-other\r\n")).await;
-    assert_eq!(call(&stage, "/open/1", "").await.status, 200);
-    (known, unknown, target.seen().len())
+    let known = call(&gateway, "/plans/1", &format!("{fields}k-studio\r\n")).await;
+    let unknown = call(&gateway, "/plans/1", &format!("{fields}k-other\r\n")).await;
+    assert_eq!(call(&gateway, "/open/1", "").await.status, 200);
+    (known, unknown, target.requests().len())
 }
 
-async fn nobody_is_let_in_or_denied_by_old_accounts() {
+async fn refuses_without_a_valid_lease() {
     for confirmed in [true, false] {
         let (known, unknown, ran) = without_lease(confirmed).await;
-        for got in [&known, &unknown] {
-            assert_eq!(got.status, 503, "{}", got.body);
-            assert!(!got.header("retry-after").is_empty());
+        for response in [&known, &unknown] {
+            assert_eq!(response.status, 503, "{}", response.body);
+            assert!(!response.header("retry-after").is_empty());
         }
         assert_eq!(ran, 1, "only the public one");
     }
 }
 
 /// A lease that ends while a request waits for a target.
-async fn a_lease_is_looked_at_before_each_attempt() {
-    let target = Target::answering("fine").await;
+async fn checks_the_lease_before_each_attempt() {
+    let target = Target::responding_with("fine").await;
     let mut view = with_accounts(
         view(routes(), &[&target]),
         vec![Account::new("studio").key("k-studio")],
@@ -137,63 +141,63 @@
     let lease = Lease::new(Some(Duration::from_millis(60)));
     let board = Board::new(view.clone()).leased(lease.clone());
     lease.extend(clock::now());
-    let stage = Stage::on(board.clone()).await;
+    let gateway = Gateway::on(board.clone()).await;
     // The only target is known to be full for the moment, so that the request waits.
     let now = std::time::Instant::now();
     {
-        let mut books = stage.traffic.books.borrow_mut();
-        let account = books.target("target-0", crate::stage::SERVICE, now);
+        let mut books = gateway.traffic.books.borrow_mut();
+        let account = books.target("target-0", crate::harness::SERVICE, now);
         account.shut_until = Some(now + Duration::from_millis(150));
     }
     view.targets = targets;
     board.publish(view);
-    let got = call(&stage, "/plans/1", "Authorization: Bearer k-studio\r\n").await;
-    assert_eq!(got.status, 503, "{}", got.body);
-    assert_eq!(target.seen().len(), 0);
+    let response = call(&gateway, "/plans/1", "Authorization: Bearer k-studio\r\n").await;
+    assert_eq!(response.status, 503, "{}", response.body);
+    assert_eq!(target.requests().len(), 0);
 }
 
 /// Lets an instance know that it is alone, and that nobody used anything.
-fn hear_nothing_of_others(stage: &Stage) {
-    let mut quotas = stage.traffic.quotas.borrow_mut();
+fn confirm_no_other_use(gateway: &Gateway) {
+    let mut quotas = gateway.traffic.quotas.borrow_mut();
     quotas.share_among(1);
     quotas.hear(IndexMap::new(), std::time::Instant::now());
 }
 
-async fn a_quota_is_held_and_the_caller_told_when_to_return() {
+async fn enforces_a_quota_with_a_retry_delay() {
     let quota = Quota {
         unit: Unit::Tokens { unstated: 200 },
         rate: 1_000,
         burst: 1_000,
     };
     let studio = Account::new("studio").key("k-studio").quota(quota);
-    let (stage, target) = stage_of(vec![studio]).await;
-    hear_nothing_of_others(&stage);
+    let (gateway, target) = gateway_with(vec![studio]).await;
+    confirm_no_other_use(&gateway);
     let fields = "Authorization: Bearer k-studio\r\ntokens: 900,100\r\n";
     let mut refused = 0;
     for _ in 0..40 {
-        let got = call(&stage, "/plans/1", fields).await;
-        if got.status == 429 {
+        let response = call(&gateway, "/plans/1", fields).await;
+        if response.status == 429 {
             refused += 1;
-            let after: f64 = got.header("retry-after").parse().unwrap();
+            let after: f64 = response.header("retry-after").parse().unwrap();
             assert!((0.3..=4.0).contains(&after), "{after}");
         } else {
-            assert_eq!(got.status, 200);
+            assert_eq!(response.status, 200);
         }
     }
     assert!(refused > 20, "{refused} of 40 times the rate refused");
-    assert_eq!(target.seen().len(), 40 - refused);
+    assert_eq!(target.requests().len(), 40 - refused);
 }
 
 /// Numbers of tokens that add up to more than any counter holds, and none at all.
-async fn absurd_numbers_of_tokens_break_nothing() {
+async fn survives_absurd_token_counts() {
     let quota = Quota {
         unit: Unit::Tokens { unstated: 200 },
         rate: 1_000,
         burst: 1_000,
     };
     let studio = Account::new("studio").key("k-studio").quota(quota);
-    let (stage, _target) = stage_of(vec![studio]).await;
-    hear_nothing_of_others(&stage);
+    let (gateway, _target) = gateway_with(vec![studio]).await;
+    confirm_no_other_use(&gateway);
     let most = u64::MAX;
     for tokens in [
         "0,0".to_owned(),
@@ -202,13 +206,13 @@
         "1".to_owned(),
     ] {
         let fields = format!("Authorization: Bearer k-studio\r\ntokens: {tokens}\r\n");
-        let status = call(&stage, "/plans/1", &fields).await.status;
+        let status = call(&gateway, "/plans/1", &fields).await.status;
         assert!([200, 429].contains(&status), "{tokens}: {status}");
     }
 }
 
 /// What was let in and has not run doesn't count.
-async fn a_request_that_did_not_run_is_given_back() {
+async fn refunds_a_request_that_did_not_run() {
     let quota = Quota {
         unit: Unit::Requests,
         rate: 1,
@@ -216,18 +220,18 @@
     };
     let studio = Account::new("studio").key("k-studio").quota(quota);
     let view = with_accounts(view(routes(), &[]), vec![studio]);
-    let stage = Stage::start(view).await;
-    hear_nothing_of_others(&stage);
-    let got = call(&stage, "/plans/1", "Authorization: Bearer k-studio\r\n").await;
-    assert_eq!(got.status, 503, "there is no target");
+    let gateway = Gateway::start(view).await;
+    confirm_no_other_use(&gateway);
+    let response = call(&gateway, "/plans/1", "Authorization: Bearer k-studio\r\n").await;
+    assert_eq!(response.status, 503, "there is no target");
     let now = std::time::Instant::now();
-    let usage = stage.traffic.quotas.borrow_mut().usage(now);
+    let usage = gateway.traffic.quotas.borrow_mut().usage(now);
     let used: u64 = usage.values().map(|usage| usage.used).sum();
     assert_eq!(used, 0);
 }
 
-async fn homes_of_route_and_account_both_bind() {
-    let target = Target::answering("fine").await;
+async fn applies_homes_of_route_and_account() {
+    let target = Target::responding_with("fine").await;
     for (route_homes, account_homes, status) in [
         (vec![], vec!["patras"], 200),
         (vec![], vec!["athens"], 503),
@@ -241,19 +245,19 @@
         let mut studio = Account::new("studio").key("k-studio");
         studio.homes = names(account_homes);
         let view = with_accounts(view(vec![plans], &[&target]), vec![studio]);
-        let stage = Stage::start(view).await;
-        let got = call(&stage, "/plans/1", "Authorization: Bearer k-studio\r\n").await;
-        assert_eq!(got.status, status, "{}", got.body);
+        let gateway = Gateway::start(view).await;
+        let response = call(&gateway, "/plans/1", "Authorization: Bearer k-studio\r\n").await;
+        assert_eq!(response.status, status, "{}", response.body);
     }
 }
 
 /// Passes a request on to an instance whose targets are in another region.
-async fn the_account_goes_on_and_the_key_does_not() {
-    let target = Target::answering("fine").await;
+async fn forwards_the_account_without_the_key() {
+    let target = Target::responding_with("fine").await;
     let mut studio = Account::new("studio").key("k-studio");
     studio.priority = Some(3);
     let there = with_accounts(view(routes(), &[&target]), vec![studio.clone()]);
-    let there = Stage::start(there).await;
+    let there = Gateway::start(there).await;
     let mut here = with_accounts(view(routes(), &[&target]), vec![studio]);
     here.place = zinniastall_model::place::Place::new("athens", "athens-a");
     here.instances = Arc::new(
@@ -264,32 +268,35 @@
         .into_iter()
         .collect(),
     );
-    let here = Stage::start(here).await;
-    let got = call(&here, "/plans/1", "Authorization: Bearer k-studio\r\n").await;
-    assert_eq!(got.status, 200, "{}", got.body);
-    let seen = target.seen().remove(0);
-    assert_eq!(seen.header("account"), "studio");
-    assert_eq!(seen.header("priority-rank"), "3");
-    assert_eq!(seen.header("authorization"), "");
+    let here = Gateway::start(here).await;
+    let response = call(&here, "/plans/1", "Authorization: Bearer k-studio\r\n").await;
+    assert_eq!(response.status, 200, "{}", response.body);
+    let request = target.requests().remove(0);
+    assert_eq!(request.header("account"), "studio");
+    assert_eq!(request.header("priority-rank"), "3");
+    assert_eq!(request.header("authorization"), "");
 }
 
 /// A request that another instance passes on with an account that isn't known here, or with none.
-async fn a_request_of_another_configuration_is_not_run() {
-    let (stage, target) = stage().await;
+async fn refuses_requests_of_another_configuration() {
+    let (gateway, target) = gateway().await;
     for fields in [
         "zs-revision: 9\r\nzs-account: nobody\r\n",
         "zs-revision: 9\r\n",
     ] {
-        let mut caller = crate::stage::Caller::connect(stage.forward).await;
-        let got = caller.call(&get("/plans/1", "a", fields)).await;
-        assert_eq!((got.status, got.header("zs-outcome")), (503, "not-sent"));
+        let mut caller = crate::harness::Caller::connect(gateway.forward).await;
+        let response = caller.call(&get("/plans/1", "a", fields)).await;
+        assert_eq!(
+            (response.status, response.header("zs-outcome")),
+            (503, "not-sent")
+        );
     }
-    assert_eq!(target.seen().len(), 0);
+    assert_eq!(target.requests().len(), 0);
 }
 
 cases! {
     /// Guards against keys that reach targets, and accounts that a caller names itself.
-    a_key_is_replaced_by_its_accounts_name => a_key_opens_its_accounts_requests(),
+    a_key_is_replaced_by_its_accounts_name => authenticates_and_strips_the_key(),
     /// Guards against a request without a key being run.
     a_request_without_a_key_is_denied => refused("", 401),
     /// Guards against a request being run whose key nobody holds.
@@ -303,29 +310,29 @@
     an_empty_key_is_denied => refused("Authorization: Bearer  \r\n", 401),
     /// Guards against a crash on bytes that are no text.
     a_key_of_other_bytes_is_denied => refused("Authorization: Bearer \u{fc}\u{20ac}\r\n", 401),
-    a_public_route_is_open_to_all => a_public_route_needs_no_key(),
+    a_public_route_is_open_to_all => serves_a_public_route_without_a_key(),
     /// Guards against a change for deployments without accounts.
-    without_accounts_the_field_is_the_targets => a_table_without_accounts_passes_the_field_on(),
+    without_accounts_the_field_is_the_targets => passes_credentials_on_without_accounts(),
     /// Guards against a key that was taken away and still opens something where nobody could say so.
-    old_accounts_decide_nothing => nobody_is_let_in_or_denied_by_old_accounts(),
+    stale_accounts_decide_nothing => refuses_without_a_valid_lease(),
     /// Guards against a key taken away while its request waits.
-    a_waiting_request_is_judged_again => a_lease_is_looked_at_before_each_attempt(),
+    a_waiting_request_is_authorized_again => checks_the_lease_before_each_attempt(),
     /// Guards against counters that overflow by what a caller states.
-    absurd_tokens_break_nothing => absurd_numbers_of_tokens_break_nothing(),
-    quotas_are_held => a_quota_is_held_and_the_caller_told_when_to_return(),
+    absurd_token_counts_are_survived => survives_absurd_token_counts(),
+    quotas_are_enforced => enforces_a_quota_with_a_retry_delay(),
     /// Guards against a quota used up by requests that never ran.
-    what_did_not_run_is_given_back => a_request_that_did_not_run_is_given_back(),
+    a_request_that_did_not_run_is_refunded => refunds_a_request_that_did_not_run(),
     /// Guards against a request that runs outside its account's or its route's homes.
-    both_homes_bind => homes_of_route_and_account_both_bind(),
+    homes_of_route_and_account_both_apply => applies_homes_of_route_and_account(),
     /// Guards against a key that reaches another instance.
-    only_the_account_is_passed_on => the_account_goes_on_and_the_key_does_not(),
+    the_account_is_forwarded_without_the_key => forwards_the_account_without_the_key(),
     /// Guards against a request run for an account that its caller may no longer be.
-    other_configurations_are_refused => a_request_of_another_configuration_is_not_run(),
+    other_configurations_are_refused => refuses_requests_of_another_configuration(),
 }
 
 /// Guards against an answer that was held up and counts from its arrival.
 #[test]
-fn a_late_answer_is_worth_no_more_than_its_question() {
+fn a_lease_counts_from_the_question() {
     let second = Duration::from_secs(1);
     let lease = Lease::new(Some(second * 4));
     assert_eq!(lease.trust(second), Trust::Unconfirmed);
--- a/crates/zinniastall-gateway/tests/path/answers.rs
+++ b/crates/zinniastall-gateway/tests/path/answers.rs
@@ -7,7 +7,7 @@
 
 use crate::{
     cases,
-    stage::{Act, Seen, Stage, Target, answer, get, post, route, view},
+    harness::{Action, Gateway, Request, Target, get, post, response, route, view},
 };
 
 fn routes() -> Vec<zinniastall_model::routing::Route> {
@@ -17,43 +17,54 @@
     ]
 }
 
-type Fail = Rc<dyn Fn(&Seen) -> Vec<Act>>;
+type Fail = Rc<dyn Fn(&Request) -> Vec<Action>>;
 
-fn failing_first(first: &Rc<Cell<bool>>, fail: &Fail) -> impl Fn(&Seen) -> Vec<Act> + 'static {
+fn failing_first(
+    first: &Rc<Cell<bool>>,
+    fail: &Fail,
+) -> impl Fn(&Request) -> Vec<Action> + 'static {
     let (first, fail) = (Rc::clone(first), Rc::clone(fail));
-    move |seen| {
+    move |request| {
         if first.replace(false) {
-            return fail(seen);
+            return fail(request);
         }
-        vec![Act::Send(seen.answer("fine"))]
+        vec![Action::Send(request.response("fine"))]
     }
 }
 
 /// Fails the first request that any target of a pair sees, in the way given.
-async fn pair(fail: impl Fn(&Seen) -> Vec<Act> + 'static) -> (Stage, Target, Target) {
+async fn pair(fail: impl Fn(&Request) -> Vec<Action> + 'static) -> (Gateway, Target, Target) {
     let first = Rc::new(Cell::new(true));
     let fail: Fail = Rc::new(fail);
     let one = Target::start(failing_first(&first, &fail)).await;
     let two = Target::start(failing_first(&first, &fail)).await;
-    let stage = Stage::start(view(routes(), &[&one, &two])).await;
-    (stage, one, two)
+    let gateway = Gateway::start(view(routes(), &[&one, &two])).await;
+    (gateway, one, two)
 }
 
 fn runs(one: &Target, two: &Target) -> usize {
-    one.seen().len() + two.seen().len()
+    one.requests().len() + two.requests().len()
 }
 
 /// A request that may be repeated survives whatever its first target does; one that may not is told
 /// that nobody knows, and has been sent once.
-async fn survives(fail: impl Fn(&Seen) -> Vec<Act> + Copy + 'static) {
-    let (stage, one, two) = pair(fail).await;
-    let got = stage.connect().await.call(&get("/plans/1", "a1", "")).await;
-    assert_eq!((got.status, got.body.as_str()), (200, "fine"));
+async fn survives(fail: impl Fn(&Request) -> Vec<Action> + Copy + 'static) {
+    let (gateway, one, two) = pair(fail).await;
+    let response = gateway
+        .connect()
+        .await
+        .call(&get("/plans/1", "a1", ""))
+        .await;
+    assert_eq!((response.status, response.body.as_str()), (200, "fine"));
     assert_eq!(runs(&one, &two), 2);
-    let (stage, one, two) = pair(fail).await;
-    let got = stage.connect().await.call(&post("/pay/1", "a2", "x")).await;
-    assert_eq!(got.status, 502, "{}", got.body);
-    assert!(got.body.contains("unknown"), "{}", got.body);
+    let (gateway, one, two) = pair(fail).await;
+    let response = gateway
+        .connect()
+        .await
+        .call(&post("/pay/1", "a2", "x"))
+        .await;
+    assert_eq!(response.status, 502, "{}", response.body);
+    assert!(response.body.contains("unknown"), "{}", response.body);
     assert_eq!(runs(&one, &two), 1);
 }
 
@@ -61,40 +72,48 @@
     format!("HTTP/1.1 200 OK\r\nrequest-id: {id}\r\ncontent-length: {length}\r\n\r\n{body}").into()
 }
 
-async fn passes_unchanged() {
-    let target = Target::answering("the plan").await;
-    let stage = Stage::start(view(routes(), &[&target])).await;
-    let mut caller = stage.connect().await;
-    let got = caller.call(&post("/plans/a?b=%20c", "id-1", "body")).await;
-    assert_eq!((got.status, got.body.as_str()), (200, "the plan"));
-    assert_eq!(got.header("signed"), "yes");
-    assert_eq!(got.header("request-id"), "id-1");
-    let seen = target.seen().remove(0);
-    assert!(seen.head.starts_with("POST /plans/a?b=%20c HTTP/1.1"));
-    assert_eq!(seen.body, b"body");
-    assert_eq!(seen.header("expected-target"), "target-0");
+async fn passes_response_unchanged() {
+    let target = Target::responding_with("the plan").await;
+    let gateway = Gateway::start(view(routes(), &[&target])).await;
+    let mut caller = gateway.connect().await;
+    let response = caller.call(&post("/plans/a?b=%20c", "id-1", "body")).await;
+    assert_eq!((response.status, response.body.as_str()), (200, "the plan"));
+    assert_eq!(response.header("signed"), "yes");
+    assert_eq!(response.header("request-id"), "id-1");
+    let request = target.requests().remove(0);
+    assert!(request.head.starts_with("POST /plans/a?b=%20c HTTP/1.1"));
+    assert_eq!(request.body, b"body");
+    assert_eq!(request.header("expected-target"), "target-0");
 }
 
-async fn skips_a_stray_answer() {
-    let target = Target::start(|seen| {
-        let mut acts = Vec::new();
-        if seen.before == 1 {
-            acts.push(Act::Send(answer(200, "another-one", "stray")));
+async fn skips_a_stray_response() {
+    let target = Target::start(|request| {
+        let mut actions = Vec::new();
+        if request.index == 1 {
+            actions.push(Action::Send(response(200, "another-one", "stray")));
         }
-        acts.push(Act::Send(seen.answer("own")));
-        acts
+        actions.push(Action::Send(request.response("own")));
+        actions
     })
     .await;
-    let stage = Stage::start(view(routes(), &[&target])).await;
-    let mut caller = stage.connect().await;
+    let gateway = Gateway::start(view(routes(), &[&target])).await;
+    let mut caller = gateway.connect().await;
     for id in ["a", "b", "c"] {
-        let got = caller.call(&post("/pay/1", id, "x")).await;
+        let response = caller.call(&post("/pay/1", id, "x")).await;
         assert_eq!(
-            (got.status, got.body.as_str(), got.header("request-id")),
+            (
+                response.status,
+                response.body.as_str(),
+                response.header("request-id")
+            ),
             (200, "own", id)
         );
     }
-    let connections: Vec<usize> = target.seen().iter().map(|seen| seen.connection).collect();
+    let connections: Vec<usize> = target
+        .requests()
+        .iter()
+        .map(|request| request.connection)
+        .collect();
     assert_eq!(
         connections,
         [0, 0, 1],
@@ -103,91 +122,116 @@
 }
 
 async fn closes_after_extra_bytes() {
-    let target = Target::start(|seen| {
-        let mut bytes = seen.answer("own");
-        bytes.extend(seen.answer("again"));
-        vec![Act::Send(bytes)]
+    let target = Target::start(|request| {
+        let mut bytes = request.response("own");
+        bytes.extend(request.response("again"));
+        vec![Action::Send(bytes)]
     })
     .await;
-    let stage = Stage::start(view(routes(), &[&target])).await;
-    let mut caller = stage.connect().await;
+    let gateway = Gateway::start(view(routes(), &[&target])).await;
+    let mut caller = gateway.connect().await;
     for id in ["a", "b"] {
-        let got = caller.call(&post("/pay/1", id, "x")).await;
-        assert_eq!((got.status, got.body.as_str()), (200, "own"));
+        let response = caller.call(&post("/pay/1", id, "x")).await;
+        assert_eq!((response.status, response.body.as_str()), (200, "own"));
     }
-    assert_eq!(target.seen()[1].connection, 1);
+    assert_eq!(target.requests()[1].connection, 1);
 }
 
 async fn refused_before_it_ran() {
-    let target = Target::start(|seen| {
-        let id = seen.id();
+    let target = Target::start(|request| {
+        let id = request.id();
         let text = format!(
             "HTTP/1.1 503 Full\r\nrequest-id: {id}\r\nnot-run: 1\r\ncontent-length: 0\r\n\r\n"
         );
-        vec![Act::Send(text.into_bytes())]
+        vec![Action::Send(text.into_bytes())]
     })
     .await;
-    let stage = Stage::start(view(routes(), &[&target])).await;
-    let got = stage.connect().await.call(&post("/pay/1", "a", "x")).await;
-    assert_eq!(got.status, 503);
-    assert!(got.header("retry-after").parse::<f64>().unwrap() > 0.0);
-    assert!(got.body.contains("not-run"), "{}", got.body);
+    let gateway = Gateway::start(view(routes(), &[&target])).await;
+    let response = gateway
+        .connect()
+        .await
+        .call(&post("/pay/1", "a", "x"))
+        .await;
+    assert_eq!(response.status, 503);
+    assert!(response.header("retry-after").parse::<f64>().unwrap() > 0.0);
+    assert!(response.body.contains("not-run"), "{}", response.body);
 }
 
 async fn refused_without_an_end() {
-    let target = Target::start(|seen| {
-        let id = seen.id();
+    let target = Target::start(|request| {
+        let id = request.id();
         let text = format!("HTTP/1.1 503 Full\r\nrequest-id: {id}\r\nnot-run: 1\r\n\r\nfull");
         vec![
-            Act::Send(text.into_bytes()),
-            Act::Wait(Duration::from_secs(15)),
+            Action::Send(text.into_bytes()),
+            Action::Wait(Duration::from_secs(15)),
         ]
     })
     .await;
-    let stage = Stage::start(view(routes(), &[&target])).await;
+    let gateway = Gateway::start(view(routes(), &[&target])).await;
     let since = std::time::Instant::now();
-    let got = stage.connect().await.call(&post("/pay/1", "a", "x")).await;
-    assert_eq!(got.status, 503);
-    assert!(got.body.contains("not-run"), "{}", got.body);
+    let response = gateway
+        .connect()
+        .await
+        .call(&post("/pay/1", "a", "x"))
+        .await;
+    assert_eq!(response.status, 503);
+    assert!(response.body.contains("not-run"), "{}", response.body);
     assert!(since.elapsed() < Duration::from_secs(1));
 }
 
-async fn stray_refusal_is_no_promise() {
+async fn ignores_a_stray_refusal() {
     let late = "HTTP/1.1 503 Full\r\nnot-run: 1\r\ncontent-length: 0\r\n\r\n";
-    let target = Target::start(move |seen| {
-        let is_first = seen.before == 0;
+    let target = Target::start(move |request| {
+        let is_first = request.index == 0;
         let bytes = if is_first {
-            seen.answer("fine")
+            request.response("fine")
         } else {
             late.into()
         };
-        vec![Act::Send(bytes)]
+        vec![Action::Send(bytes)]
     })
     .await;
-    let stage = Stage::start(view(routes(), &[&target])).await;
-    let mut caller = stage.connect().await;
+    let gateway = Gateway::start(view(routes(), &[&target])).await;
+    let mut caller = gateway.connect().await;
     assert_eq!(caller.call(&post("/pay/1", "a", "x")).await.status, 200);
-    let got = caller.call(&post("/pay/1", "b", "x")).await;
-    assert_eq!(got.status, 502, "{}", got.body);
+    let response = caller.call(&post("/pay/1", "b", "x")).await;
+    assert_eq!(response.status, 502, "{}", response.body);
 }
 
-async fn passes_own_failures_on() {
-    let target = Target::start(|seen| vec![Act::Send(answer(500, seen.id(), "broke"))]).await;
-    let stage = Stage::start(view(routes(), &[&target])).await;
-    let got = stage.connect().await.call(&post("/pay/1", "a", "x")).await;
+async fn passes_target_failures_on() {
+    let target =
+        Target::start(|request| vec![Action::Send(response(500, request.id(), "broke"))]).await;
+    let gateway = Gateway::start(view(routes(), &[&target])).await;
+    let response = gateway
+        .connect()
+        .await
+        .call(&post("/pay/1", "a", "x"))
+        .await;
     assert_eq!(
-        (got.status, got.body.as_str(), got.header("signed")),
+        (
+            response.status,
+            response.body.as_str(),
+            response.header("signed")
+        ),
         (500, "broke", "yes")
     );
-    let got = stage.connect().await.call(&get("/plans/1", "b", "")).await;
+    let response = gateway
+        .connect()
+        .await
+        .call(&get("/plans/1", "b", ""))
+        .await;
     assert_eq!(
-        (got.status, got.body.as_str(), got.header("signed")),
+        (
+            response.status,
+            response.body.as_str(),
+            response.header("signed")
+        ),
         (500, "broke", "yes")
     );
 }
 
 /// Makes an address at which connections neither open nor fail: its queue of new ones is full.
-async fn deaf() -> (
+async fn unresponsive_address() -> (
     std::net::SocketAddr,
     Vec<tokio::net::TcpStream>,
     tokio::net::TcpListener,
@@ -205,39 +249,39 @@
     (address, held, listener)
 }
 
-async fn a_later_refusal_takes_nothing_back() {
+async fn later_refusal_keeps_outcome_unknown() {
     let order = Rc::new(Cell::new(0));
     let script = |order: &Rc<Cell<u32>>| {
         let order = Rc::clone(order);
-        move |seen: &Seen| {
-            let id = seen.id();
+        move |request: &Request| {
+            let id = request.id();
             let full = format!(
                 "HTTP/1.1 503 Full\r\nrequest-id: {id}\r\nnot-run: 1\r\ncontent-length: 0\r\n\r\n"
             );
             match order.replace(order.get() + 1) {
-                0 => vec![Act::Close],
-                _ => vec![Act::Send(full.into_bytes())],
+                0 => vec![Action::Close],
+                _ => vec![Action::Send(full.into_bytes())],
             }
         }
     };
     let one = Target::start(script(&order)).await;
     let two = Target::start(script(&order)).await;
-    let (address, _held, _listener) = deaf().await;
+    let (address, _held, _listener) = unresponsive_address().await;
     let mut shown = view(routes(), &[&one, &two]);
     let mut targets = shown.targets.by_name().clone();
     // Left alone at first, as a target that was silent for long, so that the other two come before it.
-    let mut third = crate::stage::known("target-2", address);
+    let mut third = crate::harness::known_target("target-2", address);
     third.heard = third.heard.checked_sub(Duration::from_secs(10)).unwrap();
     targets.insert("target-2".to_owned(), third);
     shown.targets = std::sync::Arc::new(targets.into_iter().collect());
-    let stage = Stage::start(shown).await;
+    let gateway = Gateway::start(shown).await;
     let text = get("/plans/1", "a", "deadline-ms: 250\r\n");
-    let got = stage.connect().await.call(&text).await;
+    let response = gateway.connect().await.call(&text).await;
     assert_eq!(order.get(), 2, "the first two were asked");
-    assert_eq!(got.status, 504, "{}", got.body);
+    assert_eq!(response.status, 504, "{}", response.body);
 }
 
-async fn early_answer_ends_the_connection() {
+async fn early_response_ends_the_connection() {
     // The answer comes before the body is read; what is sent next on that connection would be taken
     // for the rest of the body.
     let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
@@ -257,9 +301,9 @@
             held.push(stream);
         }
     });
-    let target = Target::answering("unused").await;
+    let target = Target::responding_with("unused").await;
     let mut shown = view(routes(), &[&target]);
-    let known = crate::stage::known("target-0", address);
+    let known = crate::harness::known_target("target-0", address);
     shown.targets = std::sync::Arc::new([("target-0".to_owned(), known)].into_iter().collect());
     // Longer than what the kernel takes for a connection that nobody reads.
     let body = "x".repeat(24 << 20);
@@ -270,77 +314,80 @@
         table: Some(table),
         evacuated: Vec::new(),
     }));
-    let stage = Stage::start(shown).await;
+    let gateway = Gateway::start(shown).await;
     for _ in 0..2 {
-        let got = stage
+        let response = gateway
             .connect()
             .await
             .call(&post("/pay/1", "a", &body))
             .await;
-        assert_eq!(got.status, 503, "{}", got.body);
+        assert_eq!(response.status, 503, "{}", response.body);
     }
     assert_eq!(taken.get(), 2, "the connection was used again");
 }
 
-async fn leaving_is_felt_at_the_target() {
-    let target = Target::start(|_| vec![Act::Wait(Duration::from_secs(15))]).await;
-    let stage = Stage::start(view(routes(), &[&target])).await;
-    let mut caller = stage.connect().await;
+async fn disconnect_cancels_the_request() {
+    let target = Target::start(|_| vec![Action::Wait(Duration::from_secs(15))]).await;
+    let gateway = Gateway::start(view(routes(), &[&target])).await;
+    let mut caller = gateway.connect().await;
     caller.send(&post("/pay/1", "a", "x")).await;
-    crate::stage::until("the target sees the request", || target.seen().len() == 1).await;
+    crate::harness::wait_until("the target sees the request", || {
+        target.requests().len() == 1
+    })
+    .await;
     let since = std::time::Instant::now();
     drop(caller);
-    crate::stage::until("the target's connection closes", || target.closed() == 1).await;
+    crate::harness::wait_until("the target's connection closes", || target.closed() == 1).await;
     assert!(since.elapsed() < Duration::from_millis(500));
 }
 
 cases! {
     /// What passes through is what was sent: path, query, body, status and the target's own fields.
-    a_whole_answer_passes_unchanged => passes_unchanged(),
+    a_complete_response_passes_unchanged => passes_response_unchanged(),
     /// A target sends an answer that belongs to an earlier request of another caller. Were it taken, a
     /// caller would read a stranger's answer.
-    a_stray_answer_is_skipped => skips_a_stray_answer(),
+    a_stray_response_is_skipped => skips_a_stray_response(),
     /// A target answers twice. The second answer must not meet the next request on that connection.
-    bytes_behind_an_answer_end_the_connection => closes_after_extra_bytes(),
+    bytes_after_a_response_end_the_connection => closes_after_extra_bytes(),
     /// A full target says that it has not run the request. The caller is told so, and when to return.
-    a_refusal_before_the_run_is_told => refused_before_it_ran(),
+    a_refusal_before_the_run_is_reported => refused_before_it_ran(),
     /// A full target says so, names no length and keeps its connection open. Whoever waits for the end of its
     /// words holds the caller to the deadline for an answer that is known.
-    a_refusal_without_an_end_is_told_at_once => refused_without_an_end(),
+    a_refusal_without_an_end_is_reported_at_once => refused_without_an_end(),
     /// A late refusal of an earlier request arrives without an id. Taken for this request's, it would
     /// promise that a request never runs that is running.
-    a_refusal_without_an_id_promises_nothing => stray_refusal_is_no_promise(),
+    a_refusal_without_an_id_promises_nothing => ignores_a_stray_refusal(),
     /// A target closes without an answer; the next one refuses, which says nothing of the first. The caller
     /// must not be told that the request has not run.
-    a_later_refusal_takes_no_run_back => a_later_refusal_takes_nothing_back(),
+    a_later_refusal_does_not_hide_an_unknown_run => later_refusal_keeps_outcome_unknown(),
     /// A target's own failure is its answer, signature and all, also after a repeat.
-    a_targets_own_failure_is_passed_on => passes_own_failures_on(),
+    a_targets_own_failure_is_passed_on => passes_target_failures_on(),
     /// A target answers before it has read a long body, and reads on later.
-    a_connection_with_an_unread_body_is_not_used_again => early_answer_ends_the_connection(),
+    a_connection_with_an_unread_body_is_not_used_again => early_response_ends_the_connection(),
     /// A caller closes its connection while its request runs. The work would go on for nobody.
-    a_caller_that_leaves_is_felt_at_the_target => leaving_is_felt_at_the_target(),
+    a_caller_that_disconnects_cancels_its_request => disconnect_cancels_the_request(),
     /// A target closes without an answer; the request may have run.
-    a_closed_connection_is_survived => survives(|_| vec![Act::Close]),
+    a_closed_connection_is_survived => survives(|_| vec![Action::Close]),
     /// A target's answer is cut in the middle of its body.
-    a_cut_answer_is_survived => survives(|seen| {
-        vec![Act::Send(with_length(100, "half", seen.id())), Act::Close]
+    a_truncated_response_is_survived => survives(|request| {
+        vec![Action::Send(with_length(100, "half", request.id())), Action::Close]
     }),
     /// A target sends bytes that are no answer.
-    garbage_is_survived => survives(|_| vec![Act::Send(b"\0\x01garbage\r\n\r\n".to_vec())]),
+    garbage_is_survived => survives(|_| vec![Action::Send(b"\0\x01garbage\r\n\r\n".to_vec())]),
     /// A target's chunk is malformed.
-    a_malformed_chunk_is_survived => survives(|seen| {
-        let id = seen.id();
+    a_malformed_chunk_is_survived => survives(|request| {
+        let id = request.id();
         let text = format!(
             "HTTP/1.1 200 OK\r\nrequest-id: {id}\r\ntransfer-encoding: chunked\r\n\r\nzz\r\n"
         );
-        vec![Act::Send(text.into_bytes())]
+        vec![Action::Send(text.into_bytes())]
     }),
     /// A target names two lengths for one body.
-    two_lengths_are_survived => survives(|seen| {
-        let id = seen.id();
+    two_lengths_are_survived => survives(|request| {
+        let id = request.id();
         let text = format!(
             "HTTP/1.1 200 OK\r\nrequest-id: {id}\r\ncontent-length: 1\r\ncontent-length: 2\r\n\r\nab"
         );
-        vec![Act::Send(text.into_bytes())]
+        vec![Action::Send(text.into_bytes())]
     }),
 }
--- a/crates/zinniastall-gateway/tests/path/caller.rs
+++ b/crates/zinniastall-gateway/tests/path/caller.rs
@@ -7,7 +7,7 @@
     net::TcpStream,
 };
 
-use crate::stage::HOST;
+use crate::harness::HOST;
 
 /// A caller's connection.
 pub(crate) struct Caller {
@@ -17,7 +17,7 @@
 
 /// An answer as a caller reads it.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(crate) struct Got {
+pub(crate) struct Response {
     /// Status.
     pub(crate) status: u16,
     /// Head as text.
@@ -25,10 +25,10 @@
     /// Body without framing.
     pub(crate) body: String,
     /// Whether the body ended as its framing says.
-    pub(crate) is_whole: bool,
+    pub(crate) is_complete: bool,
 }
 
-impl Got {
+impl Response {
     /// Returns a header field, empty if there is none.
     pub(crate) fn header(&self, name: &str) -> &str {
         let lines = self.head.lines().filter_map(|line| line.split_once(": "));
@@ -65,10 +65,10 @@
     }
 
     /// Reads one answer, or nothing where the connection ends before one.
-    pub(crate) async fn answer(&mut self) -> Option<Got> {
+    pub(crate) async fn read_response(&mut self) -> Option<Response> {
         loop {
-            if let Some(got) = parse(&mut self.input, false) {
-                return Some(got);
+            if let Some(response) = parse(&mut self.input, false) {
+                return Some(response);
             }
             if !self.read().await {
                 return parse(&mut self.input, true);
@@ -77,22 +77,22 @@
     }
 
     /// Sends a request and reads its answer.
-    pub(crate) async fn call(&mut self, text: &str) -> Got {
+    pub(crate) async fn call(&mut self, text: &str) -> Response {
         self.send(text).await;
-        self.answer()
+        self.read_response()
             .await
             .expect("the connection ended without an answer")
     }
 
     /// Waits until a text has arrived; what arrived stays to be read as an answer.
-    pub(crate) async fn until_text(&mut self, text: &str) {
+    pub(crate) async fn read_until(&mut self, text: &str) {
         while !String::from_utf8_lossy(&self.input).contains(text) {
             assert!(self.read().await, "the connection ended before {text:?}");
         }
     }
 
     /// Tells whether the connection ends without further bytes.
-    pub(crate) async fn ends(&mut self) -> bool {
+    pub(crate) async fn reads_eof(&mut self) -> bool {
         !self.read().await && self.input.is_empty()
     }
 
@@ -109,34 +109,34 @@
 }
 
 /// Takes an answer off the front of bytes, a cut one only where the connection has ended.
-fn parse(input: &mut Vec<u8>, ended: bool) -> Option<Got> {
+fn parse(input: &mut Vec<u8>, at_eof: bool) -> Option<Response> {
     let end = input.windows(4).position(|four| four == b"\r\n\r\n")?;
     let head = String::from_utf8(input[..end].to_vec()).unwrap();
-    let mut got = Got {
+    let mut response = Response {
         status: head.split(' ').nth(1)?.parse().unwrap(),
         head,
         body: String::new(),
-        is_whole: false,
+        is_complete: false,
     };
     let body = &input[end + 4..];
-    let (text, used, whole) = if got.header("transfer-encoding") == "chunked" {
-        chunks(body)
+    let (text, used, whole) = if response.header("transfer-encoding") == "chunked" {
+        decode_chunks(body)
     } else {
-        let length: usize = got.header("content-length").parse().unwrap_or(0);
+        let length: usize = response.header("content-length").parse().unwrap_or(0);
         let used = length.min(body.len());
         (body[..used].to_vec(), used, body.len() >= length)
     };
-    if !whole && !ended {
+    if !whole && !at_eof {
         return None;
     }
-    got.body = String::from_utf8(text).unwrap();
-    got.is_whole = whole;
+    response.body = String::from_utf8(text).unwrap();
+    response.is_complete = whole;
     input.drain(..end + 4 + used);
-    Some(got)
+    Some(response)
 }
 
 /// Decodes chunks; returns the text, the bytes used and whether the last chunk was there.
-fn chunks(body: &[u8]) -> (Vec<u8>, usize, bool) {
+fn decode_chunks(body: &[u8]) -> (Vec<u8>, usize, bool) {
     let (mut text, mut at) = (Vec::new(), 0);
     loop {
         let Some(line) = body[at..].windows(2).position(|two| two == b"\r\n") else {
--- a/crates/zinniastall-gateway/tests/path/stage.rs
+++ b/crates/zinniastall-gateway/tests/path/harness.rs
@@ -2,7 +2,7 @@
 
 use std::{cell::RefCell, future::Future, net::SocketAddr, rc::Rc, sync::Arc, time::Duration};
 
-pub(crate) use crate::caller::{Caller, Got, get, post};
+pub(crate) use crate::caller::{Caller, Response, get, post};
 use tokio::{
     io::{AsyncReadExt, AsyncWriteExt},
     net::{TcpListener, TcpSocket, TcpStream},
@@ -15,7 +15,7 @@
     names::Names,
     path::{Traffic, serve},
     policy::Policy,
-    view::{Board, Target as Known, View},
+    view::{Board, Target as KnownTarget, View},
 };
 use zinniastall_model::{
     place::Place,
@@ -26,7 +26,7 @@
 use zinniastall_wire::hub::Configuration;
 
 /// Longest time that any step of a test may take.
-const LONGEST: Duration = Duration::from_secs(20);
+const TIMEOUT: Duration = Duration::from_secs(20);
 /// Host of all routes.
 pub(crate) const HOST: &str = "maps.example";
 /// Service behind all routes.
@@ -36,9 +36,9 @@
 
 /// What a target saw of one request.
 #[derive(Debug, Clone)]
-pub(crate) struct Seen {
+pub(crate) struct Request {
     /// Requests that this target saw before.
-    pub(crate) before: usize,
+    pub(crate) index: usize,
     /// Connection on which it came.
     pub(crate) connection: usize,
     /// Head as text.
@@ -49,7 +49,7 @@
 
 /// What a scripted target does next.
 #[derive(Debug, Clone)]
-pub(crate) enum Act {
+pub(crate) enum Action {
     /// Sends bytes.
     Send(Vec<u8>),
     /// Waits.
@@ -59,10 +59,10 @@
     /// Ends the target's process: all connections are closed and new ones are refused.
     Crash,
     /// Loses power: nothing is closed, nothing comes any more, and no connection opens.
-    Dark,
+    PowerLoss,
 }
 
-impl Seen {
+impl Request {
     /// Returns a header field, empty if there is none.
     pub(crate) fn header(&self, name: &str) -> &str {
         let lines = self.head.lines().filter_map(|line| line.split_once(": "));
@@ -76,13 +76,13 @@
     }
 
     /// Makes a whole answer to this request.
-    pub(crate) fn answer(&self, body: &str) -> Vec<u8> {
-        answer(200, self.id(), body)
+    pub(crate) fn response(&self, body: &str) -> Vec<u8> {
+        response(200, self.id(), body)
     }
 }
 
 /// Makes a whole answer.
-pub(crate) fn answer(status: u16, id: &str, body: &str) -> Vec<u8> {
+pub(crate) fn response(status: u16, id: &str, body: &str) -> Vec<u8> {
     let length = body.len();
     format!("HTTP/1.1 {status} Some\r\nrequest-id: {id}\r\nsigned: yes\r\ncontent-length: {length}\r\n\r\n{body}")
         .into_bytes()
@@ -93,37 +93,37 @@
 pub(crate) struct Target {
     /// Its address.
     pub(crate) address: SocketAddr,
-    seen: Rc<RefCell<Vec<Seen>>>,
+    requests: Rc<RefCell<Vec<Request>>>,
     closed: Rc<RefCell<usize>>,
 }
 
-type Script = dyn Fn(&Seen) -> Vec<Act>;
+type Script = dyn Fn(&Request) -> Vec<Action>;
 
 impl Target {
     /// Starts a target that acts on each request as a script says.
-    pub(crate) async fn start(script: impl Fn(&Seen) -> Vec<Act> + 'static) -> Self {
+    pub(crate) async fn start(script: impl Fn(&Request) -> Vec<Action> + 'static) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         Self::start_on(listener, script)
     }
 
     /// Starts a target that can act as if it lost power: its queue of new connections is short enough to be
     /// filled.
-    pub(crate) fn mortal(script: impl Fn(&Seen) -> Vec<Act> + 'static) -> Self {
+    pub(crate) fn with_short_backlog(script: impl Fn(&Request) -> Vec<Action> + 'static) -> Self {
         let socket = TcpSocket::new_v4().unwrap();
         socket.bind("127.0.0.1:0".parse().unwrap()).unwrap();
         Self::start_on(socket.listen(1).unwrap(), script)
     }
 
-    fn start_on(listener: TcpListener, script: impl Fn(&Seen) -> Vec<Act> + 'static) -> Self {
+    fn start_on(listener: TcpListener, script: impl Fn(&Request) -> Vec<Action> + 'static) -> Self {
         let address = listener.local_addr().unwrap();
         let target = Self {
             address,
-            seen: Rc::default(),
+            requests: Rc::default(),
             closed: Rc::default(),
         };
-        let dark = Rc::new(Notify::new());
+        let power_loss = Rc::new(Notify::new());
         let crash = Rc::new(watch::Sender::new(false));
-        let (seen, closed) = (Rc::clone(&target.seen), Rc::clone(&target.closed));
+        let (requests, closed) = (Rc::clone(&target.requests), Rc::clone(&target.closed));
         let script: Rc<Script> = Rc::new(script);
         tokio::task::spawn_local(async move {
             let mut connection = 0;
@@ -131,24 +131,24 @@
             loop {
                 let stream = tokio::select! {
                     accepted = listener.accept() => accepted.unwrap().0,
-                    () = dark.notified() => break,
+                    () = power_loss.notified() => break,
                     _ = crashed.changed() => return,
                 };
-                let (dark, crash) = (Rc::clone(&dark), Rc::clone(&crash));
-                let (script, seen) = (Rc::clone(&script), Rc::clone(&seen));
+                let (power_loss, crash) = (Rc::clone(&power_loss), Rc::clone(&crash));
+                let (script, requests) = (Rc::clone(&script), Rc::clone(&requests));
                 let closed = Rc::clone(&closed);
                 tokio::task::spawn_local(async move {
                     let mut crashed = crash.subscribe();
                     tokio::select! {
                         biased;
                         _ = crashed.wait_for(|crashed| *crashed) => {}
-                        () = attend(stream, connection, &*script, &seen, (&dark, &crash)) => {}
+                        () = serve_connection(stream, connection, &*script, &requests, (&power_loss, &crash)) => {}
                     }
                     *closed.borrow_mut() += 1;
                 });
                 connection += 1;
             }
-            let _unserved = fill(address).await;
+            let _unaccepted = fill_backlog(address).await;
             let () = std::future::pending().await;
             drop(listener);
         });
@@ -156,13 +156,13 @@
     }
 
     /// Starts a target that answers everything with its body.
-    pub(crate) async fn answering(body: &'static str) -> Self {
-        Self::start(move |seen| vec![Act::Send(seen.answer(body))]).await
+    pub(crate) async fn responding_with(body: &'static str) -> Self {
+        Self::start(move |request| vec![Action::Send(request.response(body))]).await
     }
 
     /// Returns the requests seen so far.
-    pub(crate) fn seen(&self) -> Vec<Seen> {
-        self.seen.borrow().clone()
+    pub(crate) fn requests(&self) -> Vec<Request> {
+        self.requests.borrow().clone()
     }
 
     /// Returns how many connections have ended.
@@ -172,36 +172,37 @@
 }
 
 /// Opens connections to a listener that accepts none, until it takes no more.
-async fn fill(address: SocketAddr) -> Vec<TcpStream> {
-    let mut unserved = Vec::new();
+async fn fill_backlog(address: SocketAddr) -> Vec<TcpStream> {
+    let mut unaccepted = Vec::new();
     let longest = Duration::from_millis(50);
     while let Ok(opened) = time::timeout(longest, TcpStream::connect(address)).await {
-        unserved.push(opened.unwrap());
+        unaccepted.push(opened.unwrap());
     }
-    unserved
+    unaccepted
 }
 
-async fn attend(
+async fn serve_connection(
     mut stream: TcpStream,
     connection: usize,
     script: &Script,
-    seen: &RefCell<Vec<Seen>>,
-    (dark, crash): (&Notify, &watch::Sender<bool>),
+    requests: &RefCell<Vec<Request>>,
+    (power_loss, crash): (&Notify, &watch::Sender<bool>),
 ) {
     let mut input = Vec::new();
     loop {
-        let Some(request) = read(&mut stream, &mut input, connection, seen).await else {
+        let Some(request) = read_request(&mut stream, &mut input, connection, requests).await
+        else {
             return;
         };
-        seen.borrow_mut().push(request.clone());
-        for act in script(&request) {
-            match act {
-                Act::Send(bytes) => {
+        requests.borrow_mut().push(request.clone());
+        for action in script(&request) {
+            match action {
+                Action::Send(bytes) => {
                     if stream.write_all(&bytes).await.is_err() {
                         return;
                     }
                 }
-                Act::Wait(time) => {
+                Action::Wait(time) => {
                     // The other end may leave meanwhile, which ends the connection.
                     let mut byte = [0; 1];
                     tokio::select! {
@@ -212,13 +213,13 @@
                         }
                     }
                 }
-                Act::Close => return,
-                Act::Crash => {
+                Action::Close => return,
+                Action::Crash => {
                     crash.send_replace(true);
                     let () = std::future::pending().await;
                 }
-                Act::Dark => {
-                    dark.notify_one();
+                Action::PowerLoss => {
+                    power_loss.notify_one();
                     let () = std::future::pending().await;
                 }
             }
@@ -226,19 +227,19 @@
     }
 }
 
-async fn read(
+async fn read_request(
     stream: &mut TcpStream,
     input: &mut Vec<u8>,
     connection: usize,
-    seen: &RefCell<Vec<Seen>>,
-) -> Option<Seen> {
+    requests: &RefCell<Vec<Request>>,
+) -> Option<Request> {
     let mut buffer = vec![0; 16 << 10];
     loop {
         let end = input.windows(4).position(|four| four == b"\r\n\r\n");
         if let Some(end) = end {
             let head = String::from_utf8(input[..end].to_vec()).unwrap();
-            let request = Seen {
-                before: seen.borrow().len(),
+            let request = Request {
+                index: requests.borrow().len(),
                 connection,
                 head,
                 body: Vec::new(),
@@ -248,7 +249,7 @@
                 let rest = input.split_off(end + 4 + length);
                 let body = input.split_off(end + 4);
                 *input = rest;
-                return Some(Seen { body, ..request });
+                return Some(Request { body, ..request });
             }
         }
         match stream.read(&mut buffer).await {
@@ -259,7 +260,7 @@
 }
 
 /// A gateway's request path.
-pub(crate) struct Stage {
+pub(crate) struct Gateway {
     /// Address for callers.
     pub(crate) callers: SocketAddr,
     /// Address for other instances.
@@ -290,7 +291,7 @@
     }));
     let known = targets.iter().enumerate().map(|(at, target)| {
         let name = format!("target-{at}");
-        (name.clone(), known(&name, target.address))
+        (name.clone(), known_target(&name, target.address))
     });
     view.targets = Arc::new(known.collect());
     view.instances = Arc::new(
@@ -316,8 +317,8 @@
 }
 
 /// Makes a target as the gateway knows it.
-pub(crate) fn known(name: &str, address: SocketAddr) -> Known {
-    Known {
+pub(crate) fn known_target(name: &str, address: SocketAddr) -> KnownTarget {
+    KnownTarget {
         report: Report {
             target: name.to_owned(),
             incarnation: 1,
@@ -337,7 +338,7 @@
     }
 }
 
-impl Stage {
+impl Gateway {
     /// Starts the path of an instance that sees this view.
     pub(crate) async fn start(view: View) -> Self {
         Self::on(Board::new(view)).await
@@ -354,7 +355,7 @@
         let traffic = Rc::new(Traffic::new(board, names, policy, Figures::new()));
         let callers = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let forward = TcpListener::bind("127.0.0.1:0").await.unwrap();
-        let stage = Self {
+        let gateway = Self {
             callers: callers.local_addr().unwrap(),
             forward: forward.local_addr().unwrap(),
             traffic: Rc::clone(&traffic),
@@ -362,7 +363,7 @@
         let instances = serve::accept(Rc::clone(&traffic), forward, true);
         tokio::task::spawn_local(serve::accept(traffic, callers, false));
         tokio::task::spawn_local(instances);
-        stage
+        gateway
     }
 
     /// Opens a caller's connection.
@@ -378,15 +379,15 @@
         .build()
         .unwrap();
     let local = LocalSet::new();
-    let bounded = async { time::timeout(LONGEST, test).await.expect("the test hangs") };
+    let bounded = async { time::timeout(TIMEOUT, test).await.expect("the test hangs") };
     local.block_on(&runtime, bounded);
 }
 
 /// Waits until a condition holds.
-pub(crate) async fn until(what: &str, holds: impl Fn() -> bool) {
+pub(crate) async fn wait_until(what: &str, holds: impl Fn() -> bool) {
     let since = time::Instant::now();
     while !holds() {
-        assert!(since.elapsed() < LONGEST, "waited too long until {what}");
+        assert!(since.elapsed() < TIMEOUT, "waited too long until {what}");
         time::sleep(Duration::from_millis(2)).await;
     }
 }
--- a/crates/zinniastall-gateway/tests/path/heads.rs
+++ b/crates/zinniastall-gateway/tests/path/heads.rs
@@ -4,26 +4,26 @@
 
 use crate::{
     cases,
-    stage::{HOST, Stage, Target, get, route, view},
+    harness::{Gateway, HOST, Target, get, route, view},
 };
 
-async fn stage() -> (Stage, Target) {
-    let target = Target::answering("fine").await;
+async fn gateway() -> (Gateway, Target) {
+    let target = Target::responding_with("fine").await;
     let routes = vec![route("/plans/", Kind::Idempotent, 1)];
-    let stage = Stage::start(view(routes, &[&target])).await;
-    (stage, target)
+    let gateway = Gateway::start(view(routes, &[&target])).await;
+    (gateway, target)
 }
 
 /// Sends bytes that must be refused with a status, and a request behind them that must not be read.
 async fn refused(text: String, status: u16) {
-    let (stage, target) = stage().await;
-    let mut caller = stage.connect().await;
+    let (gateway, target) = gateway().await;
+    let mut caller = gateway.connect().await;
     let behind = get("/plans/smuggled", "evil", "");
-    let got = caller.call(&format!("{text}{behind}")).await;
-    assert_eq!(got.status, status, "{}", got.body);
-    assert_eq!(got.header("connection"), "close");
-    assert!(caller.ends().await);
-    assert_eq!(target.seen().len(), 0);
+    let response = caller.call(&format!("{text}{behind}")).await;
+    assert_eq!(response.status, status, "{}", response.body);
+    assert_eq!(response.header("connection"), "close");
+    assert!(caller.reads_eof().await);
+    assert_eq!(target.requests().len(), 0);
 }
 
 fn with(fields: &str) -> String {
@@ -31,34 +31,34 @@
 }
 
 async fn strips_reserved_fields() {
-    let (stage, target) = stage().await;
+    let (gateway, target) = gateway().await;
     let fields = "secret: 1\r\nzs-revision: 9\r\nexpected-target: other\r\ndeadline-ms: 900\r\n\
                   fetch-from: 127.0.0.1:1\r\n\
                   x-own: kept\r\nConnection: x-hop\r\nx-hop: 1\r\n";
-    let got = stage
+    let response = gateway
         .connect()
         .await
         .call(&get("/plans/1", "a", fields))
         .await;
-    assert_eq!(got.status, 200);
-    let seen = target.seen().remove(0);
+    assert_eq!(response.status, 200);
+    let request = target.requests().remove(0);
     for gone in ["secret", "zs-revision", "x-hop", "connection", "fetch-from"] {
-        assert_eq!(seen.header(gone), "", "{gone} was passed on");
+        assert_eq!(request.header(gone), "", "{gone} was passed on");
     }
-    assert_eq!(seen.header("x-own"), "kept");
-    assert_eq!(seen.header("expected-target"), "target-0");
-    let left: u64 = seen.header("deadline-ms").parse().unwrap();
+    assert_eq!(request.header("x-own"), "kept");
+    assert_eq!(request.header("expected-target"), "target-0");
+    let left: u64 = request.header("deadline-ms").parse().unwrap();
     assert!((1..=900).contains(&left), "{left}");
 }
 
-async fn bounds_the_head() {
+async fn rejects_a_long_head() {
     let long = format!("x-long: {}", "x".repeat(20_000));
     refused(with(&long), 431).await;
 }
 
-async fn bounds_the_body() {
-    let (stage, target) = stage().await;
-    let mut caller = stage.connect().await;
+async fn rejects_a_long_body() {
+    let (gateway, target) = gateway().await;
+    let mut caller = gateway.connect().await;
     let head = with("Transfer-Encoding: chunked");
     caller.send(&head).await;
     // Five chunks of a megabyte are more than the four that a body may have.
@@ -66,43 +66,47 @@
     for _ in 0..5 {
         caller.send(&chunk).await;
     }
-    let got = caller.answer().await.unwrap();
-    assert_eq!(got.status, 413);
-    assert_eq!(target.seen().len(), 0);
+    let response = caller.read_response().await.unwrap();
+    assert_eq!(response.status, 413);
+    assert_eq!(target.requests().len(), 0);
 }
 
-async fn takes_chunks() {
-    let (stage, target) = stage().await;
-    let mut caller = stage.connect().await;
+async fn accepts_chunks() {
+    let (gateway, target) = gateway().await;
+    let mut caller = gateway.connect().await;
     let head = with("Transfer-Encoding: chunked");
-    let got = caller
+    let response = caller
         .call(&format!("{head}3\r\nabc\r\n2;x=y\r\nde\r\n0\r\n\r\n"))
         .await;
-    assert_eq!(got.status, 200);
-    let seen = target.seen().remove(0);
-    assert_eq!(seen.body, b"abcde");
-    assert_eq!(seen.header("transfer-encoding"), "");
+    assert_eq!(response.status, 200);
+    let request = target.requests().remove(0);
+    assert_eq!(request.body, b"abcde");
+    assert_eq!(request.header("transfer-encoding"), "");
 }
 
-async fn half_a_body_runs_nothing() {
-    let (stage, target) = stage().await;
-    let mut caller = stage.connect().await;
+async fn partial_body_runs_nothing() {
+    let (gateway, target) = gateway().await;
+    let mut caller = gateway.connect().await;
     caller.send(&with("Content-Length: 10")).await;
     caller.send("half").await;
     drop(caller);
-    let got = stage.connect().await.call(&get("/plans/1", "b", "")).await;
-    assert_eq!(got.status, 200);
-    assert_eq!(target.seen().len(), 1);
+    let response = gateway
+        .connect()
+        .await
+        .call(&get("/plans/1", "b", ""))
+        .await;
+    assert_eq!(response.status, 200);
+    assert_eq!(target.requests().len(), 1);
 }
 
-async fn serves_requests_sent_ahead() {
-    let (stage, _target) = stage().await;
-    let mut caller = stage.connect().await;
+async fn serves_pipelined_requests() {
+    let (gateway, _target) = gateway().await;
+    let mut caller = gateway.connect().await;
     let text = get("/plans/1", "a", "") + &get("/plans/2", "b", "");
     caller.send(&text).await;
     for id in ["a", "b"] {
-        let got = caller.answer().await.unwrap();
-        assert_eq!((got.status, got.header("request-id")), (200, id));
+        let response = caller.read_response().await.unwrap();
+        assert_eq!((response.status, response.header("request-id")), (200, id));
     }
 }
 
@@ -110,15 +114,15 @@
     /// A caller sets fields that only the gateway may set, to reach what isn't its own.
     reserved_fields_are_dropped => strips_reserved_fields(),
     /// A head without an end would fill the memory.
-    a_long_head_is_refused => bounds_the_head(),
+    a_long_head_is_refused => rejects_a_long_head(),
     /// A body without an end would fill the memory.
-    a_long_body_is_refused => bounds_the_body(),
+    a_long_body_is_refused => rejects_a_long_body(),
     /// A body in chunks is passed on whole, with its length.
-    a_body_in_chunks_is_passed_on => takes_chunks(),
+    a_body_in_chunks_is_passed_on => accepts_chunks(),
     /// A caller vanishes in the middle of its body: nothing must run.
-    half_a_body_is_never_sent => half_a_body_runs_nothing(),
+    a_partial_body_is_never_sent => partial_body_runs_nothing(),
     /// Callers may send the next request before the answer is there.
-    requests_sent_ahead_are_answered_in_order => serves_requests_sent_ahead(),
+    pipelined_requests_are_answered_in_order => serves_pipelined_requests(),
     /// Two lengths: a target that believes the other one would find a request inside the body.
     two_lengths_are_refused => refused(with("Content-Length: 4\r\nContent-Length: 90"), 400),
     /// A length beside chunks, which two readers may rank in two ways.
--- a/crates/zinniastall-gateway/tests/path/lines.rs
+++ b/crates/zinniastall-gateway/tests/path/lines.rs
@@ -13,13 +13,13 @@
 
 use crate::{
     cases,
-    stage::{Act, Seen, Stage, Target, get, post, route, view},
+    harness::{Action, Gateway, Request, Target, get, post, route, view},
 };
 
 /// Most lines a second on requests that fail.
-const BADLY: usize = 300;
+const MAX_FAILURE_LINES_PER_S: usize = 300;
 /// Most lines a second on requests that go well.
-const WELL: usize = 60;
+const MAX_SUCCESS_LINES_PER_S: usize = 60;
 
 thread_local! {
     /// What the tests of this thread have logged; each test has a thread of its own.
@@ -84,9 +84,13 @@
 
 async fn placed_and_ended() {
     keep_log();
-    let target = Target::answering("fine").await;
-    let stage = Stage::start(view(routes(), &[&target])).await;
-    stage.connect().await.call(&get("/plans/1", "a", "")).await;
+    let target = Target::responding_with("fine").await;
+    let gateway = Gateway::start(view(routes(), &[&target])).await;
+    gateway
+        .connect()
+        .await
+        .call(&get("/plans/1", "a", ""))
+        .await;
     let basis = [
         "wait_ms",
         "read_ms",
@@ -126,21 +130,25 @@
 async fn paused_between_events() {
     keep_log();
     let pause = Duration::from_millis(400);
-    let target = Target::start(move |seen| {
+    let target = Target::start(move |request| {
         let head = format!(
             "HTTP/1.1 200 OK\r\nrequest-id: {}\r\ncontent-length: 30\r\n\r\n",
-            seen.id()
+            request.id()
         );
         vec![
-            Act::Send((head + "id: 1\ndata: 1\n\n").into_bytes()),
-            Act::Wait(pause),
-            Act::Send(b"id: 2\ndata: 2\n\n".to_vec()),
+            Action::Send((head + "id: 1\ndata: 1\n\n").into_bytes()),
+            Action::Wait(pause),
+            Action::Send(b"id: 2\ndata: 2\n\n".to_vec()),
         ]
     })
     .await;
     let routes = vec![route("/stream/", Kind::Stream, 1)];
-    let stage = Stage::start(view(routes, &[&target])).await;
-    stage.connect().await.call(&get("/stream/1", "p", "")).await;
+    let gateway = Gateway::start(view(routes, &[&target])).await;
+    gateway
+        .connect()
+        .await
+        .call(&get("/stream/1", "p", ""))
+        .await;
     let [line] = &lines(&["event=request-ended", "id=p"])[..] else {
         panic!("{:?}", lines(&[]));
     };
@@ -149,22 +157,26 @@
     assert!(u128::from(said) >= pause.as_millis() - 50, "{line}");
 }
 
-async fn tried_again() {
+async fn retried() {
     keep_log();
     let is_first = Rc::new(Cell::new(true));
     let script = |is_first: &Rc<Cell<bool>>| {
         let is_first = Rc::clone(is_first);
-        move |seen: &Seen| {
+        move |request: &Request| {
             if is_first.replace(false) {
-                return vec![Act::Close];
+                return vec![Action::Close];
             }
-            vec![Act::Send(seen.answer("fine"))]
+            vec![Action::Send(request.response("fine"))]
         }
     };
     let one = Target::start(script(&is_first)).await;
     let two = Target::start(script(&is_first)).await;
-    let stage = Stage::start(view(routes(), &[&one, &two])).await;
-    stage.connect().await.call(&get("/plans/1", "a", "")).await;
+    let gateway = Gateway::start(view(routes(), &[&one, &two])).await;
+    gateway
+        .connect()
+        .await
+        .call(&get("/plans/1", "a", ""))
+        .await;
     let failed = ["event=attempt", "id=a", "outcome=unknown"];
     check_line(&failed, &["place", "why", "left_ms"]);
     check_line(
@@ -176,14 +188,14 @@
 /// Sends a request under two ids, each time to a target that ends while it runs it.
 async fn crashed_twice() {
     keep_log();
-    let crashing = |_: &Seen| vec![Act::Crash];
+    let crashing = |_: &Request| vec![Action::Crash];
     let one = Target::start(crashing).await;
     let two = Target::start(crashing).await;
-    let stage = Stage::start(view(routes(), &[&one, &two])).await;
+    let gateway = Gateway::start(view(routes(), &[&one, &two])).await;
     for id in ["a", "b"] {
-        stage.connect().await.call(&post("/pay/1", id, "x")).await;
+        gateway.connect().await.call(&post("/pay/1", id, "x")).await;
     }
-    let mark = |id: &str| {
+    let fingerprint = |id: &str| {
         let id = format!("id={id}");
         let words = ["event=target-crashed", id.as_str()];
         check_line(&words, &["place", "flights"]);
@@ -191,23 +203,31 @@
         let rest = line.split(" fingerprint=").nth(1).unwrap();
         rest.split(' ').next().unwrap().to_owned()
     };
-    assert_eq!(mark("a"), mark("b"));
+    assert_eq!(fingerprint("a"), fingerprint("b"));
 }
 
 /// A target closes a connection within an answer and goes on serving others.
-async fn cut_without_a_crash() {
+async fn cut_off_without_a_crash() {
     keep_log();
-    let target = Target::start(|_| vec![Act::Close]).await;
-    let stage = Stage::start(view(routes(), &[&target])).await;
-    stage.connect().await.call(&post("/pay/1", "a", "x")).await;
+    let target = Target::start(|_| vec![Action::Close]).await;
+    let gateway = Gateway::start(view(routes(), &[&target])).await;
+    gateway
+        .connect()
+        .await
+        .call(&post("/pay/1", "a", "x"))
+        .await;
     assert_eq!(lines(&["event=target-crashed"]), Vec::<String>::new());
 }
 
 async fn given_up() {
     keep_log();
-    let target = Target::start(|_| vec![Act::Close]).await;
-    let stage = Stage::start(view(routes(), &[&target])).await;
-    stage.connect().await.call(&post("/pay/1", "a", "x")).await;
+    let target = Target::start(|_| vec![Action::Close]).await;
+    let gateway = Gateway::start(view(routes(), &[&target])).await;
+    gateway
+        .connect()
+        .await
+        .call(&post("/pay/1", "a", "x"))
+        .await;
     check_line(
         &[
             "event=request-ended",
@@ -219,42 +239,48 @@
     );
 }
 
-async fn bounded() {
+async fn rate_limited() {
     const REQUESTS: usize = 2_000;
     keep_log();
-    let target = Target::start(|_| vec![Act::Close]).await;
-    let stage = Stage::start(view(routes(), &[&target])).await;
+    let target = Target::start(|_| vec![Action::Close]).await;
+    let gateway = Gateway::start(view(routes(), &[&target])).await;
     let since = std::time::Instant::now();
-    let mut caller = stage.connect().await;
+    let mut caller = gateway.connect().await;
     for at in 0..REQUESTS {
         caller.call(&post("/pay/1", &format!("a{at}"), "x")).await;
     }
     let windows = usize::try_from(since.elapsed().as_secs()).unwrap() + 1;
     let count = |event| lines(&[event]).len();
-    let badly = count("event=attempt") + count("event=request-ended");
-    assert!(badly <= BADLY * windows, "{badly} in {windows} s");
-    let well = count("event=placed");
-    assert!(well <= WELL * windows, "{well} in {windows} s");
+    let failures = count("event=attempt") + count("event=request-ended");
+    assert!(
+        failures <= MAX_FAILURE_LINES_PER_S * windows,
+        "{failures} in {windows} s"
+    );
+    let successes = count("event=placed");
+    assert!(
+        successes <= MAX_SUCCESS_LINES_PER_S * windows,
+        "{successes} in {windows} s"
+    );
     // The next window tells what this one left out.
     tokio::time::sleep(Duration::from_secs(1)).await;
     caller.call(&post("/pay/1", "last", "x")).await;
-    let told = lines(&["event=lines-left-out", "kind=badly"]);
-    assert!(!told.is_empty(), "what was left out is told");
+    let summary = lines(&["event=lines-left-out", "kind=badly"]);
+    assert!(!summary.is_empty(), "what was left out is told");
 }
 
 cases! {
     /// A caller asks why a request went where it went; its lines must say on what it was decided.
-    a_request_that_goes_well_has_its_lines => placed_and_ended(),
+    a_successful_request_has_its_lines => placed_and_ended(),
     /// An answer began at once and then stood still for longer than its caller can use.
-    a_pause_has_its_figure => paused_between_events(),
+    a_pause_is_logged_with_its_length => paused_between_events(),
     /// A request was slow because its first target failed it.
-    a_repeat_has_its_lines => tried_again(),
+    a_retry_has_its_lines => retried(),
     /// A caller was told that nobody knows whether a request ran.
-    an_unknown_end_has_its_line => given_up(),
+    an_unknown_outcome_has_its_line => given_up(),
     /// Two targets ended under one request that came twice: its lines must tell so.
     a_crash_names_its_request => crashed_twice(),
     /// A broken connection taken for a crash.
-    a_cut_is_no_crash => cut_without_a_crash(),
+    a_cut_connection_is_not_a_crash => cut_off_without_a_crash(),
     /// Every request fails. Lines without a bound would cost more than the requests, and fill the disk.
-    lines_are_bounded_where_everything_fails => bounded(),
+    lines_are_rate_limited_when_everything_fails => rate_limited(),
 }
--- a/crates/zinniastall-gateway/tests/path/main.rs
+++ b/crates/zinniastall-gateway/tests/path/main.rs
@@ -9,16 +9,16 @@
 mod answers;
 mod bounds;
 mod caller;
+mod harness;
 mod heads;
 mod lines;
 mod quarantine;
-mod stage;
 mod streams;
 
 /// Names tests that run on one thread: `cases! { name => async function, ... }`.
 macro_rules! cases {
     ($($(#[$about:meta])* $name:ident => $test:expr,)*) => {
-        $($(#[$about])* #[test] fn $name() { crate::stage::run($test); })*
+        $($(#[$about])* #[test] fn $name() { crate::harness::run($test); })*
     };
 }
 pub(crate) use cases;
--- a/crates/zinniastall-gateway/tests/path/quarantine.rs
+++ b/crates/zinniastall-gateway/tests/path/quarantine.rs
@@ -15,15 +15,16 @@
 
 use crate::{
     cases,
-    stage::{
-        Act, Caller, Got, HOST, PLACE, Seen, Stage, Target, instance, post, route, until, view,
+    harness::{
+        Action, Caller, Gateway, HOST, PLACE, Request, Response, Target, instance, post, route,
+        view, wait_until,
     },
 };
 
 /// Body of a request that crashes whoever runs it.
 const POISON: &str = "poison";
 /// Targets that one request may take down.
-const LIMIT: usize = 3;
+const MAX_CRASHES: usize = 3;
 
 fn routes() -> Vec<Route> {
     let mut stream = route("/stream/", Kind::Stream, 3);
@@ -35,11 +36,11 @@
     ]
 }
 
-fn crashes_on_poison(seen: &Seen) -> Vec<Act> {
-    if seen.body == POISON.as_bytes() {
-        return vec![Act::Crash];
+fn crashes_on_poison(request: &Request) -> Vec<Action> {
+    if request.body == POISON.as_bytes() {
+        return vec![Action::Crash];
     }
-    vec![Act::Send(seen.answer("fine"))]
+    vec![Action::Send(request.response("fine"))]
 }
 
 /// Targets that crash under the poison.
@@ -54,35 +55,37 @@
 /// Returns how many targets have run the poison.
 fn crashed(targets: &[Target]) -> usize {
     let ran = |target: &&Target| {
-        let seen = target.seen();
-        seen.iter().any(|seen| seen.body == POISON.as_bytes())
+        let request = target.requests();
+        request
+            .iter()
+            .any(|request| request.body == POISON.as_bytes())
     };
     targets.iter().filter(ran).count()
 }
 
-async fn ask(stage: &Stage, path: &str, id: &str, body: &str) -> Got {
-    stage.connect().await.call(&post(path, id, body)).await
+async fn send(gateway: &Gateway, path: &str, id: &str, body: &str) -> Response {
+    gateway.connect().await.call(&post(path, id, body)).await
 }
 
 /// A caller sends the poison again and again, each time on a connection and under an id of its own.
-async fn ends_three_at_most(path: &'static str) {
+async fn crashes_three_at_most(path: &'static str) {
     let targets = targets(9).await;
     let known: Vec<&Target> = targets.iter().collect();
-    let stage = Stage::start(view(routes(), &known)).await;
+    let gateway = Gateway::start(view(routes(), &known)).await;
     let mut last = None;
     for at in 0..9 {
-        last = Some(ask(&stage, path, &format!("p{at}"), POISON).await);
-        let other = ask(&stage, "/plans/1", &format!("o{at}"), "x").await;
+        last = Some(send(&gateway, path, &format!("p{at}"), POISON).await);
+        let other = send(&gateway, "/plans/1", &format!("o{at}"), "x").await;
         assert_eq!((other.status, other.body.as_str()), (200, "fine"));
     }
-    assert_eq!(crashed(&targets), LIMIT);
+    assert_eq!(crashed(&targets), MAX_CRASHES);
     let last = last.unwrap();
     assert_eq!((last.status, last.header("retry-after")), (400, ""));
     assert!(last.body.contains("quarantined"), "{}", last.body);
 }
 
 /// Starts an instance without targets of its own, beside one in another region that has some.
-async fn two_regions(targets: &[&Target]) -> (Stage, Stage) {
+async fn two_regions(targets: &[&Target]) -> (Gateway, Gateway) {
     let far = ("athens", "athens-a");
     let mut shown = view(routes(), targets);
     let in_athens = |(name, mut known): (String, zinniastall_gateway::view::Target)| {
@@ -94,41 +97,41 @@
     let mut there = shown.clone();
     "edge-2".clone_into(&mut there.instance);
     there.place = Place::new(far.0, far.1);
-    let there = Stage::start(there).await;
+    let there = Gateway::start(there).await;
     let forward = there.forward.to_string();
     let instances = [
         instance("edge-1", PLACE, "127.0.0.1:1"),
         instance("edge-2", far, &forward),
     ];
     shown.instances = Arc::new(instances.into_iter().collect());
-    (Stage::start(shown).await, there)
+    (Gateway::start(shown).await, there)
 }
 
 /// The caller's instance has no targets and passes the poison on. No datagram is exchanged.
-async fn is_told_across_regions() {
+async fn shares_crashes_across_regions() {
     let targets = targets(6).await;
     let known: Vec<&Target> = targets.iter().collect();
     let (here, there) = two_regions(&known).await;
-    let first = ask(&here, "/pay/1", "p0", POISON).await;
+    let first = send(&here, "/pay/1", "p0", POISON).await;
     assert_eq!(first.status, 502);
     assert_eq!(
         here.traffic.suspects.borrow().sum(),
         0,
         "one crash is no strong suspicion"
     );
-    ask(&here, "/pay/1", "p1", POISON).await;
-    ask(&here, "/pay/1", "p2", POISON).await;
+    send(&here, "/pay/1", "p1", POISON).await;
+    send(&here, "/pay/1", "p2", POISON).await;
     let sum = here.traffic.suspects.borrow().sum();
     assert_ne!(sum, 0);
     assert_eq!(sum, there.traffic.suspects.borrow().sum());
-    assert_eq!(ask(&here, "/pay/1", "p3", POISON).await.status, 400);
-    assert_eq!(ask(&there, "/pay/1", "p4", POISON).await.status, 400);
-    assert_eq!(crashed(&targets), LIMIT);
-    assert_eq!(ask(&here, "/pay/1", "o", "x").await.status, 200);
+    assert_eq!(send(&here, "/pay/1", "p3", POISON).await.status, 400);
+    assert_eq!(send(&there, "/pay/1", "p4", POISON).await.status, 400);
+    assert_eq!(crashed(&targets), MAX_CRASHES);
+    assert_eq!(send(&here, "/pay/1", "o", "x").await.status, 200);
 }
 
 /// What one instance knows goes along with a request that it passes on.
-async fn passes_suspicion_on() {
+async fn forwards_suspicion() {
     let targets = targets(4).await;
     let known: Vec<&Target> = targets.iter().collect();
     let (here, there) = two_regions(&known).await;
@@ -138,42 +141,42 @@
         let mut suspects = here.traffic.suspects.borrow_mut();
         suspects.crash(request, run, run > 0, now);
     }
-    ask(&here, "/pay/1", "p", POISON).await;
+    send(&here, "/pay/1", "p", POISON).await;
     assert_eq!(crashed(&targets), 1);
-    assert_eq!(ask(&there, "/pay/1", "q", POISON).await.status, 400);
+    assert_eq!(send(&there, "/pay/1", "q", POISON).await.status, 400);
 }
 
 /// Copies of a request run on all targets when most of these crash for another reason; it comes once more while the
 /// copies on the others still run, so that none has finished.
-async fn spares_the_popular() {
-    let script = |seen: &Seen| match seen.body.as_slice() {
+async fn keeps_popular_requests() {
+    let script = |request: &Request| match request.body.as_slice() {
         b"popular" => vec![
-            Act::Wait(Duration::from_secs(1)),
-            Act::Send(seen.answer("fine")),
+            Action::Wait(Duration::from_secs(1)),
+            Action::Send(request.response("fine")),
         ],
-        b"kill" => vec![Act::Crash],
-        _ => vec![Act::Send(seen.answer("fine"))],
+        b"kill" => vec![Action::Crash],
+        _ => vec![Action::Send(request.response("fine"))],
     };
     let mut targets = Vec::new();
     for _ in 0..6 {
         targets.push(Target::start(script).await);
     }
     let known: Vec<&Target> = targets.iter().collect();
-    let stage = Stage::start(view(routes(), &known)).await;
+    let gateway = Gateway::start(view(routes(), &known)).await;
     let statuses: Rc<RefCell<Vec<u16>>> = Rc::default();
     for at in 0..12 {
-        let mut caller = stage.connect().await;
+        let mut caller = gateway.connect().await;
         caller
             .send(&post("/pay/1", &format!("c{at}"), "popular"))
             .await;
         let statuses = Rc::clone(&statuses);
         tokio::task::spawn_local(async move {
-            let got = caller.answer().await.unwrap();
-            statuses.borrow_mut().push(got.status);
+            let response = caller.read_response().await.unwrap();
+            statuses.borrow_mut().push(response.status);
         });
     }
-    let all_run = || targets.iter().all(|target| !target.seen().is_empty());
-    until("copies run everywhere", all_run).await;
+    let all_run = || targets.iter().all(|target| !target.requests().is_empty());
+    wait_until("copies run everywhere", all_run).await;
     let crashing = &targets[..4];
     for target in crashing {
         let mut killer = Caller::connect(target.address).await;
@@ -181,28 +184,31 @@
     }
     let lost = || {
         let popular = |target: &Target| {
-            let seen = target.seen();
-            seen.iter().filter(|seen| seen.body == b"popular").count()
+            let request = target.requests();
+            request
+                .iter()
+                .filter(|request| request.body == b"popular")
+                .count()
         };
         crashing.iter().map(popular).sum::<usize>()
     };
-    until("all cut copies are answered", || {
+    wait_until("all cut copies are answered", || {
         statuses.borrow().len() >= lost()
     })
     .await;
     assert!(statuses.borrow().iter().all(|status| *status == 502));
-    let got = ask(&stage, "/pay/1", "again", "popular").await;
-    assert_eq!(got.status, 200, "{}", got.body);
-    assert_eq!(stage.traffic.suspects.borrow().quarantined(), 0);
+    let response = send(&gateway, "/pay/1", "again", "popular").await;
+    assert_eq!(response.status, 200, "{}", response.body);
+    assert_eq!(gateway.traffic.suspects.borrow().quarantined(), 0);
 }
 
 /// All targets but one crash in the same moment, each under a request of its own.
-async fn leaves_crashed_targets_alone() {
-    let script = |seen: &Seen| {
-        if seen.body.starts_with(b"crash") {
-            return vec![Act::Wait(Duration::from_millis(50)), Act::Crash];
+async fn skips_crashed_targets() {
+    let script = |request: &Request| {
+        if request.body.starts_with(b"crash") {
+            return vec![Action::Wait(Duration::from_millis(50)), Action::Crash];
         }
-        vec![Act::Send(seen.answer("fine"))]
+        vec![Action::Send(request.response("fine"))]
     };
     for _ in 0..5 {
         let mut targets = Vec::new();
@@ -210,43 +216,43 @@
             targets.push(Target::start(script).await);
         }
         let known: Vec<&Target> = targets.iter().collect();
-        let stage = Stage::start(view(routes(), &known)).await;
+        let gateway = Gateway::start(view(routes(), &known)).await;
         let mut callers = Vec::new();
         for at in 0..8 {
-            let mut caller = stage.connect().await;
+            let mut caller = gateway.connect().await;
             let body = format!("crash {at}");
             caller.send(&post("/pay/1", &format!("c{at}"), &body)).await;
             callers.push(caller);
         }
         for mut caller in callers {
-            assert_eq!(caller.answer().await.unwrap().status, 502);
+            assert_eq!(caller.read_response().await.unwrap().status, 502);
         }
-        let got = ask(&stage, "/pay/1", "next", "x").await;
-        assert_eq!(got.status, 200, "{}", got.body);
+        let response = send(&gateway, "/pay/1", "next", "x").await;
+        assert_eq!(response.status, 200, "{}", response.body);
     }
 }
 
 /// Targets break off every answer to a request and go on serving others.
-async fn spares_who_is_cut() {
-    let script = |seen: &Seen| {
-        if seen.body == b"cut" {
-            return vec![Act::Close];
+async fn ignores_cut_requests() {
+    let script = |request: &Request| {
+        if request.body == b"cut" {
+            return vec![Action::Close];
         }
-        vec![Act::Send(seen.answer("fine"))]
+        vec![Action::Send(request.response("fine"))]
     };
     let one = Target::start(script).await;
     let two = Target::start(script).await;
-    let stage = Stage::start(view(routes(), &[&one, &two])).await;
+    let gateway = Gateway::start(view(routes(), &[&one, &two])).await;
     for at in 0..6 {
-        let got = ask(&stage, "/pay/1", &format!("c{at}"), "cut").await;
-        assert_ne!(got.status, 400);
-        ask(&stage, "/pay/1", &format!("o{at}"), "x").await;
+        let response = send(&gateway, "/pay/1", &format!("c{at}"), "cut").await;
+        assert_ne!(response.status, 400);
+        send(&gateway, "/pay/1", &format!("o{at}"), "x").await;
     }
-    assert!(stage.traffic.suspects.borrow().is_empty());
+    assert!(gateway.traffic.suspects.borrow().is_empty());
 }
 
 /// Targets end as they said they would, with requests that they didn't finish.
-async fn spares_who_is_at_a_planned_end() {
+async fn ignores_planned_terminations() {
     let targets = targets(3).await;
     let known: Vec<&Target> = targets.iter().collect();
     let mut shown = view(routes(), &known);
@@ -256,20 +262,20 @@
     };
     let all = shown.targets.by_name().clone().into_iter();
     shown.targets = Arc::new(all.map(leaving).collect());
-    let stage = Stage::start(shown).await;
+    let gateway = Gateway::start(shown).await;
     for at in 0..3 {
-        ask(&stage, "/pay/1", &format!("p{at}"), POISON).await;
+        send(&gateway, "/pay/1", &format!("p{at}"), POISON).await;
     }
-    assert!(stage.traffic.suspects.borrow().is_empty());
+    assert!(gateway.traffic.suspects.borrow().is_empty());
 }
 
 /// A strong suspect comes ten times at once: one copy is tried, the others wait for what becomes of it.
 async fn tries_one_copy_at_a_time() {
-    let script = |seen: &Seen| {
-        if seen.body == POISON.as_bytes() {
-            return vec![Act::Wait(Duration::from_millis(100)), Act::Crash];
+    let script = |request: &Request| {
+        if request.body == POISON.as_bytes() {
+            return vec![Action::Wait(Duration::from_millis(100)), Action::Crash];
         }
-        vec![Act::Send(seen.answer("fine"))]
+        vec![Action::Send(request.response("fine"))]
     };
     let mut targets = Vec::new();
     for _ in 0..6 {
@@ -280,12 +286,12 @@
     for route in &mut routes {
         route.objective_ms = 1_000;
     }
-    let stage = Stage::start(view(routes, &known)).await;
-    ask(&stage, "/pay/1", "p0", POISON).await;
-    ask(&stage, "/pay/1", "p1", POISON).await;
+    let gateway = Gateway::start(view(routes, &known)).await;
+    send(&gateway, "/pay/1", "p0", POISON).await;
+    send(&gateway, "/pay/1", "p1", POISON).await;
     let mut callers = Vec::new();
     for at in 0..10 {
-        let mut caller = stage.connect().await;
+        let mut caller = gateway.connect().await;
         caller
             .send(&post("/pay/1", &format!("q{at}"), POISON))
             .await;
@@ -293,30 +299,30 @@
     }
     let mut statuses = Vec::new();
     for mut caller in callers {
-        statuses.push(caller.answer().await.unwrap().status);
+        statuses.push(caller.read_response().await.unwrap().status);
     }
     statuses.sort_unstable();
-    assert_eq!(crashed(&targets), LIMIT);
+    assert_eq!(crashed(&targets), MAX_CRASHES);
     assert_eq!(statuses, [[400; 9].as_slice(), &[502]].concat());
 }
 
 cases! {
     /// A request takes down one target after the other, and the service with them.
-    a_request_that_crashes_targets_ends_three_at_most => ends_three_at_most("/plans/1"),
-    a_request_that_may_run_once_ends_three_at_most => ends_three_at_most("/pay/1"),
-    a_stream_that_may_be_resumed_ends_three_at_most => ends_three_at_most("/stream/1"),
+    a_request_that_crashes_targets_crashes_three_at_most => crashes_three_at_most("/plans/1"),
+    a_request_that_may_run_once_crashes_three_at_most => crashes_three_at_most("/pay/1"),
+    a_stream_that_may_be_resumed_crashes_three_at_most => crashes_three_at_most("/stream/1"),
     /// A request that crashes the targets of one region comes to the instances of another.
-    an_instance_is_told_of_crashes_in_another_region => is_told_across_regions(),
+    crashes_are_shared_across_regions => shares_crashes_across_regions(),
     /// A region that hasn't heard of a suspect runs it as if it were the first time.
-    an_instance_tells_what_it_knows_of_a_request => passes_suspicion_on(),
+    a_forwarded_request_carries_its_suspicion => forwards_suspicion(),
     /// A popular request is turned away because many targets crashed with it.
-    a_popular_request_is_not_turned_away => spares_the_popular(),
+    a_popular_request_is_not_quarantined => keeps_popular_requests(),
     /// A request is refused because it is offered to one crashed target after the other.
-    a_target_that_crashed_is_left_alone => leaves_crashed_targets_alone(),
+    a_target_that_crashed_is_skipped => skips_crashed_targets(),
     /// A request whose answers are cut is taken for one that crashes targets.
-    a_request_that_is_cut_is_no_suspect => spares_who_is_cut(),
+    a_request_that_is_cut_off_is_not_suspected => ignores_cut_requests(),
     /// A release makes suspects of all requests that it cut.
-    a_planned_end_makes_no_suspects => spares_who_is_at_a_planned_end(),
+    a_planned_termination_makes_no_suspects => ignores_planned_terminations(),
     /// Callers that repeat a request at once take down a target each.
     a_strong_suspect_is_tried_one_copy_at_a_time => tries_one_copy_at_a_time(),
 }
--- a/crates/zinniastall-gateway/tests/quotas.rs
+++ b/crates/zinniastall-gateway/tests/quotas.rs
@@ -31,23 +31,23 @@
 
 const REGIONS: [&str; 3] = ["patras", "athens", "thessaloniki"];
 /// Instances of each availability zone; each region has two.
-const IN_ZONE: usize = 14;
+const INSTANCES_PER_ZONE: usize = 14;
 /// Window over which use is bounded, by how much it may be exceeded in part, and by how many tokens.
-const WINDOW: u64 = 8_000;
+const WINDOW_MS: u64 = 8_000;
 const OVERSHOOT: f64 = 0.1;
 const SLACK: f64 = 110_000.0;
 /// A large account's rate, and one of the smallest.
-const LARGE: u64 = 1_860_000;
-const SMALL: u64 = 29_000;
-const SECONDS: u64 = 24;
+const LARGE_RATE: u64 = 1_860_000;
+const SMALL_RATE: u64 = 29_000;
+const DURATION_S: u64 = 24;
 
 /// What callers do and what breaks, by time in milliseconds.
-struct Script {
+struct Scenario {
     rate: u64,
     /// Tokens asked for a second, as a part of the rate, in a region at a time.
     demand: fn(region: usize, at: u64) -> f64,
     /// Whether a region hears no other one.
-    is_cut: fn(region: usize, at: u64) -> bool,
+    is_partitioned: fn(region: usize, at: u64) -> bool,
     /// When all instances lose what they know.
     restart: Option<u64>,
 }
@@ -63,21 +63,21 @@
 /// What an account was let in for and what it was refused, in tokens by millisecond.
 #[derive(Default)]
 struct Outcome {
-    let_in: BTreeMap<u64, u64>,
+    admitted: BTreeMap<u64, u64>,
     refused: BTreeMap<u64, u64>,
 }
 
 impl Outcome {
     /// Returns the most that was let in within any window.
-    fn worst_window(&self) -> u64 {
+    fn max_admitted_in_window(&self) -> u64 {
         let sum = |end: &u64| {
-            let from = end.saturating_sub(WINDOW - 1);
-            self.let_in
+            let from = end.saturating_sub(WINDOW_MS - 1);
+            self.admitted
                 .range(from..=*end)
                 .map(|(_, tokens)| tokens)
                 .sum()
         };
-        self.let_in.keys().map(sum).max().unwrap_or(0)
+        self.admitted.keys().map(sum).max().unwrap_or(0)
     }
 
     fn sum(tokens: &BTreeMap<u64, u64>, from: u64, to: u64) -> u64 {
@@ -86,11 +86,11 @@
 
     /// Returns which part of what was asked for within a time was refused.
     fn refused_part(&self, from: u64, to: u64) -> f64 {
-        let (let_in, refused) = (
-            Self::sum(&self.let_in, from, to),
+        let (admitted, refused) = (
+            Self::sum(&self.admitted, from, to),
             Self::sum(&self.refused, from, to),
         );
-        refused as f64 / (let_in + refused).max(1) as f64
+        refused as f64 / (admitted + refused).max(1) as f64
     }
 }
 
@@ -104,7 +104,7 @@
 
 fn quotas() -> Quotas {
     Quotas::new(Bound {
-        window: Duration::from_millis(WINDOW),
+        window: Duration::from_millis(WINDOW_MS),
         slack: 110_000,
     })
 }
@@ -126,7 +126,7 @@
         };
         (presence.instance.clone(), presence)
     };
-    let all = IN_ZONE * 6;
+    let all = INSTANCES_PER_ZONE * 6;
     let node = |at: usize| {
         let mut view = View::new(format!("edge-{at}"), place(at));
         view.instances = std::sync::Arc::new((0..all).map(presence).collect());
@@ -141,7 +141,7 @@
     (0..all).map(node).collect()
 }
 
-fn play(seed: u64, script: &Script) -> Outcome {
+fn simulate(seed: u64, scenario: &Scenario) -> Outcome {
     println!("seed {seed}");
     let mut random = StdRng::seed_from_u64(seed);
     let mut nodes = nodes(&mut random);
@@ -149,9 +149,9 @@
     let start = Instant::now();
     let mut sent: BTreeMap<(u64, u64), (usize, Datagram)> = BTreeMap::new();
     let (mut outcome, mut number) = (Outcome::default(), 0);
-    for at in 0..SECONDS * 1_000 {
+    for at in 0..DURATION_S * 1_000 {
         let now = start + Duration::from_millis(at);
-        if script.restart == Some(at) {
+        if scenario.restart == Some(at) {
             for node in &mut nodes {
                 (node.exchange, node.quotas) = (Exchange::default(), quotas());
             }
@@ -166,10 +166,11 @@
         }
         for from in 0..nodes.len() {
             if at % 100 == nodes[from].phase {
-                for (to, datagram) in round(&mut nodes[from], account, script.rate, now) {
+                for (to, datagram) in round(&mut nodes[from], account, scenario.rate, now) {
                     let (near, far) = (nodes[from].region, nodes[to].region);
-                    let is_cut = (script.is_cut)(near, at) || (script.is_cut)(far, at);
-                    let is_lost = near != far && is_cut || random.random_bool(0.02);
+                    let is_partitioned =
+                        (scenario.is_partitioned)(near, at) || (scenario.is_partitioned)(far, at);
+                    let is_lost = near != far && is_partitioned || random.random_bool(0.02);
                     let trip = if near == far { 1 } else { 55 };
                     number += 1;
                     if !is_lost {
@@ -179,13 +180,13 @@
             }
         }
         for region in 0..3 {
-            let tokens = (script.demand)(region, at) * script.rate as f64 / 1_000.0;
-            ask(
+            let tokens = (scenario.demand)(region, at) * scenario.rate as f64 / 1_000.0;
+            send_requests(
                 &mut nodes,
                 region,
                 tokens,
                 &mut random,
-                (script.rate, at, now),
+                (scenario.rate, at, now),
                 &mut outcome,
             );
         }
@@ -232,7 +233,7 @@
 }
 
 /// Makes requests of a region's callers: a third of them long.
-fn ask(
+fn send_requests(
     nodes: &mut [Node],
     region: usize,
     tokens: f64,
@@ -259,7 +260,7 @@
             .quotas
             .admit(key("studio"), &quota(rate), claim, now);
         let tokens = match admitted {
-            Ok(()) => &mut outcome.let_in,
+            Ok(()) => &mut outcome.admitted,
             Err(_) => &mut outcome.refused,
         };
         *tokens.entry(at).or_default() += cost;
@@ -270,19 +271,19 @@
 }
 
 /// Names a play of some seeds; each ends with a check of the bound on every window.
-macro_rules! plays {
-    ($($(#[$about:meta])* $name:ident: $script:expr, $check:expr;)*) => {$(
+macro_rules! simulations {
+    ($($(#[$about:meta])* $name:ident: $scenario:expr, $check:expr;)*) => {$(
         $(#[$about])*
         #[test]
         fn $name() {
             for seed in 1..=3 {
-                let script: Script = $script;
-                let outcome = play(seed, &script);
-                let rate = script.rate as f64;
+                let scenario: Scenario = $scenario;
+                let outcome = simulate(seed, &scenario);
+                let rate = scenario.rate as f64;
                 let bound = (rate * 8.0 + rate) * (1.0 + OVERSHOOT) + SLACK;
-                let worst = outcome.worst_window() as f64;
-                println!("worst window {:.3} of the bound", worst / bound);
-                assert!(worst <= bound, "seed {seed}: {worst} of {bound} let in within a window");
+                let max_admitted = outcome.max_admitted_in_window() as f64;
+                println!("worst window {:.3} of the bound", max_admitted / bound);
+                assert!(max_admitted <= bound, "seed {seed}: {max_admitted} of {bound} let in within a window");
                 let check: fn(&Outcome) = $check;
                 check(&outcome);
             }
@@ -291,7 +292,7 @@
 }
 
 /// Parts of an account's usual use by region, which changes places with the hours.
-fn usual(region: usize, at: u64) -> f64 {
+fn usual_demand(region: usize, at: u64) -> f64 {
     let busy = usize::try_from(at / 8_000 % 3).unwrap_or(0);
     let part = if region == busy { 0.9 } else { 0.05 };
     part / 1.8
@@ -301,62 +302,62 @@
     false
 }
 
-plays! {
+simulations! {
     /// Guards against requests refused below the quota.
-    steady_use_is_let_in: Script {
-        rate: LARGE, demand: usual, is_cut: never, restart: None,
+    steady_use_is_admitted: Scenario {
+        rate: LARGE_RATE, demand: usual_demand, is_partitioned: never, restart: None,
     }, |outcome| {
         assert!(outcome.refused_part(0, 300) < 0.02, "at the start");
-        assert!(outcome.refused_part(300, SECONDS * 1_000) < 0.001);
+        assert!(outcome.refused_part(300, DURATION_S * 1_000) < 0.001);
     };
 
     /// Guards against a small account's few long prompts being refused one by one.
-    a_small_accounts_long_prompts_are_let_in: Script {
-        rate: SMALL, demand: usual, is_cut: never, restart: None,
+    a_small_accounts_long_prompts_are_admitted: Scenario {
+        rate: SMALL_RATE, demand: usual_demand, is_partitioned: never, restart: None,
     }, |outcome| {
-        let refused = outcome.refused_part(300, SECONDS * 1_000);
+        let refused = outcome.refused_part(300, DURATION_S * 1_000);
         println!("refused {refused:.4}");
         assert!(refused < 0.05);
     };
 
     /// Guards against a quota exceeded by an account that suddenly asks for several times of it.
-    a_hot_account_is_held_to_its_quota: Script {
-        rate: LARGE, is_cut: never, restart: None,
-        demand: |region, at| usual(region, at) * if (6_000..15_000).contains(&at) { 7.5 } else { 1.0 },
+    a_hot_account_is_held_to_its_quota: Scenario {
+        rate: LARGE_RATE, is_partitioned: never, restart: None,
+        demand: |region, at| usual_demand(region, at) * if (6_000..15_000).contains(&at) { 7.5 } else { 1.0 },
     }, |outcome| {
-        let let_in = Outcome::sum(&outcome.let_in, 6_000, 15_000) as f64 / LARGE as f64 / 9.0;
-        println!("let in {let_in:.3} of the rate");
-        assert!(let_in > 0.9, "{let_in}");
-        assert!(outcome.refused_part(19_000, SECONDS * 1_000) < 0.001, "once it is over");
+        let admitted = Outcome::sum(&outcome.admitted, 6_000, 15_000) as f64 / LARGE_RATE as f64 / 9.0;
+        println!("let in {admitted:.3} of the rate");
+        assert!(admitted > 0.9, "{admitted}");
+        assert!(outcome.refused_part(19_000, DURATION_S * 1_000) < 0.001, "once it is over");
     };
 
     /// Guards against requests refused for which something of the last window is left.
-    a_peak_within_the_window_is_let_in: Script {
-        rate: LARGE, is_cut: never, restart: None,
-        demand: |region, at| usual(region, at) * if (12_000..13_800).contains(&at) { 4.0 } else { 0.8 },
+    a_peak_within_the_window_is_admitted: Scenario {
+        rate: LARGE_RATE, is_partitioned: never, restart: None,
+        demand: |region, at| usual_demand(region, at) * if (12_000..13_800).contains(&at) { 4.0 } else { 0.8 },
     }, |outcome| {
         assert!(outcome.refused_part(10_000, 16_000) < 0.001);
     };
 
     /// Guards against a quota exceeded by a small account, of which each request is a large part.
-    a_small_hot_account_is_held_to_its_quota: Script {
-        rate: SMALL, is_cut: never, restart: None,
-        demand: |region, at| usual(region, at) * if (6_000..15_000).contains(&at) { 7.5 } else { 1.0 },
+    a_small_hot_account_is_held_to_its_quota: Scenario {
+        rate: SMALL_RATE, is_partitioned: never, restart: None,
+        demand: |region, at| usual_demand(region, at) * if (6_000..15_000).contains(&at) { 7.5 } else { 1.0 },
     }, |outcome| {
-        let let_in = Outcome::sum(&outcome.let_in, 6_000, 15_000) as f64 / SMALL as f64 / 9.0;
-        println!("let in {let_in:.3} of the rate");
-        assert!(let_in > 0.8, "{let_in}");
+        let admitted = Outcome::sum(&outcome.admitted, 6_000, 15_000) as f64 / SMALL_RATE as f64 / 9.0;
+        println!("let in {admitted:.3} of the rate");
+        assert!(admitted > 0.8, "{admitted}");
     };
 
     /// Guards against regions that each use the whole quota while they can't hear each other.
-    a_hot_account_is_held_to_its_quota_in_regions_cut_off: Script {
-        rate: LARGE, restart: None, is_cut: |_, at| (6_000..14_000).contains(&at),
+    a_hot_account_is_held_to_its_quota_in_partitioned_regions: Scenario {
+        rate: LARGE_RATE, restart: None, is_partitioned: |_, at| (6_000..14_000).contains(&at),
         demand: |_, at| if at < 6_500 { 0.55 / 3.0 } else { 4.0 / 3.0 },
     }, |_| {};
 
     /// Guards against refusals in regions that are cut off and go on as before.
-    usual_use_goes_on_in_regions_cut_off: Script {
-        rate: LARGE, restart: None, is_cut: |region, at| region == 1 && (6_000..14_000).contains(&at),
+    usual_use_continues_in_partitioned_regions: Scenario {
+        rate: LARGE_RATE, restart: None, is_partitioned: |region, at| region == 1 && (6_000..14_000).contains(&at),
         demand: |_, _| 0.55 / 3.0,
     }, |outcome| {
         let refused = outcome.refused_part(6_000, 14_000);
@@ -365,9 +366,9 @@
     };
 
     /// Guards against a quota spent a second time by instances that lost what they knew.
-    a_hot_account_is_held_to_its_quota_over_a_restart_of_all: Script {
-        rate: LARGE, is_cut: never, restart: Some(9_000),
-        demand: |region, at| usual(region, at) * if at < 6_000 { 1.0 } else { 7.5 },
+    a_hot_account_is_held_to_its_quota_over_a_restart_of_all: Scenario {
+        rate: LARGE_RATE, is_partitioned: never, restart: Some(9_000),
+        demand: |region, at| usual_demand(region, at) * if at < 6_000 { 1.0 } else { 7.5 },
     }, |_| {};
 }
 
@@ -379,7 +380,7 @@
     let (mut quotas, account, start) = (quotas(), key("studio"), Instant::now());
     quotas.share_among(2);
     let mut random = StdRng::seed_from_u64(1);
-    let (mut let_in, mut used) = (0, 0);
+    let (mut total_admitted, mut used) = (0, 0);
     for round in 0..200 {
         let now = start + Duration::from_millis(round * 100);
         let usage = Usage { asked: ASKED, used };
@@ -398,16 +399,16 @@
         let admitted = admitted.count() as u64 * ASKED / 200;
         used = (used * 4 + admitted) / 5;
         if (110..150).contains(&round) {
-            let_in += admitted / 10;
+            total_admitted += admitted / 10;
         }
     }
-    println!("let in {let_in} within four seconds");
-    assert!(let_in > ASKED / 10 * 2, "{let_in}");
-    assert!(let_in < ASKED / 10 * 8, "{let_in}");
+    println!("let in {total_admitted} within four seconds");
+    assert!(total_admitted > ASKED / 10 * 2, "{total_admitted}");
+    assert!(total_admitted < ASKED / 10 * 8, "{total_admitted}");
 }
 
 /// Returns what a first collector sends of many accounts that all have the same use.
-fn told_of_many(accounts: u32, usage: Usage, known: &dyn Accounts) -> Vec<Datagram> {
+fn totals_of_many(accounts: u32, usage: Usage, known: &dyn Accounts) -> Vec<Datagram> {
     let mut nodes = nodes(&mut StdRng::seed_from_u64(1));
     let first = nodes.iter_mut().find(|node| node.roster.is_first());
     let node = first.expect("a zone has a first collector");
@@ -420,7 +421,7 @@
 
 /// Guards against totals of many accounts that count in part: an account of a later datagram would seem to use nothing.
 #[test]
-fn totals_of_many_accounts_are_heard_as_a_whole() {
+fn totals_of_many_accounts_are_applied_as_a_whole() {
     let usage = Usage {
         asked: 70,
         used: 60,
@@ -430,12 +431,12 @@
         rate: 1_000,
         past: None,
     };
-    let mut told = told_of_many(100, usage, &known);
-    told.retain(|datagram| matches!(datagram, Datagram::AllUsed { .. }));
-    assert!(told.len() > 1, "one datagram can't hold them");
+    let mut totals = totals_of_many(100, usage, &known);
+    totals.retain(|datagram| matches!(datagram, Datagram::AllUsed { .. }));
+    assert!(totals.len() > 1, "one datagram can't hold them");
     let mut heard = Exchange::default();
-    let last = told.pop().expect("the last one");
-    for datagram in told {
+    let last = totals.pop().expect("the last one");
+    for datagram in totals {
         assert!(!heard.hear(datagram, Instant::now()), "some are missing");
     }
     assert!(heard.hear(last, Instant::now()));
@@ -463,7 +464,7 @@
         asked: u64::MAX,
         used: u64::MAX,
     };
-    for datagram in told_of_many(100, usage, &Absurd) {
+    for datagram in totals_of_many(100, usage, &Absurd) {
         let encoded = datagram.encode();
         assert!(encoded.is_ok(), "{encoded:?}");
     }
--- a/crates/zinniastall-gateway/tests/suspects.rs
+++ b/crates/zinniastall-gateway/tests/suspects.rs
@@ -25,14 +25,14 @@
 use zinniastall_model::{fingerprint::Fingerprint, place::Place, presence::Presence};
 
 /// Time between two rounds, and for which news is gathered, in milliseconds.
-const ROUND: u64 = 100;
-const GATHER: u64 = 10;
+const ROUND_MS: u64 = 100;
+const GATHER_MS: u64 = 10;
 /// One-way trips within a region and between two, in milliseconds.
-const TRIPS: (u64, u64) = (1, 55);
+const LATENCIES_MS: (u64, u64) = (1, 55);
 /// Part of the datagrams that is lost.
-const LOSS: f64 = 0.02;
+const LOSS_RATE: f64 = 0.02;
 /// Requests that ride on a target.
-const RIDERS: u8 = 64;
+const BATCH: u8 = 64;
 
 struct Node {
     place: Place,
@@ -40,11 +40,11 @@
     exchange: Exchange,
     suspects: Suspects,
     phase: u64,
-    telling: Option<u64>,
+    news_due: Option<u64>,
 }
 
 /// Instances that exchange datagrams, with a clock in milliseconds.
-struct World {
+struct Simulation {
     nodes: Vec<Node>,
     random: StdRng,
     start: Instant,
@@ -53,14 +53,14 @@
     datagrams: u64,
     bytes: usize,
     /// Region that hears nobody and is heard by nobody.
-    cut: Option<String>,
+    partitioned: Option<String>,
 }
 
 fn request(number: u8) -> Fingerprint {
     Fingerprint::from([number; 16])
 }
 
-impl World {
+impl Simulation {
     fn new(seed: u64, instances: usize, regions: usize, zones_each: usize) -> Self {
         println!("seed {seed}, {instances} instances");
         let mut random = StdRng::seed_from_u64(seed);
@@ -90,8 +90,8 @@
                 roster: Roster::new(&view),
                 exchange: Exchange::default(),
                 suspects: Suspects::default(),
-                phase: random.random_range(0..ROUND),
-                telling: None,
+                phase: random.random_range(0..ROUND_MS),
+                news_due: None,
             }
         };
         Self {
@@ -102,7 +102,7 @@
             sent: BTreeMap::new(),
             datagrams: 0,
             bytes: 0,
-            cut: None,
+            partitioned: None,
         }
     }
 
@@ -132,17 +132,17 @@
         }
         for at in 0..self.nodes.len() {
             let node = &mut self.nodes[at];
-            if node.suspects.has_news() && node.telling.is_none() {
-                node.telling = Some(self.at + GATHER);
+            if node.suspects.has_news() && node.news_due.is_none() {
+                node.news_due = Some(self.at + GATHER_MS);
             }
             let mut sends = Vec::new();
-            let is_round = self.at % ROUND == node.phase;
+            let is_round = self.at % ROUND_MS == node.phase;
             if is_round {
                 sends.extend(node.exchange.round(&node.roster, &node.suspects));
             }
-            if is_round || node.telling.is_some_and(|due| due <= self.at) {
+            if is_round || node.news_due.is_some_and(|due| due <= self.at) {
                 sends.extend(suspicions::news(&node.roster, &mut node.suspects));
-                node.telling = None;
+                node.news_due = None;
             }
             self.send(at, sends);
         }
@@ -174,13 +174,19 @@
                 let to: usize = name["edge-".len()..].parse().unwrap();
                 let (near, far) = (&self.nodes[from].place.region, &self.nodes[to].place.region);
                 let is_far = near != far;
-                let is_cut = |region: &String| self.cut.as_ref() == Some(region);
+                let is_partitioned = |region: &String| self.partitioned.as_ref() == Some(region);
                 self.datagrams += 1;
                 self.bytes += length;
-                if is_far && (is_cut(near) || is_cut(far)) || self.random.random_bool(LOSS) {
+                if is_far && (is_partitioned(near) || is_partitioned(far))
+                    || self.random.random_bool(LOSS_RATE)
+                {
                     continue;
                 }
-                let trip = if is_far { TRIPS.1 } else { TRIPS.0 };
+                let trip = if is_far {
+                    LATENCIES_MS.1
+                } else {
+                    LATENCIES_MS.0
+                };
                 let key = (self.at + trip, self.datagrams);
                 self.sent.insert(key, (from, to, sent.datagram.clone()));
             }
@@ -188,16 +194,16 @@
     }
 
     /// Plays until a condition holds at all instances; returns the milliseconds that it took.
-    fn until(&mut self, longest: u64, holds: impl Fn(&Suspects) -> bool) -> u64 {
+    fn run_until(&mut self, timeout: u64, condition: impl Fn(&Suspects) -> bool) -> u64 {
         let since = self.at;
-        while !self.nodes.iter().all(|node| holds(&node.suspects)) {
-            assert!(self.at < since + longest, "not within {longest} ms");
+        while !self.nodes.iter().all(|node| condition(&node.suspects)) {
+            assert!(self.at < since + timeout, "not within {timeout} ms");
             self.step();
         }
         self.at - since
     }
 
-    fn play(&mut self, time: u64) {
+    fn run_for(&mut self, time: u64) {
         let end = self.at + time;
         while self.at < end {
             self.step();
@@ -206,32 +212,32 @@
 }
 
 fn knows_all(suspects: &Suspects) -> bool {
-    (0..RIDERS).all(|number| suspects.crashes(request(number)) > 0)
+    (0..BATCH).all(|number| suspects.crashes(request(number)) > 0)
 }
 
 /// A target crashes with a full batch, whose requests came over several instances.
-fn all_hear_of_a_crash(instances: usize, regions: usize, zones: usize, seeds: u64) {
+fn check_crash_propagation(instances: usize, regions: usize, zones: usize, seeds: u64) {
     for seed in 0..seeds {
-        let mut world = World::new(seed, instances, regions, zones);
-        world.play(3 * ROUND);
-        let (datagrams, bytes) = (world.datagrams, world.bytes);
-        let senders = world.nodes.len().min(8);
-        let each = RIDERS / u8::try_from(senders).unwrap();
+        let mut simulation = Simulation::new(seed, instances, regions, zones);
+        simulation.run_for(3 * ROUND_MS);
+        let (datagrams, bytes) = (simulation.datagrams, simulation.bytes);
+        let senders = simulation.nodes.len().min(8);
+        let each = BATCH / u8::try_from(senders).unwrap();
         for sender in 0..senders {
             // Instances of one region: those that have the crashed target.
             let node = sender * regions % instances;
             let from = each * u8::try_from(sender).unwrap();
-            world.crash(node, from..from + each, 1);
+            simulation.crash(node, from..from + each, 1);
         }
         let rest = each * u8::try_from(senders).unwrap();
-        world.crash(0, rest..RIDERS, 1);
-        let took = world.until(1_000, knows_all);
-        world.play(2 * ROUND);
+        simulation.crash(0, rest..BATCH, 1);
+        let took = simulation.run_until(1_000, knows_all);
+        simulation.run_for(2 * ROUND_MS);
         let each = |sum: u64| sum / u64::try_from(instances).unwrap();
         println!(
             "all know after {took} ms; {} datagrams and {} bytes an instance",
-            each(world.datagrams - datagrams),
-            each(u64::try_from(world.bytes - bytes).unwrap())
+            each(simulation.datagrams - datagrams),
+            each(u64::try_from(simulation.bytes - bytes).unwrap())
         );
     }
 }
@@ -242,7 +248,7 @@
             /// A request that crashes targets goes on elsewhere, where nobody has heard of it.
             #[test]
             fn $name() {
-                all_hear_of_a_crash($instances, $regions, $zones, $seeds);
+                check_crash_propagation($instances, $regions, $zones, $seeds);
             }
         )*
     };
@@ -258,61 +264,61 @@
 
 /// An instance that starts, or was suspended, runs what all others have quarantined.
 #[test]
-fn an_instance_without_memory_learns_what_is_quarantined() {
-    let mut world = World::new(7, 83, 3, 2);
+fn a_restarted_instance_learns_what_is_quarantined() {
+    let mut simulation = Simulation::new(7, 83, 3, 2);
     for run in 0..3 {
-        world.crash(0, 0..1, run);
+        simulation.crash(0, 0..1, run);
     }
-    world.until(1_000, |suspects| suspects.crashes(request(0)) >= LIMIT);
-    world.play(1_000);
+    simulation.run_until(1_000, |suspects| suspects.crashes(request(0)) >= LIMIT);
+    simulation.run_for(1_000);
     for node in [40, 41, 42] {
-        world.nodes[node].suspects = Suspects::default();
-        world.nodes[node].exchange = Exchange::default();
+        simulation.nodes[node].suspects = Suspects::default();
+        simulation.nodes[node].exchange = Exchange::default();
     }
     // One round, an answer, and one more of each in case a datagram is lost.
-    world.until(1_500, |suspects| suspects.crashes(request(0)) >= LIMIT);
+    simulation.run_until(1_500, |suspects| suspects.crashes(request(0)) >= LIMIT);
 }
 
 /// Both sides of a cut learn what the other one has found out meanwhile, and count it together.
 #[test]
-fn regions_that_were_cut_off_add_up_what_they_know() {
-    let mut world = World::new(8, 83, 3, 2);
-    world.crash(0, 0..1, 1);
-    world.until(1_000, |suspects| suspects.crashes(request(0)) == 1);
-    world.cut = Some("r0".to_owned());
-    world.crash(0, 0..1, 2);
-    world.crash(1, 0..1, 3);
-    world.play(2_000);
-    let crashes = world
+fn regions_that_were_partitioned_add_up_their_crashes() {
+    let mut simulation = Simulation::new(8, 83, 3, 2);
+    simulation.crash(0, 0..1, 1);
+    simulation.run_until(1_000, |suspects| suspects.crashes(request(0)) == 1);
+    simulation.partitioned = Some("r0".to_owned());
+    simulation.crash(0, 0..1, 2);
+    simulation.crash(1, 0..1, 3);
+    simulation.run_for(2_000);
+    let crashes = simulation
         .nodes
         .iter()
         .map(|node| node.suspects.crashes(request(0)));
     assert!(crashes.into_iter().all(|crashes| crashes == 2));
-    world.cut = None;
-    world.until(5_000, |suspects| suspects.crashes(request(0)) >= LIMIT);
+    simulation.partitioned = None;
+    simulation.run_until(5_000, |suspects| suspects.crashes(request(0)) >= LIMIT);
 }
 
 /// A request that was cleared stays suspected where the news was missed.
 #[test]
 fn a_cleared_request_is_cleared_everywhere() {
-    let mut world = World::new(9, 83, 3, 2);
+    let mut simulation = Simulation::new(9, 83, 3, 2);
     for run in 0..3 {
-        world.crash(0, 0..1, run);
+        simulation.crash(0, 0..1, run);
     }
-    world.until(1_000, |suspects| suspects.crashes(request(0)) >= LIMIT);
-    world.cut = Some("r2".to_owned());
-    let now = world.now();
-    assert!(world.nodes[0].suspects.finish(request(0), now));
-    world.play(1_000);
-    world.cut = None;
-    world.until(5_000, |suspects| suspects.crashes(request(0)) == 0);
+    simulation.run_until(1_000, |suspects| suspects.crashes(request(0)) >= LIMIT);
+    simulation.partitioned = Some("r2".to_owned());
+    let now = simulation.now();
+    assert!(simulation.nodes[0].suspects.finish(request(0), now));
+    simulation.run_for(1_000);
+    simulation.partitioned = None;
+    simulation.run_until(5_000, |suspects| suspects.crashes(request(0)) == 0);
 }
 
 /// Nothing is sent but comparisons while no target crashes.
 #[test]
-fn calm_instances_compare_once_a_second() {
-    let mut world = World::new(10, 83, 3, 2);
-    world.play(10_000);
-    assert!(world.datagrams <= 83 * 11, "{}", world.datagrams);
-    assert!(world.bytes / 83 <= 10 * 60, "{}", world.bytes);
+fn idle_instances_compare_once_a_second() {
+    let mut simulation = Simulation::new(10, 83, 3, 2);
+    simulation.run_for(10_000);
+    assert!(simulation.datagrams <= 83 * 11, "{}", simulation.datagrams);
+    assert!(simulation.bytes / 83 <= 10 * 60, "{}", simulation.bytes);
 }
