--- a/crates/zinniastall-gateway/tests/decide.rs
+++ b/crates/zinniastall-gateway/tests/decide.rs
@@ -7,12 +7,12 @@
 
 mod decide {
     pub(crate) mod budget;
+    pub(crate) mod concurrency;
     pub(crate) mod fetch;
     pub(crate) mod outlier;
     pub(crate) mod place;
-    pub(crate) mod reading;
-    pub(crate) mod room;
+    pub(crate) mod prefill;
+    pub(crate) mod service_time;
+    pub(crate) mod slow_start;
     pub(crate) mod steady;
-    pub(crate) mod warm;
-    pub(crate) mod work;
 }
--- a/crates/zinniastall-gateway/tests/decide/room.rs
+++ b/crates/zinniastall-gateway/tests/decide/concurrency.rs
@@ -5,19 +5,19 @@
 /// Sends requests to a target with room for so many as long as it is expected to take them; the target finishes
 /// some in each of a number of rounds. Returns how many it took and how many it refused.
 fn simulate(capacity: u32, finishes: u32, rounds: u32) -> (u32, u32) {
-    let mut room = Room::default();
+    let mut limit = Room::default();
     let (mut in_flight, mut taken, mut refused) = (0_u32, 0, 0);
     for _ in 0..rounds {
         for _ in 0..2 * finishes {
-            if !room.is_open(in_flight) {
+            if !limit.is_open(in_flight) {
                 break;
             }
             if in_flight < capacity {
-                room.taken(in_flight);
+                limit.taken(in_flight);
                 in_flight += 1;
                 taken += 1;
             } else {
-                room.refused(in_flight, 6);
+                limit.refused(in_flight, 6);
                 refused += 1;
             }
         }
@@ -38,20 +38,20 @@
 /// A target comes back with a longer queue. It is found out within forty requests.
 #[test]
 fn grown_capacity_is_discovered() {
-    let mut room = Room::default();
-    room.refused(10, 6);
-    assert!(!room.is_open(10));
+    let mut limit = Room::default();
+    limit.refused(10, 6);
+    assert!(!limit.is_open(10));
     for _ in 0..40 {
-        room.taken(10);
+        limit.taken(10);
     }
-    assert!(room.is_open(10));
+    assert!(limit.is_open(10));
 }
 
 /// A target refuses for reasons of its own while it is idle. It still gets as many as it has slots.
 #[test]
 fn an_idle_target_gets_as_many_as_it_has_slots() {
-    let mut room = Room::default();
-    room.refused(0, 6);
-    assert!(room.is_open(5));
-    assert!(!room.is_open(6));
+    let mut limit = Room::default();
+    limit.refused(0, 6);
+    assert!(limit.is_open(5));
+    assert!(!limit.is_open(6));
 }
--- a/crates/zinniastall-gateway/tests/decide/place.rs
+++ b/crates/zinniastall-gateway/tests/decide/place.rs
@@ -22,7 +22,7 @@
     }
 }
 
-const PATIENCE: Patience = Patience {
+const CONSTRAINTS: Patience = Patience {
     left: ms(10_000),
     objective: ms(1_000),
     rank: 0,
@@ -36,8 +36,8 @@
 #[test]
 fn a_held_prompt_is_worth_a_short_queue() {
     let held = |wait| [candidate(wait, 30), candidate(0, 200)];
-    assert_eq!(choose(&held(330), &[], PATIENCE), Choice::Here(0));
-    assert_eq!(choose(&held(350), &[], PATIENCE), Choice::Here(1));
+    assert_eq!(choose(&held(330), &[], CONSTRAINTS), Choice::Here(0));
+    assert_eq!(choose(&held(350), &[], CONSTRAINTS), Choice::Here(1));
 }
 
 /// A region's peak passes its own capacity while another one is idle.
@@ -48,11 +48,11 @@
         trip: ms(120),
     }];
     assert_eq!(
-        choose(&[candidate(100, 0)], &far, PATIENCE),
+        choose(&[candidate(100, 0)], &far, CONSTRAINTS),
         Choice::Here(0)
     );
     assert_eq!(
-        choose(&[candidate(400, 0)], &far, PATIENCE),
+        choose(&[candidate(400, 0)], &far, CONSTRAINTS),
         Choice::There(0)
     );
 }
@@ -62,15 +62,15 @@
     let mut failing = candidate(0, 0);
     failing.is_out = true;
     assert_eq!(
-        choose(&[failing, candidate(500, 0)], &[], PATIENCE),
+        choose(&[failing, candidate(500, 0)], &[], CONSTRAINTS),
         Choice::Here(1)
     );
-    assert_eq!(choose(&[failing], &[], PATIENCE), Choice::Here(0));
+    assert_eq!(choose(&[failing], &[], CONSTRAINTS), Choice::Here(0));
     let far = [Region {
         wait: ms(0),
         trip: ms(120),
     }];
-    assert_eq!(choose(&[failing], &far, PATIENCE), Choice::There(0));
+    assert_eq!(choose(&[failing], &far, CONSTRAINTS), Choice::There(0));
 }
 
 /// Most of many targets fail their requests, and two are well. Only a few are weighed, and the two must be among
@@ -83,11 +83,11 @@
         one.tie = u64::try_from(at).unwrap() * 7 % 20;
     }
     many[12].wait = ms(50);
-    assert_eq!(choose(&many, &[], PATIENCE), Choice::Here(7));
+    assert_eq!(choose(&many, &[], CONSTRAINTS), Choice::Here(7));
     many[7].is_out = true;
-    assert_eq!(choose(&many, &[], PATIENCE), Choice::Here(12));
+    assert_eq!(choose(&many, &[], CONSTRAINTS), Choice::Here(12));
     many[12].is_out = true;
-    assert!(matches!(choose(&many, &[], PATIENCE), Choice::Here(_)));
+    assert!(matches!(choose(&many, &[], CONSTRAINTS), Choice::Here(_)));
 }
 
 /// No target takes a request now, and one is about to: the request is kept for part of its objective,
@@ -96,7 +96,7 @@
 fn a_request_waits_only_if_a_target_opens_soon() {
     let soon = Patience {
         opens_soon: true,
-        ..PATIENCE
+        ..CONSTRAINTS
     };
     assert!(matches!(choose(&[], &[], soon), Choice::Wait(_)));
     let late = Patience {
@@ -104,13 +104,13 @@
         ..soon
     };
     assert!(matches!(choose(&[], &[], late), Choice::Refuse(_)));
-    assert!(matches!(choose(&[], &[], PATIENCE), Choice::Refuse(_)));
+    assert!(matches!(choose(&[], &[], CONSTRAINTS), Choice::Refuse(_)));
 }
 
 /// A refusal names a time that grows with the queue.
 #[test]
 fn a_refusal_carries_a_retry_delay() {
-    let after = |wait| match choose(&[candidate(wait, 0)], &[], PATIENCE) {
+    let after = |wait| match choose(&[candidate(wait, 0)], &[], CONSTRAINTS) {
         Choice::Refuse(after) => after,
         other => panic!("{other:?}"),
     };
@@ -157,11 +157,11 @@
         .collect();
     let (mut in_time, mut late) = (0, 0);
     while let Some((now, before)) = arrivals.pop_front() {
-        let seen: Vec<Candidate> = queues
+        let candidates: Vec<Candidate> = queues
             .iter_mut()
             .map(|queue| candidate(queue.wait(now), 0))
             .collect();
-        match decide(&seen) {
+        match decide(&candidates) {
             Choice::Here(at) if queues[at].add(now) + before <= 1_000 => in_time += 1,
             Choice::Here(_) => late += 1,
             Choice::Refuse(after) if before == 0 => {
@@ -179,13 +179,13 @@
 /// answers are late; with it, as many are in time as there is capacity for.
 #[test]
 fn overload_is_refused_so_that_the_rest_is_in_time() {
-    let least = |seen: &[Candidate]| {
-        let places = seen.iter().enumerate();
+    let least = |candidates: &[Candidate]| {
+        let places = candidates.iter().enumerate();
         let best = places.min_by_key(|(_, candidate)| candidate.wait);
         Choice::Here(best.map_or(0, |(at, _)| at))
     };
     let (before, _) = simulate(200, least);
-    let (after, late) = simulate(200, |seen| choose(seen, &[], PATIENCE));
+    let (after, late) = simulate(200, |candidates| choose(candidates, &[], CONSTRAINTS));
     println!(
         "in time of 2,000, capacity 1,000: {before} without a bound, {after} with it, {late} late"
     );
@@ -197,7 +197,7 @@
 /// Below capacity nothing is refused.
 #[test]
 fn nothing_is_refused_below_capacity() {
-    let (in_time, late) = simulate(95, |seen| choose(seen, &[], PATIENCE));
+    let (in_time, late) = simulate(95, |candidates| choose(candidates, &[], CONSTRAINTS));
     assert_eq!((in_time, late), (950, 0));
 }
 
@@ -275,16 +275,16 @@
     for at in 0..30_000 / interval {
         // A fixed order in which every beginning comes about as often.
         let (now, prefix) = (at * interval, at * at * 31 % 7_919 % PREFIXES);
-        let seen = engines.iter();
-        let seen: Vec<Candidate> = seen
+        let candidates = engines.iter();
+        let candidates: Vec<Candidate> = candidates
             .map(|engine| engine.candidate(prefix, now, count))
             .collect();
-        if let Choice::Here(at) = choose(&seen, &[], PATIENCE) {
+        if let Choice::Here(at) = choose(&candidates, &[], CONSTRAINTS) {
             let holders: Vec<Holder> = engines.iter().map(|engine| engine.holder(prefix)).collect();
             let copies = source(&holders, at, link, Duration::from_millis).is_some();
-            let (end, again) = engines[at].read(prefix, now, copies);
+            let (end, recomputed) = engines[at].read(prefix, now, copies);
             in_time += usize::from(end <= now + 1_000);
-            read += usize::from(again);
+            read += usize::from(recomputed);
         }
     }
     (in_time, read)
@@ -313,8 +313,8 @@
     let (after, read_after) = simulate_prefixes(21, 2, LINK);
     println!("read again: {before} in time, {read_before} read; copied: {after}, {read_after}");
     assert!(after > before, "{before}, {after}");
-    let again = |read: usize| read - usize::try_from(PREFIXES).unwrap();
-    assert!(again(read_after) * 2 < again(read_before));
+    let recomputed = |read: usize| read - usize::try_from(PREFIXES).unwrap();
+    assert!(recomputed(read_after) * 2 < recomputed(read_before));
 }
 
 /// Counts of one rank: asked for, answered within the objective.
@@ -344,14 +344,14 @@
     let mut shares = [Share::default(); 2];
     for (now, kind) in arrivals {
         shares[kind].asked += 1;
-        let patience = Patience {
+        let constraints = Patience {
             rank: kind * rank,
             route_rank: kind * rank,
             objective: ms(OBJECTIVES_MS[kind]),
-            ..PATIENCE
+            ..CONSTRAINTS
         };
         let waits = queues.iter_mut().map(|queue| candidate(queue.wait(now), 0));
-        if let Choice::Here(at) = choose(&waits.collect::<Vec<_>>(), &[], patience) {
+        if let Choice::Here(at) = choose(&waits.collect::<Vec<_>>(), &[], constraints) {
             queues[at].service_ms = [10, 100][kind];
             shares[kind].in_time += u32::from(queues[at].add(now) <= OBJECTIVES_MS[kind]);
         }
--- a/crates/zinniastall-gateway/tests/decide/work.rs
+++ b/crates/zinniastall-gateway/tests/decide/service_time.rs
@@ -6,21 +6,21 @@
 
 const ASSUMED: Duration = Duration::from_millis(20);
 
-fn learned_from(answers: impl IntoIterator<Item = (u64, u32)>) -> Duration {
-    let mut work = Work::default();
-    for (took_ms, ahead) in answers {
-        work.note(Duration::from_millis(took_ms), ahead, 6);
+fn learned_from(responses: impl IntoIterator<Item = (u64, u32)>) -> Duration {
+    let mut estimate = Work::default();
+    for (took_ms, ahead) in responses {
+        estimate.note(Duration::from_millis(took_ms), ahead, 6);
     }
-    work.expected(ASSUMED)
+    estimate.expected(ASSUMED)
 }
 
 macro_rules! learns {
-    ($($name:ident: $answers:expr => $least:expr, $most:expr;)*) => {$(
+    ($($name:ident: $responses:expr => $least:expr, $most:expr;)*) => {$(
         #[test]
         fn $name() {
-            let work = learned_from($answers);
+            let expected = learned_from($responses);
             let range = Duration::from_millis($least)..=Duration::from_millis($most);
-            assert!(range.contains(&work), "{work:?}");
+            assert!(range.contains(&expected), "{expected:?}");
         }
     )*};
 }
--- a/crates/zinniastall-gateway/tests/decide/warm.rs
+++ b/crates/zinniastall-gateway/tests/decide/slow_start.rs
@@ -32,13 +32,13 @@
 #[test]
 fn two_senders_together_stay_under_the_bound() {
     let base = Instant::now();
-    let (mut one, mut two) = (Pace::default(), Pace::default());
+    let (mut first, mut second) = (Pace::default(), Pace::default());
     for shift in 0..20 {
-        let mut times = send_times(&mut one, 0, 6_000, base);
-        times.extend(send_times(&mut two, 2_000 + shift * 25, 6_000, base));
+        let mut times = send_times(&mut first, 0, 6_000, base);
+        times.extend(send_times(&mut second, 2_000 + shift * 25, 6_000, base));
         let peak = max_per_second(times);
         assert!(peak <= MAX_PER_SECOND, "{peak} within a second");
-        (one, two) = (Pace::default(), Pace::default());
+        (first, second) = (Pace::default(), Pace::default());
     }
 }
 
--- a/crates/zinniastall-gateway/tests/decide/steady.rs
+++ b/crates/zinniastall-gateway/tests/decide/steady.rs
@@ -214,18 +214,18 @@
         shares[usize::from(!is_long)].asked += 1;
         let is_report_due = now >= last_report + scenario.report_interval;
         last_report = if is_report_due { now } else { last_report };
-        for (engine, seen) in &mut engines {
+        for (engine, reports) in &mut engines {
             engine.run(now);
             if is_report_due {
-                seen.update(engine);
+                reports.update(engine);
             }
         }
         let request = Request::new(is_long, at % scenario.instances, now);
-        let seen = engines.iter().map(|(engine, seen)| Candidate {
+        let weighed = engines.iter().map(|(engine, reports)| Candidate {
             tie: random.random(),
-            ..seen.candidate(engine, &request)
+            ..reports.candidate(engine, &request)
         });
-        let candidates: Vec<Candidate> = seen.collect();
+        let candidates: Vec<Candidate> = weighed.collect();
         if let Choice::Here(at) = decide(&candidates, is_long) {
             engines[at].0.waiting.push_back(request);
         }
@@ -239,7 +239,7 @@
     shares
 }
 
-fn patience(is_long: bool, gap: Duration) -> Patience {
+fn constraints(is_long: bool, gap: Duration) -> Patience {
     Patience {
         left: Duration::from_secs(5),
         objective: objective(is_long),
@@ -262,8 +262,8 @@
 fn streams_go_on_while_long_prompts_are_read() {
     let gap = Duration::from_micros(MAX_GAP_US);
     let unbound =
-        |seen: &[Candidate], is_long| choose(seen, &[], patience(is_long, Duration::ZERO));
-    let bound = |seen: &[Candidate], is_long| choose(seen, &[], patience(is_long, gap));
+        |targets: &[Candidate], is_long| choose(targets, &[], constraints(is_long, Duration::ZERO));
+    let bound = |targets: &[Candidate], is_long| choose(targets, &[], constraints(is_long, gap));
     let [long, short] = simulate(OVERLOADED, unbound);
     let [long_bound, short_bound] = simulate(OVERLOADED, bound);
     println!("unbound: long {long:?}, short {short:?}");
@@ -280,17 +280,17 @@
 #[test]
 fn many_instances_do_not_all_pick_one_engine() {
     let gap = Duration::from_micros(MAX_GAP_US);
-    let all = |seen: &[Candidate], is_long| {
-        let places = seen.iter().enumerate();
+    let all = |targets: &[Candidate], is_long| {
+        let places = targets.iter().enumerate();
         let (at, best) = places
             .min_by_key(|(_, candidate)| (candidate.cost(), candidate.tie))
             .unwrap();
-        match choose(&[*best], &[], patience(is_long, gap)) {
+        match choose(&[*best], &[], constraints(is_long, gap)) {
             Choice::Here(_) => Choice::Here(at),
             other => other,
         }
     };
-    let few = |seen: &[Candidate], is_long| choose(seen, &[], patience(is_long, gap));
+    let few = |targets: &[Candidate], is_long| choose(targets, &[], constraints(is_long, gap));
     let [long, short] = simulate(LARGE, all);
     let [long_few, short_few] = simulate(LARGE, few);
     println!("all weighed: long {long:?}, short {short:?}");
@@ -313,14 +313,14 @@
         tie: 0,
     };
     for rank in 0..4 {
-        let patience = Patience {
+        let constraints = Patience {
             rank,
             route_rank: rank,
-            ..patience(false, Duration::from_micros(MAX_GAP_US))
+            ..constraints(false, Duration::from_micros(MAX_GAP_US))
         };
-        let choice = choose(&[huge(0)], &[], patience);
+        let choice = choose(&[huge(0)], &[], constraints);
         assert_eq!(choice, Choice::Here(0), "rank {rank}");
-        let refused = choose(&[huge(250)], &[], patience);
+        let refused = choose(&[huge(250)], &[], constraints);
         assert!(matches!(refused, Choice::Refuse(_)), "{refused:?}");
     }
 }
@@ -345,7 +345,7 @@
         let by_route = |is_long| Patience {
             rank,
             route_rank: usize::from(is_long),
-            ..patience(is_long, Duration::from_micros(MAX_GAP_US))
+            ..constraints(is_long, Duration::from_micros(MAX_GAP_US))
         };
         let long = choose(&[reading], &[], by_route(true));
         assert!(matches!(long, Choice::Refuse(_)), "rank {rank}: {long:?}");
--- a/crates/zinniastall-gateway/tests/knowledge.rs
+++ b/crates/zinniastall-gateway/tests/knowledge.rs
@@ -11,7 +11,7 @@
 };
 use zinniastall_wire::hub::{Configuration, Instances};
 
-fn knowledge() -> Knowledge {
+fn state() -> Knowledge {
     Knowledge::new("edge-1".to_owned(), Place::new("patras", "patras-a"))
 }
 
@@ -31,14 +31,8 @@
     }
 }
 
-fn names(knowledge: &mut Knowledge, now: Instant) -> Vec<String> {
-    knowledge
-        .view(now)
-        .targets
-        .by_name()
-        .keys()
-        .cloned()
-        .collect()
+fn names(state: &mut Knowledge, now: Instant) -> Vec<String> {
+    state.view(now).targets.by_name().keys().cloned().collect()
 }
 
 fn presence(name: &str, incarnation: u64, ready: bool) -> Presence {
@@ -53,7 +47,7 @@
     }
 }
 
-fn all(present: Vec<Presence>) -> Instances {
+fn whole_list(present: Vec<Presence>) -> Instances {
     Instances {
         whole: true,
         present,
@@ -82,7 +76,7 @@
 /// requests would go to a target that is about to end.
 #[test]
 fn a_late_heartbeat_brings_no_draining_target_back() {
-    let (mut known, now) = (knowledge(), Instant::now());
+    let (mut known, now) = (state(), Instant::now());
     known.hear(vec![report("t", 5, 1, State::Ready)], now);
     known.hear(vec![report("t", 5, 3, State::Draining)], now);
     known.hear(vec![report("t", 5, 2, State::Ready)], now);
@@ -92,7 +86,7 @@
 /// A target signs off; a heartbeat of the same run with a higher number was still on its way.
 #[test]
 fn a_target_that_signed_off_stays_gone_in_its_run() {
-    let (mut known, now) = (knowledge(), Instant::now());
+    let (mut known, now) = (state(), Instant::now());
     known.hear(vec![report("t", 5, 1, State::Ready)], now);
     known.hear(vec![report("t", 5, 1, State::Gone)], now);
     known.hear(vec![report("t", 5, 9, State::Ready)], now);
@@ -103,7 +97,7 @@
 /// its earlier run said arrives when the cut heals.
 #[test]
 fn a_later_run_counts_its_reports_anew() {
-    let (mut known, now) = (knowledge(), Instant::now());
+    let (mut known, now) = (state(), Instant::now());
     known.hear(vec![report("t", 5, 40, State::Draining)], now);
     known.hear(vec![report("t", 6, 1, State::Ready)], now);
     assert_eq!(names(&mut known, now), ["t"]);
@@ -115,7 +109,7 @@
 /// be sent there.
 #[test]
 fn a_new_target_at_an_address_ends_the_old_one() {
-    let (mut known, now) = (knowledge(), Instant::now());
+    let (mut known, now) = (state(), Instant::now());
     known.hear(vec![report("old", 5, 7, State::Ready)], now);
     known.hear(vec![report("new", 6, 1, State::Ready)], now);
     assert_eq!(names(&mut known, now), ["new"]);
@@ -131,7 +125,7 @@
 /// treated so until they say otherwise, or as long as a start takes.
 #[test]
 fn targets_of_a_zone_that_was_taken_back_count_as_cold() {
-    let (mut known, now) = (knowledge(), Instant::now());
+    let (mut known, now) = (state(), Instant::now());
     known.configure(configuration(1, &["patras-a"]), now);
     known.hear(vec![report("t", 5, 1, State::Ready)], now);
     known.configure(configuration(2, &[]), now);
@@ -147,11 +141,11 @@
 /// A replica restarts. For as long as it takes, its word on instances stands; with it gone, the others'.
 #[test]
 fn a_replicas_list_outlives_its_link_for_a_moment() {
-    let (mut known, now) = (knowledge(), Instant::now());
+    let (mut known, now) = (state(), Instant::now());
     known.ask("r1", now);
     known.ask("r2", now);
-    known.hear_instances("r1", all(vec![presence("a", 1, true)]));
-    known.hear_instances("r2", all(vec![presence("b", 1, true)]));
+    known.hear_instances("r1", whole_list(vec![presence("a", 1, true)]));
+    known.hear_instances("r2", whole_list(vec![presence("b", 1, true)]));
     known.lose("r1", now);
     assert_eq!(alive(&mut known, now), ["a", "b"]);
     let later = now + Duration::from_secs(4);
@@ -164,13 +158,13 @@
 /// An instance drains, and one replica has not heard of it yet.
 #[test]
 fn a_replica_that_knows_of_a_drain_is_believed() {
-    let (mut known, now) = (knowledge(), Instant::now());
+    let (mut known, now) = (state(), Instant::now());
     known.ask("r1", now);
     known.ask("r2", now);
-    known.hear_instances("r1", all(vec![presence("a", 1, false)]));
-    known.hear_instances("r2", all(vec![presence("a", 1, true)]));
+    known.hear_instances("r1", whole_list(vec![presence("a", 1, false)]));
+    known.hear_instances("r2", whole_list(vec![presence("a", 1, true)]));
     assert!(!known.view(now).instances.by_name()["a"].ready);
-    known.hear_instances("r2", all(vec![presence("a", 2, true)]));
+    known.hear_instances("r2", whole_list(vec![presence("a", 2, true)]));
     assert!(
         known.view(now).instances.by_name()["a"].ready,
         "a later run"
@@ -180,7 +174,7 @@
 /// Silence alone takes no target out for a long time: it may be cut off from the replicas alone.
 #[test]
 fn silence_alone_takes_no_target_out() {
-    let (mut known, now) = (knowledge(), Instant::now());
+    let (mut known, now) = (state(), Instant::now());
     known.hear(vec![report("t", 5, 1, State::Ready)], now);
     assert_eq!(names(&mut known, now + Duration::from_secs(15)), ["t"]);
     assert!(names(&mut known, now + Duration::from_secs(40)).is_empty());
@@ -190,10 +184,10 @@
 /// were.
 #[test]
 fn a_change_leaves_the_other_instances_as_they_were() {
-    let (mut known, now) = (knowledge(), Instant::now());
+    let (mut known, now) = (state(), Instant::now());
     let first = vec![presence("a", 1, true), presence("b", 1, true)];
     known.ask("r1", now);
-    known.hear_instances("r1", all(first));
+    known.hear_instances("r1", whole_list(first));
     let change = Instances {
         whole: false,
         present: vec![presence("c", 1, true)],
@@ -202,7 +196,7 @@
     known.hear_instances("r1", change);
     assert_eq!(alive(&mut known, now), ["b", "c"]);
     // A whole list leaves nothing of before.
-    known.hear_instances("r1", all(vec![presence("d", 1, true)]));
+    known.hear_instances("r1", whole_list(vec![presence("d", 1, true)]));
     assert_eq!(alive(&mut known, now), ["d"]);
 }
 
@@ -210,13 +204,13 @@
 /// would be told of no instance for a moment.
 #[test]
 fn another_source_takes_over_without_a_gap() {
-    let (mut known, now) = (knowledge(), Instant::now());
+    let (mut known, now) = (state(), Instant::now());
     known.ask("far", now);
-    known.hear_instances("far", all(vec![presence("a", 1, true)]));
+    known.hear_instances("far", whole_list(vec![presence("a", 1, true)]));
     known.lose("far", now);
     known.ask("near", now);
     assert_eq!(alive(&mut known, now), ["a"]);
-    known.hear_instances("near", all(vec![presence("b", 1, true)]));
+    known.hear_instances("near", whole_list(vec![presence("b", 1, true)]));
     assert_eq!(alive(&mut known, now + Duration::from_secs(1)), ["a", "b"]);
     assert_eq!(alive(&mut known, now + Duration::from_secs(4)), ["b"]);
 }
@@ -225,13 +219,13 @@
 /// then on; were its last list kept, an instance that was still starting by it would never be taken for ready.
 #[test]
 fn a_list_that_comes_too_late_is_not_kept() {
-    let (mut known, now) = (knowledge(), Instant::now());
+    let (mut known, now) = (state(), Instant::now());
     known.ask("far", now);
-    known.hear_instances("far", all(vec![presence("a", 1, false)]));
+    known.hear_instances("far", whole_list(vec![presence("a", 1, false)]));
     known.ask("near", now);
     known.lose("far", now);
-    known.hear_instances("far", all(vec![presence("a", 1, false)]));
-    known.hear_instances("near", all(vec![presence("a", 1, true)]));
+    known.hear_instances("far", whole_list(vec![presence("a", 1, false)]));
+    known.hear_instances("near", whole_list(vec![presence("a", 1, true)]));
     let later = now + Duration::from_secs(4);
     assert!(known.view(later).instances.by_name()["a"].ready);
 }
--- a/crates/zinniastall-gateway/tests/path/accounts.rs
+++ b/crates/zinniastall-gateway/tests/path/accounts.rs
@@ -145,7 +145,7 @@
     // The only target is known to be full for the moment, so that the request waits.
     let now = std::time::Instant::now();
     {
-        let mut books = gateway.traffic.books.borrow_mut();
+        let mut books = gateway.proxy.books.borrow_mut();
         let account = books.target("target-0", crate::harness::SERVICE, now);
         account.shut_until = Some(now + Duration::from_millis(150));
     }
@@ -158,7 +158,7 @@
 
 /// Lets an instance know that it is alone, and that nobody used anything.
 fn confirm_no_other_use(gateway: &Gateway) {
-    let mut quotas = gateway.traffic.quotas.borrow_mut();
+    let mut quotas = gateway.proxy.quotas.borrow_mut();
     quotas.share_among(1);
     quotas.hear(IndexMap::new(), std::time::Instant::now());
 }
@@ -225,7 +225,7 @@
     let response = call(&gateway, "/plans/1", "Authorization: Bearer k-studio\r\n").await;
     assert_eq!(response.status, 503, "there is no target");
     let now = std::time::Instant::now();
-    let usage = gateway.traffic.quotas.borrow_mut().usage(now);
+    let usage = gateway.proxy.quotas.borrow_mut().usage(now);
     let used: u64 = usage.values().map(|usage| usage.used).sum();
     assert_eq!(used, 0);
 }
--- a/crates/zinniastall-gateway/tests/path/answers.rs
+++ b/crates/zinniastall-gateway/tests/path/answers.rs
@@ -331,10 +331,7 @@
     let gateway = Gateway::start(view(routes(), &[&target])).await;
     let mut caller = gateway.connect().await;
     caller.send(&post("/pay/1", "a", "x")).await;
-    crate::harness::wait_until("the target sees the request", || {
-        target.requests().len() == 1
-    })
-    .await;
+    crate::harness::wait_until("the request arrives", || target.requests().len() == 1).await;
     let since = std::time::Instant::now();
     drop(caller);
     crate::harness::wait_until("the target's connection closes", || target.closed() == 1).await;
--- a/crates/zinniastall-gateway/tests/path/bounds.rs
+++ b/crates/zinniastall-gateway/tests/path/bounds.rs
@@ -218,7 +218,7 @@
     );
     let since = Instant::now();
     let end = since + Duration::from_secs(10);
-    gateway.traffic.board.drain(Drain { since, end });
+    gateway.proxy.board.drain(Drain { since, end });
     let response = caller.call(&get("/plans/1", "b", "")).await;
     assert_eq!(
         (response.status, response.header("connection")),
@@ -242,7 +242,7 @@
     let now = Instant::now();
     let since = now.checked_sub(Duration::from_secs(4)).unwrap();
     let end = now + Duration::from_secs(3);
-    gateway.traffic.board.drain(Drain { since, end });
+    gateway.proxy.board.drain(Drain { since, end });
     // The route's time of five seconds is longer than what is left, the caller's own is shorter.
     let response = gateway
         .connect()
--- a/crates/zinniastall-gateway/tests/path/harness.rs
+++ b/crates/zinniastall-gateway/tests/path/harness.rs
@@ -266,7 +266,7 @@
     /// Address for other instances.
     pub(crate) forward: SocketAddr,
     /// The path itself.
-    pub(crate) traffic: Rc<Traffic>,
+    pub(crate) proxy: Rc<Traffic>,
 }
 
 /// Makes a route to the one service.
@@ -352,16 +352,16 @@
         };
         let mut policy = Policy::default();
         policy.repeats.slack = 100;
-        let traffic = Rc::new(Traffic::new(board, names, policy, Figures::new()));
+        let proxy = Rc::new(Traffic::new(board, names, policy, Figures::new()));
         let callers = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let forward = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let gateway = Self {
             callers: callers.local_addr().unwrap(),
             forward: forward.local_addr().unwrap(),
-            traffic: Rc::clone(&traffic),
+            proxy: Rc::clone(&proxy),
         };
-        let instances = serve::accept(Rc::clone(&traffic), forward, true);
-        tokio::task::spawn_local(serve::accept(traffic, callers, false));
+        let instances = serve::accept(Rc::clone(&proxy), forward, true);
+        tokio::task::spawn_local(serve::accept(proxy, callers, false));
         tokio::task::spawn_local(instances);
         gateway
     }
--- a/crates/zinniastall-gateway/tests/path/main.rs
+++ b/crates/zinniastall-gateway/tests/path/main.rs
@@ -11,8 +11,8 @@
 mod caller;
 mod harness;
 mod heads;
-mod lines;
 mod quarantine;
+mod request_log;
 mod streams;
 
 /// Names tests that run on one thread: `cases! { name => async function, ... }`.
--- a/crates/zinniastall-gateway/tests/path/quarantine.rs
+++ b/crates/zinniastall-gateway/tests/path/quarantine.rs
@@ -53,7 +53,7 @@
 }
 
 /// Returns how many targets have run the poison.
-fn crashed(targets: &[Target]) -> usize {
+fn crash_count(targets: &[Target]) -> usize {
     let ran = |target: &&Target| {
         let request = target.requests();
         request
@@ -78,7 +78,7 @@
         let other = send(&gateway, "/plans/1", &format!("o{at}"), "x").await;
         assert_eq!((other.status, other.body.as_str()), (200, "fine"));
     }
-    assert_eq!(crashed(&targets), MAX_CRASHES);
+    assert_eq!(crash_count(&targets), MAX_CRASHES);
     let last = last.unwrap();
     assert_eq!((last.status, last.header("retry-after")), (400, ""));
     assert!(last.body.contains("quarantined"), "{}", last.body);
@@ -115,18 +115,18 @@
     let first = send(&here, "/pay/1", "p0", POISON).await;
     assert_eq!(first.status, 502);
     assert_eq!(
-        here.traffic.suspects.borrow().sum(),
+        here.proxy.suspects.borrow().sum(),
         0,
         "one crash is no strong suspicion"
     );
     send(&here, "/pay/1", "p1", POISON).await;
     send(&here, "/pay/1", "p2", POISON).await;
-    let sum = here.traffic.suspects.borrow().sum();
+    let sum = here.proxy.suspects.borrow().sum();
     assert_ne!(sum, 0);
-    assert_eq!(sum, there.traffic.suspects.borrow().sum());
+    assert_eq!(sum, there.proxy.suspects.borrow().sum());
     assert_eq!(send(&here, "/pay/1", "p3", POISON).await.status, 400);
     assert_eq!(send(&there, "/pay/1", "p4", POISON).await.status, 400);
-    assert_eq!(crashed(&targets), MAX_CRASHES);
+    assert_eq!(crash_count(&targets), MAX_CRASHES);
     assert_eq!(send(&here, "/pay/1", "o", "x").await.status, 200);
 }
 
@@ -138,11 +138,11 @@
     let request = Fingerprint::of(None, HOST, "/pay/1", POISON.as_bytes());
     let now = Instant::now();
     for run in 0..2 {
-        let mut suspects = here.traffic.suspects.borrow_mut();
+        let mut suspects = here.proxy.suspects.borrow_mut();
         suspects.crash(request, run, run > 0, now);
     }
     send(&here, "/pay/1", "p", POISON).await;
-    assert_eq!(crashed(&targets), 1);
+    assert_eq!(crash_count(&targets), 1);
     assert_eq!(send(&there, "/pay/1", "q", POISON).await.status, 400);
 }
 
@@ -199,7 +199,7 @@
     assert!(statuses.borrow().iter().all(|status| *status == 502));
     let response = send(&gateway, "/pay/1", "again", "popular").await;
     assert_eq!(response.status, 200, "{}", response.body);
-    assert_eq!(gateway.traffic.suspects.borrow().quarantined(), 0);
+    assert_eq!(gateway.proxy.suspects.borrow().quarantined(), 0);
 }
 
 /// All targets but one crash in the same moment, each under a request of its own.
@@ -248,7 +248,7 @@
         assert_ne!(response.status, 400);
         send(&gateway, "/pay/1", &format!("o{at}"), "x").await;
     }
-    assert!(gateway.traffic.suspects.borrow().is_empty());
+    assert!(gateway.proxy.suspects.borrow().is_empty());
 }
 
 /// Targets end as they said they would, with requests that they didn't finish.
@@ -266,7 +266,7 @@
     for at in 0..3 {
         send(&gateway, "/pay/1", &format!("p{at}"), POISON).await;
     }
-    assert!(gateway.traffic.suspects.borrow().is_empty());
+    assert!(gateway.proxy.suspects.borrow().is_empty());
 }
 
 /// A strong suspect comes ten times at once: one copy is tried, the others wait for what becomes of it.
@@ -302,7 +302,7 @@
         statuses.push(caller.read_response().await.unwrap().status);
     }
     statuses.sort_unstable();
-    assert_eq!(crashed(&targets), MAX_CRASHES);
+    assert_eq!(crash_count(&targets), MAX_CRASHES);
     assert_eq!(statuses, [[400; 9].as_slice(), &[502]].concat());
 }
 
