--- a/crates/zinniastall-entry/src/callers/accept.rs
+++ b/crates/zinniastall-entry/src/callers/accept.rs
@@ -1,4 +1,4 @@
-//! Start of the path: reads a request in, within bounds of size and time.
+//! First stage of the pipeline: reads and validates a request within size and time limits.
 
 use std::{
     sync::Arc,
@@ -28,12 +28,12 @@
 
 /// Class of a request that names none.
 pub const DEFAULT_CLASS: &str = "interactive";
-/// Longest class or request id.
+/// Maximum length of a class or request id.
 const MAX_NAME_BYTES: usize = 64;
-/// Longest deadline that a caller may ask for, in milliseconds.
+/// Maximum deadline that a caller may request.
 const MAX_DEADLINE_MS: u64 = 3_600_000;
 
-/// What the path needs to know of a body in the form of chat completions.
+/// The part of a chat completion request that routing needs.
 #[derive(Debug, Deserialize)]
 struct ChatRequest {
     model: String,
@@ -47,11 +47,12 @@
     content: serde_json::Value,
 }
 
-/// Reads the body within its bounds.
+/// Reads the request body within the size and time limits.
 ///
 /// # Errors
 ///
-/// [`Reason::Large`], [`Reason::Slow`], and [`Reason::Body`] when the caller went away.
+/// Returns [`Reason::Large`] or [`Reason::Slow`] if a limit is exceeded, and [`Reason::Body`] if
+/// the caller disconnected.
 pub async fn read_body(payload: web::Payload, limits: &Limits) -> Result<Bytes, Refusal> {
     let reading = collect(payload, limits.body_bytes);
     let body = tokio::time::timeout(limits.arrival, reading).await;
@@ -61,7 +62,7 @@
 async fn collect(mut payload: web::Payload, limit: usize) -> Result<Bytes, Reason> {
     let mut body = BytesMut::new();
     while let Some(part) = payload.next().await {
-        let part = part.map_err(|_| Reason::Body("it is incomplete".to_owned()))?;
+        let part = part.map_err(|_| Reason::Body("incomplete".to_owned()))?;
         if body.len() + part.len() > limit {
             return Err(Reason::Large(limit));
         }
@@ -70,11 +71,11 @@
     Ok(body.freeze())
 }
 
-/// Identifies a request and makes the parcel that travels on.
+/// Identifies a request and builds the [`Call`] that the rest of the pipeline processes.
 ///
 /// # Errors
 ///
-/// Every fault of the caller, and a rule that permits no region.
+/// Returns a refusal if the request is invalid or residency rules permit no region.
 pub fn build_call(
     http: &HttpRequest,
     body: Bytes,
@@ -107,7 +108,7 @@
         class: class(http)?,
         events: matches!(route.subject, Subject::Model(_)),
         subject: route.subject.clone(),
-        // A caller who sends a ticket wants the request to run at most once.
+        // A ticket asks for at-most-once execution, whatever the route permits.
         idempotent: idempotent && ticket.is_none(),
         ticket,
         deadline: Instant::now() + deadline(http, limits)?,
@@ -126,11 +127,11 @@
     })
 }
 
-/// Returns the key that identifies the client.
+/// Returns the bearer key that identifies the client.
 ///
 /// # Errors
 ///
-/// [`Reason::NoKey`].
+/// Returns [`Reason::NoKey`] if there is none.
 pub fn bearer_key(http: &HttpRequest) -> Result<&str, Reason> {
     let value = http.headers().get(http::AUTHORIZATION);
     let value = value.and_then(|value| value.to_str().ok());
@@ -138,11 +139,11 @@
     key.map(str::trim).ok_or(Reason::NoKey)
 }
 
-/// Returns a header's text.
+/// Returns the trimmed text of a header, if present.
 ///
 /// # Errors
 ///
-/// [`Reason::Header`] when it is not plain text.
+/// Returns [`Reason::Header`] if the value is not visible ASCII.
 pub fn header_text<'a>(
     http: &'a HttpRequest,
     name: &'static str,
@@ -154,11 +155,11 @@
     Ok(Some(value.trim()))
 }
 
-/// Returns the id under which a request is logged, a new one if the caller sent none.
+/// Returns the id under which a request is logged, or a generated one if the caller sent none.
 ///
 /// # Errors
 ///
-/// [`Reason::Header`].
+/// Returns [`Reason::Header`] if the id is malformed.
 pub fn request_id(http: &HttpRequest) -> Result<String, Reason> {
     match header_text(http, REQUEST)? {
         Some(id) if is_valid_name(id) => Ok(id.to_owned()),
@@ -171,7 +172,7 @@
     serde_json::from_slice(body).map_err(|error| Reason::Body(error.to_string()))
 }
 
-/// Returns the digests of a body's prompt, as another instance sent it.
+/// Returns the prompt prefix digests of a body that another instance forwarded.
 pub fn prefixes(subject: &Subject, body: &[u8]) -> Vec<u64> {
     if matches!(subject, Subject::Service(_)) {
         return Vec::new();
@@ -237,11 +238,11 @@
     (1..=MAX_NAME_BYTES).contains(&text.len()) && text.chars().all(permitted)
 }
 
-/// Returns the configuration that requests are judged by.
+/// Returns the configuration that requests are validated against.
 ///
 /// # Errors
 ///
-/// [`Reason::Unconfigured`] until one is found that lists this instance.
+/// Returns [`Reason::Unconfigured`] until the instance holds a configuration that lists it.
 pub fn configured(view: &View) -> Result<&Arc<State>, Refusal> {
     let retry = Duration::from_secs(1);
     view.state
--- a/crates/zinniastall-entry/src/callers/admission/candidates.rs
+++ b/crates/zinniastall-entry/src/callers/admission/candidates.rs
@@ -1,4 +1,4 @@
-//! Targets and places that a request may go to, out of the view.
+//! Selects the targets and places that may receive a request from the current view.
 
 use std::time::{Duration, Instant};
 
@@ -18,21 +18,21 @@
 use super::outstanding::Outstanding;
 use crate::view::{Digest, Target, View};
 
-/// Role of targets that only prepare work for others.
+/// Role of targets that only compute prompts for other targets.
 const PREFILL_ROLE: &str = "prefill";
-/// Age from which a digest says nothing any more.
+/// Age at which a digest is ignored.
 const MAX_DIGEST_AGE: Duration = Duration::from_secs(5);
 
-/// Targets of this zone that can serve a request, ejected ones left out.
+/// Targets of this zone that can serve a request, without ejected ones.
 #[derive(Debug)]
 pub(super) struct Candidates<'a> {
     all: Vec<Candidate<'a>>,
-    /// Whether any target serves, also those that have failed the request.
+    /// Whether any target serves the subject, including those that failed this request.
     any_serving: bool,
 }
 
 impl<'a> Candidates<'a> {
-    /// Finds them in the view and in what is known of their load.
+    /// Collects the candidates from the view and the load table.
     pub(super) fn find(
         view: &'a View,
         request: &Request,
@@ -67,7 +67,7 @@
         open.copied().collect()
     }
 
-    /// Returns the mean time of a request.
+    /// Returns the mean service time of a request.
     pub(super) fn mean_service_time(&self) -> Duration {
         let sum: Duration = self
             .all
@@ -78,7 +78,7 @@
         sum / count.max(1)
     }
 
-    /// Returns the mean time from one start to the next while all are at their limits.
+    /// Returns the mean interval between starts while all targets are at their limits.
     pub(super) fn start_interval(&self) -> Duration {
         let limits: u32 = self
             .all
@@ -88,7 +88,7 @@
         self.mean_service_time() / limits.max(1)
     }
 
-    /// Returns what the queue needs to know of a request; its number is given there.
+    /// Creates the queue entry of a request; the queue assigns its id.
     pub(super) fn waiter(&self, policy: &Policy, request: &Request, now: Instant) -> admit::Waiter {
         let left = request.deadline.saturating_duration_since(now);
         admit::Waiter {
@@ -97,12 +97,12 @@
             weight: request.weight,
             rank: policy.rank(&request.class),
             deadline: request.deadline,
-            // A stream may go on after its deadline, so its length alone refuses nothing.
+            // A stream may outlive its deadline, so an expected duration alone does not refuse it.
             service: self.mean_service_time().min(left / 2),
         }
     }
 
-    /// Returns the least cost of serving here once there is room.
+    /// Returns the lowest cost of serving the request here, ignoring the queue.
     pub(super) fn cheapest(&self, policy: &Policy, prefixes: &[u64], now: Instant) -> Local {
         let costs = self.all.iter();
         let costs = costs.map(|candidate| choose::cost(policy, prefixes, candidate.load, now));
@@ -114,9 +114,11 @@
     }
 }
 
-/// Returns the zone's slots, at least 1: an instance shares them and can use all. Were its load told
-/// as a share of its part alone, a zone's callers would swing between its instances, since the
-/// weights by which locate spreads them would double with every sixth request.
+/// Returns the number of slots in the zone, at least 1.
+///
+/// The instances of a zone share its slots, and each can use all of them. If an instance reported
+/// its load relative to its share only, callers would oscillate between instances, since the
+/// weights used by locate would double with every sixth request.
 pub(super) fn zone_slots(view: &View) -> u32 {
     let slots: u32 = view
         .targets
@@ -126,7 +128,7 @@
     slots.max(1)
 }
 
-/// Returns whether any target of a subject has room.
+/// Returns whether any target of a subject has a free slot.
 pub(super) fn any_has_room(
     view: &View,
     subject: &Subject,
@@ -138,7 +140,7 @@
     all.iter().any(|candidate| candidate.load.has_room())
 }
 
-/// Returns what an announcement says of a target's load.
+/// Converts a target's announcement to a load report.
 pub(super) fn report(target: &Target) -> Report {
     let report = &target.report;
     Report {
@@ -153,7 +155,7 @@
     }
 }
 
-/// Returns the other places that serve a subject, as fresh digests tell.
+/// Returns the other places that serve a subject, according to recent digests.
 pub(super) fn remotes(
     view: &View,
     subject: &Subject,
@@ -178,8 +180,10 @@
     fresh.map(remote).collect()
 }
 
-/// Returns the live targets that serve a subject. A lease is judged by the clock too: a view that
-/// was published before this process froze lists targets that have left since.
+/// Returns the live targets that serve a subject.
+///
+/// Leases are also checked against the clock, since a view published before this process was
+/// suspended lists targets that have left since.
 fn serving<'a>(
     view: &'a View,
     subject: &Subject,
@@ -201,8 +205,8 @@
     known.collect()
 }
 
-/// Keeps to targets with the configured version, while there are any: during a change of versions
-/// the old one serves until the first target has the new one.
+/// Keeps only targets with the configured version, if there are any. During a rollout, the old
+/// version serves until the first target has the new one.
 fn prefer_version(view: &View, request: &Request, all: &mut Vec<Candidate<'_>>) {
     let Some(version) = &request.version else {
         return;
--- a/crates/zinniastall-entry/src/callers/admission/in_flight.rs
+++ b/crates/zinniastall-entry/src/callers/admission/in_flight.rs
@@ -1,4 +1,4 @@
-//! Requests in progress: their counts end with them.
+//! Requests in flight; dropping one releases its slot.
 
 use std::time::{Duration, Instant};
 
@@ -11,7 +11,7 @@
 
 use super::Admission;
 
-/// One request at one target; dropping it ends the count and lets the next one start.
+/// A request in flight at a target; dropping it releases the slot to the next waiting request.
 #[derive(Debug)]
 pub struct InFlight {
     admission: Admission,
@@ -49,18 +49,18 @@
     ///
     /// # Errors
     ///
-    /// [`Reason::NoTarget`] when the target is gone since it was chosen.
+    /// Returns [`Reason::NoTarget`] if the target has left since it was chosen.
     pub fn report(&self) -> Result<gossip::Target, Refusal> {
         let gone = || Refusal::not_run(Reason::NoTarget(self.target.clone()));
         self.report.clone().ok_or_else(gone)
     }
 
-    /// Takes note of a whole answer.
+    /// Records a complete response.
     pub fn answered(&mut self) {
         self.end = End::Answered(self.started.elapsed());
     }
 
-    /// Takes note of the end without a whole answer.
+    /// Records a failure.
     pub const fn failed(&mut self, refusal: &Refusal) {
         self.end = match (refusal.outcome, &refusal.reason) {
             (_, Reason::Late) => End::Cancelled,
@@ -69,7 +69,7 @@
         };
     }
 
-    /// Returns how long the request has been there.
+    /// Returns the time since the request started.
     pub fn age(&self) -> Duration {
         self.started.elapsed()
     }
@@ -81,7 +81,7 @@
     }
 }
 
-/// One request that was sent to another place; dropping it ends the count.
+/// A request forwarded to another place; dropping it ends its count.
 #[derive(Debug)]
 pub struct Forwarded {
     admission: Admission,
@@ -100,17 +100,17 @@
         }
     }
 
-    /// Returns where it goes.
+    /// Returns the place to which the request is forwarded.
     pub const fn place(&self) -> &Place {
         &self.place
     }
 
-    /// Takes note of the end without a whole answer.
+    /// Records a failure.
     pub const fn failed(&mut self, refusal: &Refusal) {
         self.lost = matches!(refusal.reason, Reason::Unreachable | Reason::Broken);
     }
 
-    /// Returns the places that it will have passed.
+    /// Returns the places that the request has passed, including its destination.
     pub fn hops(&self) -> &[Place] {
         &self.hops
     }
--- a/crates/zinniastall-entry/src/callers/admission/mod.rs
+++ b/crates/zinniastall-entry/src/callers/admission/mod.rs
@@ -1,7 +1,7 @@
-//! Admission and choice over all traffic threads of an instance.
+//! Admission control and target selection for all traffic threads of an instance.
 //!
-//! One short critical section holds what this instance knows of its targets and who waits for them.
-//! No control work takes this lock; grants to waiting requests are sent after it is released.
+//! A single lock with short critical sections protects the load table and the queues. The control
+//! arbiter never takes it, and grants are sent to waiting requests after it is released.
 
 mod candidates;
 mod in_flight;
@@ -34,21 +34,21 @@
 use state::State;
 use subject_queue::Grant;
 
-/// When to come back if nothing serves a subject: targets renew their leases about this often.
+/// Retry hint when no target serves a subject; targets renew their leases at about this interval.
 const NO_TARGET_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 /// Where a request goes.
 #[derive(Debug)]
 pub enum Decision {
-    /// To a target of this zone.
+    /// To a target in this zone.
     Local(Box<InFlight>),
     /// To another zone or region.
     Forwarded(Forwarded),
-    /// It waits for its turn.
+    /// Into the queue.
     Queued(Queued),
 }
 
-/// Admission and choice over all traffic threads of an instance.
+/// Admission control and target selection for all traffic threads of an instance.
 #[derive(Debug, Clone)]
 pub struct Admission {
     board: Board,
@@ -57,7 +57,7 @@
 }
 
 impl Admission {
-    /// Creates the admission of an instance.
+    /// Creates the admission control of an instance.
     pub fn new(board: Board, policy: Arc<Policy>) -> Self {
         Self {
             board,
@@ -66,11 +66,11 @@
         }
     }
 
-    /// Decides where a request goes; targets in `tried` have failed it already.
+    /// Decides where a request goes; the targets in `tried` have already failed it.
     ///
     /// # Errors
     ///
-    /// A refusal of a request that has not run and cannot start in time.
+    /// Returns a "not run" refusal if the request cannot start in time.
     pub fn admit(&self, request: &Request, tried: &[id::Target]) -> Result<Decision, Refusal> {
         let (view, now) = (self.board.view(), Instant::now());
         let mut guard = self.lock();
@@ -103,11 +103,11 @@
         let waiter = found.waiter(&self.policy, request, now);
         let (id, receiver) = queues.enqueue(&self.policy, waiter, request, tried, &found, now)?;
         let subject = request.subject.clone();
-        let queued = Queued::new(self.clone(), subject, id, receiver);
-        Ok(Decision::Queued(queued))
+        let waiting = Queued::new(self.clone(), subject, id, receiver);
+        Ok(Decision::Queued(waiting))
     }
 
-    /// Takes one retry out of the budget.
+    /// Takes one retry from the budget; returns `false` if it is exhausted.
     pub fn retry(&self) -> bool {
         self.lock().budget.retry()
     }
@@ -124,7 +124,7 @@
         chooser.choose(&self.policy, &request.prefixes, &open, now, random)
     }
 
-    /// Ends a request at a target and grants the room to whoever waits.
+    /// Ends a request at a target and grants the free slot to waiting requests.
     fn end(&self, target: &str, incarnation: id::Incarnation, end: End) {
         let grants = {
             let now = Instant::now();
@@ -135,19 +135,21 @@
         send_grants(grants);
     }
 
-    /// Looks again whether waiting requests can start, since targets may have come.
+    /// Grants free slots to waiting requests, since targets may have joined.
     fn grant_waiting(&self) {
         let grants = self.lock().grant(self, Instant::now());
         send_grants(grants);
     }
 
     fn lock(&self) -> MutexGuard<'_, State> {
-        // Counts and queues are consistent between statements, so they stay usable after a panic.
+        // Counts and queues are consistent between statements, so the state stays usable after a
+        // panic.
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-/// Sends grants outside the lock: one that finds its request gone ends its flight, which locks.
+/// Sends grants without holding the lock: if the waiting request is gone, its grant is dropped,
+/// which takes the lock.
 fn send_grants(grants: Vec<Grant>) {
     for grant in grants {
         drop(grant.sender.send(grant.in_flight));
--- a/crates/zinniastall-entry/src/callers/admission/queued.rs
+++ b/crates/zinniastall-entry/src/callers/admission/queued.rs
@@ -1,4 +1,4 @@
-//! A request that waits for its turn.
+//! A request that waits in the queue.
 
 use std::time::Duration;
 
@@ -11,10 +11,10 @@
 
 use super::{Admission, InFlight};
 
-/// How often a waiting request looks whether it still has a chance.
+/// How often a waiting request checks whether it can still be served in time.
 const RECHECK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// A request that waits for its turn; dropping it gives its place up.
+/// A request that waits in the queue; dropping it leaves the queue.
 #[derive(Debug)]
 pub struct Queued {
     admission: Admission,
@@ -38,12 +38,12 @@
         }
     }
 
-    /// Waits for the turn.
+    /// Waits until the request may start.
     ///
     /// # Errors
     ///
-    /// A refusal as soon as it is clear that the turn will come too late: a caller who is told at
-    /// once can still try elsewhere.
+    /// Returns a refusal as soon as the request can no longer be served in time, so that the caller
+    /// can still try elsewhere.
     pub async fn granted(mut self) -> Result<InFlight, Refusal> {
         loop {
             let granted = tokio::time::timeout(RECHECK_INTERVAL, &mut self.receiver).await;
--- a/crates/zinniastall-entry/src/callers/admission/queues.rs
+++ b/crates/zinniastall-entry/src/callers/admission/queues.rs
@@ -1,4 +1,4 @@
-//! Who waits, and what has been sent to other places.
+//! Queues of waiting requests, and requests forwarded to other places.
 
 use std::time::{Duration, Instant};
 
@@ -21,18 +21,18 @@
 };
 use crate::view::View;
 
-/// How long a place gets no requests after one was lost on its way there. Its digest may be fresh
-/// enough to look usable for some time after a partition.
+/// How long a place receives no requests after one was lost there. After a partition, its digest
+/// may look recent enough to be used for some time.
 const LOST_PLACE_BACKOFF: Duration = Duration::from_secs(2);
 
-/// Who waits, and what has been sent to other places.
+/// Queues of waiting requests, and requests forwarded to other places.
 #[derive(Debug, Default)]
 pub(super) struct Queues {
     /// Waiting requests by model or service.
     pub(super) by_subject: IndexMap<Subject, SubjectQueue>,
-    /// Requests in progress at other places.
+    /// Requests in flight at other places.
     forwarded: IndexMap<Place, Outstanding>,
-    /// Places that a request did not come back from, and when.
+    /// Places that lost a request, and when.
     lost: IndexMap<Place, Instant>,
     last_id: admit::Id,
 }
@@ -43,7 +43,7 @@
         queue.is_some_and(|queue| !queue.is_empty())
     }
 
-    /// Returns the subjects for which requests wait.
+    /// Returns the subjects that have waiting requests.
     pub(super) fn waiting_subjects(&self) -> Vec<Subject> {
         let waiting = self
             .by_subject
@@ -52,8 +52,9 @@
         waiting.map(|(subject, _)| subject.clone()).collect()
     }
 
-    /// Decides whether a request is sent away, which is when that is cheaper than serving it here;
-    /// counts it and returns the place with the hops that it will have made.
+    /// Decides whether to forward a request, which happens if that is cheaper than serving it here.
+    ///
+    /// If so, counts the request and returns the place, with the hops that include it.
     pub(super) fn spill(
         &mut self,
         policy: &Policy,
@@ -94,7 +95,7 @@
         Some((place, hops))
     }
 
-    /// Lets a request wait.
+    /// Adds a request to its queue.
     pub(super) fn enqueue(
         &mut self,
         policy: &Policy,
@@ -113,7 +114,7 @@
         Ok((id, receiver))
     }
 
-    /// Ends the count of a request at another place, which may have been lost there.
+    /// Ends the count of a forwarded request; `lost` tells whether the place lost it.
     pub(super) fn forwarded_ended(&mut self, place: &Place, lost: bool) {
         if lost {
             self.lost.insert(place.clone(), Instant::now());
--- a/crates/zinniastall-entry/src/callers/admission/state.rs
+++ b/crates/zinniastall-entry/src/callers/admission/state.rs
@@ -1,4 +1,4 @@
-//! What an instance knows of its targets and of who waits for them, under one lock.
+//! State of admission control, protected by one lock.
 
 use std::{sync::Arc, time::Instant};
 
@@ -21,22 +21,22 @@
 };
 use crate::view::{self, Board, View};
 
-/// What an instance knows of its targets and of who waits for them.
+/// Load of the targets, queues and retry budget of an instance.
 #[derive(Debug)]
 pub(super) struct State {
     pub(super) table: Table,
     pub(super) chooser: Chooser,
     pub(super) budget: Budget,
     pub(super) queues: Queues,
-    /// Requests of this instance in progress at targets.
+    /// Requests of this instance in flight at targets.
     in_flight: u32,
-    /// Requests that this instance can keep at targets: the slots of its zone.
+    /// Maximum number of requests in flight: the slots of the zone.
     capacity: u32,
     last_targets: Arc<IndexMap<id::Target, view::Target>>,
 }
 
 impl State {
-    /// Knows nothing yet; `retries` are permitted for each request.
+    /// Creates an empty state; `retries` is the number of retries earned per request.
     pub(super) fn new(retries: f64) -> Self {
         Self {
             table: Table::default(),
@@ -49,7 +49,7 @@
         }
     }
 
-    /// Ends the count of a request at a target.
+    /// Ends a request at a target.
     pub(super) fn end(
         &mut self,
         board: &Board,
@@ -63,7 +63,7 @@
         self.publish_load(board);
     }
 
-    /// Takes in what changed in the view.
+    /// Applies changes of the view to the load table.
     pub(super) fn refresh(&mut self, view: &View, now: Instant) {
         if Arc::ptr_eq(&self.last_targets, &view.targets) {
             return;
@@ -76,7 +76,7 @@
         self.capacity = candidates::zone_slots(view);
     }
 
-    /// Tells callers' directory and other zones how busy this instance is.
+    /// Publishes how busy this instance is, for locate and for other zones.
     fn publish_load(&self, board: &Board) {
         let load = u64::from(self.in_flight) * 1000 / u64::from(self.capacity);
         board.set_load(u32::try_from(load).unwrap_or(u32::MAX));
@@ -99,7 +99,7 @@
         InFlight::new(admission.clone(), target, incarnation, report, now)
     }
 
-    /// Starts waiting requests as far as there is room, and returns what to send to them.
+    /// Starts waiting requests while there are free slots, and returns their grants.
     pub(super) fn grant(&mut self, admission: &Admission, now: Instant) -> Vec<Grant> {
         let view = admission.board.view();
         self.refresh(&view, now);
@@ -149,7 +149,7 @@
         })
     }
 
-    /// Returns whether a waiting request can no longer be served in time, and why.
+    /// Returns a refusal if a waiting request can no longer be served in time.
     pub(super) fn check_feasible(
         &mut self,
         admission: &Admission,
--- a/crates/zinniastall-entry/src/callers/admission/subject_queue.rs
+++ b/crates/zinniastall-entry/src/callers/admission/subject_queue.rs
@@ -1,4 +1,4 @@
-//! Waiting requests of one model or service, with what is needed to start them.
+//! Queue of requests that wait for one model or service.
 
 use std::time::{Duration, Instant};
 
@@ -15,21 +15,21 @@
 
 use super::InFlight;
 
-/// Times that a request may be passed over for one that a target has cached.
+/// Maximum number of times that a request is passed over for one with a cached prefix.
 const MAX_SKIPS: u32 = 8;
-/// Weight of the newest value in the mean time from start to start.
+/// Weight of the latest sample in the moving average of start intervals.
 const START_INTERVAL_WEIGHT: f64 = 0.05;
 
-/// Waiting requests of one model or service.
+/// Queue of requests that wait for one model or service.
 #[derive(Debug, Default)]
 pub(super) struct SubjectQueue {
-    /// Share of requests that goes elsewhere.
+    /// Decides which share of requests is forwarded to other places.
     pub(super) gate: Gate,
     queue: Option<Queue>,
     entries: IndexMap<Id, Entry>,
-    /// Last start out of the queue, while it is not empty.
+    /// Time of the last start from the queue, while it is not empty.
     started: Option<Instant>,
-    /// Mean time from start to start, in seconds.
+    /// Moving average of the interval between starts, in seconds.
     start_interval: Option<f64>,
 }
 
@@ -37,29 +37,29 @@
 #[derive(Debug)]
 pub(super) struct Entry {
     waiter: Waiter,
-    /// How often another one went in its turn.
+    /// Number of times that another request was started in its place.
     skipped: u32,
-    /// The request.
+    /// The waiting request.
     pub(super) request: Request,
-    /// Targets that have failed it already.
+    /// Targets that have already failed it.
     pub(super) tried: Vec<id::Target>,
-    /// Where its grant goes.
+    /// Receives its grant.
     pub(super) sender: oneshot::Sender<InFlight>,
 }
 
 impl Entry {
-    /// Returns the time that the request will take once it starts.
+    /// Returns the expected service time.
     pub(super) const fn service(&self) -> Duration {
         self.waiter.service
     }
 }
 
-/// A start that is to be told to a waiting request.
+/// Grants a start to a waiting request.
 #[derive(Debug)]
 pub(super) struct Grant {
-    /// Where it goes.
+    /// Channel to the waiting request.
     pub(super) sender: oneshot::Sender<InFlight>,
-    /// The start.
+    /// The started request.
     pub(super) in_flight: InFlight,
 }
 
@@ -68,13 +68,13 @@
         self.entries.is_empty()
     }
 
-    /// Returns the expected wait of a further request.
+    /// Returns the expected wait of a new request.
     pub(super) fn expected_wait(&self, expected: Duration) -> Duration {
         self.start_interval(expected)
             .saturating_mul(count(self.entries.len()))
     }
 
-    /// Lets a request wait.
+    /// Adds a request to the queue.
     ///
     /// # Errors
     ///
@@ -105,8 +105,8 @@
         Ok(receiver)
     }
 
-    /// Returns requests that may go next, the one whose turn it is first; only that one if it has
-    /// been passed over often enough.
+    /// Returns up to `count` requests that may start next, in order; only the first if it has been
+    /// passed over too often.
     pub(super) fn next_entries(&self, count: usize) -> Vec<(Id, &Entry)> {
         let first = self.queue.as_ref().map(|queue| queue.first(count));
         let first = first.unwrap_or_default().into_iter();
@@ -122,7 +122,7 @@
         first
     }
 
-    /// Takes out a request that goes now.
+    /// Removes a request that starts now.
     pub(super) fn take(&mut self, id: Id, now: Instant) -> Option<Entry> {
         let queue = self.queue.as_mut()?;
         let head = queue.first(1).first().copied();
@@ -140,14 +140,14 @@
         Some(entry)
     }
 
-    /// Returns the time from start to start as it was seen, or else as it is expected. Other
-    /// instances use the same targets, so what was seen counts.
+    /// Returns the observed interval between starts, but at least the expected one. Other instances
+    /// use the same targets, so the observed interval may be longer.
     pub(super) fn start_interval(&self, expected: Duration) -> Duration {
         self.start_interval
             .map_or(expected, |mean| Duration::from_secs_f64(mean).max(expected))
     }
 
-    /// Takes out a request that does not want to wait any longer.
+    /// Removes a request that stopped waiting.
     pub(super) fn remove(&mut self, id: Id) {
         if let Some(queue) = &mut self.queue {
             queue.remove(id);
@@ -160,7 +160,7 @@
         self.entries.get(&id)
     }
 
-    /// Returns how many waiting requests go before one.
+    /// Returns the number of requests ahead of a waiting one.
     pub(super) fn ahead(&self, id: Id) -> u32 {
         let waiter = self.entries.get(&id).map(|entry| &entry.waiter);
         let ahead = self.queue.as_ref().zip(waiter);
--- a/crates/zinniastall-entry/src/callers/attempts.rs
+++ b/crates/zinniastall-entry/src/callers/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts: a request at targets and in other places, until one answers.
+//! Attempts of a request at targets and in other places, until one succeeds.
 
 use std::{cell::RefCell, rc::Rc, time::Instant};
 
@@ -20,7 +20,7 @@
     worker::Worker,
 };
 
-/// Tries targets until one answers or the request has to end.
+/// Attempts a request until a target responds or no further attempt is allowed.
 pub(super) fn dispatch<'a>(
     worker: &'a Rc<Worker>,
     call: &'a Rc<Call>,
@@ -37,8 +37,8 @@
     loop {
         let decision = match admission.admit(request, &tried) {
             Ok(decision) => decision,
-            // The budget has paid for one more attempt. Where no other target is left, the one that
-            // lost a connection may have lost just that.
+            // The retry budget has granted another attempt. If no other target is left, the target
+            // that lost the request is tried again, since it may have lost only the connection.
             Err(refusal) if only_tried_left(&refusal, earlier.as_ref(), &tried) => {
                 tried.clear();
                 continue;
@@ -72,13 +72,13 @@
     }
 }
 
-/// Returns whether only targets are left that have lost this request already.
+/// Returns whether the only targets left are those that lost this request.
 fn only_tried_left(refusal: &Refusal, earlier: Option<&Refusal>, tried: &[id::Target]) -> bool {
     let lost = earlier.is_some_and(|earlier| earlier.outcome == Outcome::Unknown);
     lost && !tried.is_empty() && matches!(refusal.reason, Reason::NoTarget(_))
 }
 
-/// Merges the end of a request that found nowhere else to go with that of its attempts.
+/// Returns the outcome of earlier attempts, if any, with the retry hint of the last refusal.
 fn merge_last(earlier: Option<Refusal>, refusal: Refusal) -> Refusal {
     let retry = refusal.retry;
     match earlier {
@@ -151,7 +151,7 @@
     Ok((reply, buffered))
 }
 
-/// Keeps a request counted until its body has ended or is dropped.
+/// Counts a request at its target until the body ends or is dropped.
 fn track_in_flight(body: Body, in_flight: &Rc<RefCell<InFlight>>, fault: bool) -> Body {
     let state = (body, Rc::clone(in_flight));
     let next = move |(mut body, in_flight): (Body, Rc<RefCell<InFlight>>)| async move {
@@ -169,7 +169,7 @@
     stream::unfold(state, next).boxed_local()
 }
 
-/// Keeps a request counted at its place until its body has ended or is dropped.
+/// Counts a forwarded request at its place until the body ends or is dropped.
 fn track_forwarded(body: Body, forwarded: Forwarded) -> Body {
     let next = |(mut body, mut forwarded): (Body, Forwarded)| async move {
         let part = body.next().await?;
--- a/crates/zinniastall-entry/src/callers/call.rs
+++ b/crates/zinniastall-entry/src/callers/call.rs
@@ -1,13 +1,13 @@
-//! A request with its payload, as it goes to a target or to another instance.
+//! A caller's HTTP request, as it is sent to a target or to another instance.
 
 use bytes::Bytes;
 use zinniastall_model::header;
 use zinniastall_route::request::Request;
 
-/// A request with its payload.
+/// An HTTP request together with its routing attributes.
 #[derive(Debug, Clone)]
 pub struct Call {
-    /// What the filters know of it.
+    /// Routing attributes.
     pub request: Request,
     /// HTTP method.
     pub method: String,
@@ -19,8 +19,8 @@
     pub body: Bytes,
 }
 
-/// Headers that belong to one connection or that each hop sets anew. The key stays at the instance
-/// that received it: a target that saw it could act as the client.
+/// Headers that apply to a single connection or that each hop sets anew. The authorization key
+/// stays at the instance that received it, since a target that saw it could act as the client.
 const NOT_FORWARDED: [&str; 13] = [
     "authorization",
     "connection",
@@ -37,17 +37,17 @@
     "upgrade",
 ];
 
-/// Prefix of the system's own headers. They are never passed on from outside: a forged one would
-/// be taken for the system's word.
+/// Prefix of the system's own headers. They are never accepted from outside, since a forged one
+/// would be trusted.
 const SYSTEM_PREFIX: &str = "x-zinniastall-";
 
-/// Returns whether a header passes from one connection to the next. Names are in lower case.
+/// Returns whether a header, given in lower case, is passed on to the next hop.
 pub fn is_forwarded(name: &str) -> bool {
     !name.starts_with(SYSTEM_PREFIX) && !NOT_FORWARDED.contains(&name)
 }
 
 impl Call {
-    /// Returns the system's own headers for a target.
+    /// Returns the system's own headers for a request to a target.
     pub fn system_headers(&self, left_ms: u64, offset: u64) -> Vec<(&'static str, String)> {
         let mut headers = vec![
             (header::REQUEST, self.request.id.clone()),
--- a/crates/zinniastall-entry/src/callers/completion.rs
+++ b/crates/zinniastall-entry/src/callers/completion.rs
@@ -1,4 +1,4 @@
-//! End of the path: one outcome, one log line, one entry in each histogram.
+//! Last stage of the pipeline: one outcome, one log line and one histogram entry per request.
 
 use std::time::{Duration, Instant};
 
@@ -10,7 +10,7 @@
 
 use super::{progress::Started, reply::Body};
 
-/// Records how one request ends; dropping it unsettled records that the caller went away.
+/// Records how a request ends; if dropped before that, records that the caller disconnected.
 #[derive(Debug)]
 pub struct Completion {
     recorder: Recorder,
@@ -19,12 +19,12 @@
     class: String,
     subject: String,
     revision: id::Revision,
-    /// Revision under which the sender judged it; 0 for a caller's request.
+    /// Revision under which the sender validated the request; 0 for a caller's request.
     sent_under: id::Revision,
     target: String,
     started: Instant,
     first: Option<Duration>,
-    /// Instance that sent the request; empty for one that came from a caller.
+    /// Instance that forwarded the request; empty if it came from a caller.
     sender: String,
     recorded: bool,
     progress: Option<Started>,
@@ -39,8 +39,8 @@
         completion
     }
 
-    /// Starts the clock of a request that another instance sent. Its caller's instance records the
-    /// histograms that callers see; here it is recorded apart.
+    /// Starts the clock of a request that another instance forwarded. The forwarding instance
+    /// records the histograms that describe callers' requests; this one uses separate metrics.
     pub fn forwarded(recorder: Recorder, sender: &str) -> Self {
         Self {
             recorder,
@@ -64,7 +64,7 @@
         &self.request
     }
 
-    /// Notes who asks for what.
+    /// Records the client, class and subject of an identified request.
     pub fn identified(&mut self, request: &zinniastall_route::request::Request) {
         self.request.clone_from(&request.id);
         self.client.clone_from(&request.client);
@@ -73,7 +73,8 @@
         self.revision = request.revision;
     }
 
-    /// Notes what its sender says of it, so that one that is refused here can be found in the log.
+    /// Records what the sender states about a forwarded request, so that a refusal can be found in
+    /// the log.
     pub fn opened(&mut self, open: &Open) {
         self.request.clone_from(&open.request);
         self.client.clone_from(&open.client);
@@ -82,12 +83,12 @@
         self.sent_under = open.revision;
     }
 
-    /// Notes who serves it.
+    /// Records the target that serves the request.
     pub fn served(&mut self, target: &str) {
         target.clone_into(&mut self.target);
     }
 
-    /// Notes the first part of the answer.
+    /// Records the arrival of the first part of the response.
     pub fn first_part(&mut self) {
         if self.first.is_none() {
             let first = self.started.elapsed();
@@ -97,12 +98,12 @@
         }
     }
 
-    /// Records the end of a request without a whole answer.
+    /// Records the end of a request without a complete response.
     pub fn refused(&mut self, refusal: &Refusal) {
         self.end(refusal.outcome, refusal.reason.kind());
     }
 
-    /// Records a whole answer.
+    /// Records a complete response.
     pub fn answered(&mut self) {
         self.first_part();
         let total = self.started.elapsed();
@@ -111,7 +112,7 @@
         self.end(Outcome::Answered, "");
     }
 
-    /// Chooses between the names for callers' and for other instances' requests.
+    /// Selects the metric name for a caller's or a forwarded request.
     const fn metric_name(&self, caller: &'static str, sender: &'static str) -> &'static str {
         if self.sender.is_empty() {
             caller
@@ -149,7 +150,7 @@
         );
     }
 
-    /// Settles a request when its relayed body ends.
+    /// Records the outcome when the relayed body ends.
     pub fn track_body(self, body: Body) -> Body {
         let next = |(mut body, mut completion): (Body, Self)| async move {
             match body.next().await {
--- a/crates/zinniastall-entry/src/callers/connection.rs
+++ b/crates/zinniastall-entry/src/callers/connection.rs
@@ -1,12 +1,13 @@
-//! Callers' connections, on which refusals of the HTTP library itself say what they mean.
+//! Caller connections that add a typed body to rejections by the HTTP library.
 //!
-//! The library refuses a head that is malformed, too long or too slow before any handler sees a
-//! request, by a bare status without a body. A caller who reads the error's type and outcome would
-//! find neither and could not tell whether to send again. [`Connection`] recognises these answers
-//! as they are written and gives them the body that all other refusals have.
+//! The library rejects a head that is malformed, too long or too slow before any handler sees the
+//! request, with a bare status and no body. A caller that reads the error type and outcome would
+//! find neither and could not tell whether a retry is safe. [`Connection`] recognises these
+//! responses as they are written and gives them the same body as any other refusal.
 //!
-//! An answer of a target may hold the same bytes. It is left alone: whatever is written while an
-//! answer of the application is open, or before such an answer has been flushed, passes unchanged.
+//! A target's response may contain the same bytes and must not be changed. Whatever is written
+//! while an application response is open, or before it has been flushed, therefore passes through
+//! unchanged.
 
 use std::{
     cell::Cell,
@@ -25,24 +26,24 @@
 
 use super::response::error_json;
 
-/// How the library announces an answer without a body.
+/// Header by which the library announces an empty body.
 const EMPTY_BODY_HEADER: &str = "\r\ncontent-length: 0\r\n";
-/// Longest bare answer of the library; its status line, length, connection and date.
+/// Maximum length of a bare library response: status line, length, connection and date.
 const MAX_BARE_RESPONSE_BYTES: usize = 256;
 
-/// Answers of the application on one connection.
+/// Tracks the application's open responses on one connection.
 #[derive(Debug, Clone, Default)]
 pub struct Responses(Rc<ResponseState>);
 
 #[derive(Debug, Default)]
 struct ResponseState {
     open: Cell<usize>,
-    /// An answer has ended and may not have been flushed.
+    /// A response has ended and may not have been flushed yet.
     ended: Cell<bool>,
 }
 
 impl Responses {
-    /// Marks the start of an answer.
+    /// Marks the start of a response.
     pub fn start(&self) -> ResponseGuard {
         self.0.open.set(self.0.open.get() + 1);
         ResponseGuard(Rc::clone(&self.0))
@@ -53,7 +54,7 @@
     }
 }
 
-/// An answer that the application has started; dropping it ends the answer.
+/// Keeps a response marked as open until dropped.
 #[derive(Debug)]
 pub struct ResponseGuard(Rc<ResponseState>);
 
@@ -64,7 +65,7 @@
     }
 }
 
-/// The body of an answer, which is open for as long as its body is held.
+/// Response body that keeps its response marked as open while it exists.
 #[derive(Debug)]
 pub struct GuardedBody<B> {
     body: B,
@@ -72,7 +73,7 @@
 }
 
 impl<B> GuardedBody<B> {
-    /// Holds an answer open until its body has been written.
+    /// Wraps a body together with the guard of its response.
     pub const fn new(body: B, guard: ResponseGuard) -> Self {
         Self {
             body,
@@ -96,20 +97,20 @@
     }
 }
 
-/// A caller's connection.
+/// Connection from a caller.
 #[derive(Debug)]
 pub struct Connection {
     stream: TcpStream,
     instance: id::Instance,
     responses: Responses,
-    /// Everything written so far has been flushed.
+    /// Whether everything written so far has been flushed.
     flushed: bool,
-    /// What is left of an explained refusal, and the length of the bare one it replaces.
+    /// Unwritten rest of a typed refusal, and the length of the bare response that it replaces.
     replacement: Option<(Bytes, usize)>,
 }
 
 impl Connection {
-    /// Wraps a connection that a caller has opened to an instance.
+    /// Wraps an accepted connection.
     pub fn new(stream: TcpStream, instance: id::Instance) -> Self {
         Self {
             stream,
@@ -120,7 +121,7 @@
         }
     }
 
-    /// Returns the answers of the application on this connection.
+    /// Returns the tracker of the application's responses on this connection.
     pub fn responses(&self) -> Responses {
         self.responses.clone()
     }
@@ -137,7 +138,7 @@
     }
 }
 
-/// Returns a bare refusal with a body, and nothing for any other text.
+/// Adds a typed body to a bare rejection; returns `None` for any other text.
 fn typed_refusal(text: &str, instance: &str) -> Option<String> {
     let head = text.strip_suffix("\r\n\r\n")?;
     let status = head
@@ -154,7 +155,7 @@
     is_bare.then(|| text.replacen(EMPTY_BODY_HEADER, &fields, 1) + &body)
 }
 
-/// Returns why the library answers with a status.
+/// Maps a library status to the reason for the rejection.
 fn reason(status: &str) -> Option<Reason> {
     match status {
         "400" => Some(Reason::Head),
@@ -203,8 +204,8 @@
     fn poll_flush(self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<io::Result<()>> {
         let this = self.get_mut();
         ready!(Pin::new(&mut this.stream).poll_flush(context))?;
-        // The library flushes when its buffer is empty, so the next write starts an answer or goes
-        // on with one that is open.
+        // The library flushes when its buffer is empty, so the next write either starts a response
+        // or continues one that is open.
         this.flushed = true;
         this.responses.0.ended.set(false);
         Poll::Ready(Ok(()))
--- a/crates/zinniastall-entry/src/callers/forward/credit.rs
+++ b/crates/zinniastall-entry/src/callers/forward/credit.rs
@@ -1,4 +1,4 @@
-//! Credit: how much of an answer its sender may still send.
+//! Credit-based flow control for responses between instances.
 
 use std::cell::Cell;
 
@@ -6,14 +6,14 @@
 
 use super::LINK_TIMEOUT;
 
-/// How much of an answer its sender may still send.
+/// Number of bytes of a response that may still be sent.
 ///
-/// Without it a slow reader on one side would make the other side's memory grow, or would stop all
+/// Without flow control, a slow reader at one end would grow memory at the other, or block all
 /// streams of the link.
 #[derive(Debug)]
 pub(super) struct Credit {
     bytes: Cell<u64>,
-    /// Whether the other end has read the end of the answer.
+    /// Whether the other end has received the end of the response.
     delivered: Cell<bool>,
     more: Notify,
 }
@@ -27,14 +27,14 @@
         }
     }
 
-    /// Adds what the reader has taken; nothing means that the end of the answer has arrived.
+    /// Adds bytes that the reader has consumed; zero acknowledges the end of the response.
     pub(super) fn add(&self, bytes: u64) {
         self.delivered.set(self.delivered.get() || bytes == 0);
         self.bytes.set(self.bytes.get().saturating_add(bytes));
         self.more.notify_one();
     }
 
-    /// Waits until the end of the answer has arrived, as long as the other end shows life.
+    /// Waits until the end of the response is acknowledged, as long as the other end sends credit.
     pub(super) async fn delivered(&self) {
         while !self.delivered.get() {
             if timeout(LINK_TIMEOUT, self.more.notified()).await.is_err() {
@@ -43,7 +43,7 @@
         }
     }
 
-    /// Takes up to `wanted` bytes, and waits until there is at least one.
+    /// Takes up to `wanted` bytes of credit, waiting until at least one is available.
     pub(super) async fn take(&self, wanted: u64) -> u64 {
         while self.bytes.get() == 0 {
             self.more.notified().await;
--- a/crates/zinniastall-entry/src/callers/forward/handler.rs
+++ b/crates/zinniastall-entry/src/callers/forward/handler.rs
@@ -1,4 +1,4 @@
-//! One request of another instance, from its arrival to the end of its answer.
+//! Handles one forwarded request, from its arrival to the end of its response.
 
 use std::{
     rc::Rc,
@@ -15,10 +15,10 @@
 use super::{credit::Credit, failure, head, open};
 use crate::callers::{completion::Completion, pipeline, worker::Worker};
 
-/// Longest part of an answer in one message, in bytes.
+/// Maximum size of a response part in one message.
 const MAX_PART_BYTES: usize = 32 * 1024;
 
-/// Serves a request and sends its answer over the link on which it came.
+/// Serves a forwarded request and sends the response over the same link.
 pub(super) async fn handle(
     worker: Rc<Worker>,
     sender: Address,
@@ -44,10 +44,10 @@
             Message::Failed { stream, failure }
         }
     };
-    // A broken link tells its other end by itself.
+    // If the link is broken, the other end notices by itself.
     drop(out.send(last).await);
-    // The rest of the answer may be on its way over a slow link for seconds. A shutdown that did not
-    // wait for it would close the link under it, and a request in progress would be cut after all.
+    // The rest of the response may take seconds over a slow link. Without waiting for it, a
+    // shutdown would close the link and truncate the response.
     credit.delivered().await;
 }
 
@@ -68,12 +68,13 @@
     pipeline::serve_forwarded(worker, call, sender).await
 }
 
-/// Waits, within bounds, for the configuration under which the sender judged a request.
+/// Waits, up to a limit, for the configuration revision that the sender used.
 ///
-/// A request may arrive before the change that permits it: judged at once, a client that was added a
-/// moment ago would be told that it is unknown, although its own region has accepted it. The change
-/// is on its way here already, so waiting costs less than fetching. If it does not come in time, the
-/// request is judged by what is held, and the stricter of both revisions wins.
+/// A request may arrive before the change that permits it. If it were judged at once, a client that
+/// was just added would be reported as unknown, although the caller's region has accepted it. The
+/// change is already on its way, so waiting costs less than fetching it. If it does not arrive in
+/// time, the request is judged by the current configuration, and the stricter of both revisions
+/// applies.
 async fn await_revision(worker: &Worker, open: &mut Open) {
     let board = &worker.service.board;
     if board.view().revision() >= open.revision {
@@ -82,7 +83,7 @@
     let started = Instant::now();
     let left = Duration::from_millis(open.left_ms);
     let bound = worker.service.max_revision_wait.min(left / 2);
-    // Reached or not, the request is judged now.
+    // Whether or not the revision arrived, the request is judged now.
     let _ = timeout(bound, board.reach(open.revision)).await;
     let waited = started.elapsed();
     open.left_ms = millis(left.saturating_sub(waited));
@@ -119,7 +120,7 @@
     Ok(offset)
 }
 
-/// Sends a part as far as credit permits, and returns the offset after it.
+/// Sends a part as credit permits, and returns the offset after it.
 async fn send(
     stream: Stream,
     mut offset: u64,
--- a/crates/zinniastall-entry/src/callers/forward/head.rs
+++ b/crates/zinniastall-entry/src/callers/forward/head.rs
@@ -1,4 +1,4 @@
-//! Heads of answers as they travel between instances.
+//! Response heads in messages between instances.
 
 use zinniastall_model::{
     header::{PLACE, TARGET},
@@ -7,7 +7,7 @@
 
 use crate::callers::reply::{Body, Reply, Served};
 
-/// Returns the reply that a head announces; its body is still to come.
+/// Converts a received head to a reply with the given body.
 pub(super) fn reply(status: u16, headers: Vec<(String, String)>, body: Body) -> Reply {
     let find = |name: &str| {
         let mut pairs = headers.iter();
@@ -36,7 +36,7 @@
     }
 }
 
-/// Returns the headers that carry what a reply is besides its own headers.
+/// Returns the headers of a reply, including those that carry its length, target and place.
 pub(super) fn headers(reply: &Reply, buffered: Option<usize>) -> Vec<(String, String)> {
     let mut headers = reply.headers.clone();
     let length = buffered.map(|length| length as u64).or(reply.length);
--- a/crates/zinniastall-entry/src/callers/forward/mod.rs
+++ b/crates/zinniastall-entry/src/callers/forward/mod.rs
@@ -1,7 +1,7 @@
-//! Requests that cross from one entry instance to another, over stream links.
+//! Forwards requests between entry instances over stream links.
 //!
-//! [`mux`] is the sender's end: it carries many streams over one link to an instance. [`serve`] is
-//! the receiver's end. A traffic thread keeps its own links, so that no request waits for another
+//! [`mux`] is the sending end, which multiplexes streams over one link per instance. [`serve`] is
+//! the receiving end. Each traffic thread has its own links, so that no request waits for another
 //! thread.
 
 mod credit;
@@ -36,21 +36,21 @@
 
 use mux::Mux;
 
-/// Bytes of an answer that may be on their way without having been taken by the reader.
+/// Flow-control window: bytes of a response that may be sent before the reader consumes them.
 const WINDOW_BYTES: u64 = 256 * 1024;
-/// Time between two pulses on a link that has nothing else to send.
+/// Interval between keepalive messages on a link with nothing else to send.
 const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
-/// Silence after which a link counts as lost.
+/// Time without any message after which a link is considered lost.
 const LINK_TIMEOUT: Duration = Duration::from_secs(3);
-/// Asks the other end for a sign of life; it answers the same. No stream has this number.
+/// Keepalive message, which the other end returns. No stream has number 0.
 const KEEPALIVE: Message = Message::Credit {
     stream: 0,
     bytes: 0,
 };
-/// Longest time to open a link. Regions are a slow link apart.
+/// Maximum time to open a link; links between regions are slow.
 const DIAL_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// One thread's links to other instances.
+/// Links from one thread to other instances.
 #[derive(Debug)]
 pub struct Links {
     identity: Option<Identity>,
@@ -58,7 +58,7 @@
 }
 
 impl Links {
-    /// Creates the links of one thread; none is open yet.
+    /// Creates an empty set of links.
     pub fn new(identity: Option<Identity>) -> Self {
         Self {
             identity,
@@ -66,7 +66,7 @@
         }
     }
 
-    /// Returns a link to a run of an instance, opening it if there is none.
+    /// Returns a link to an incarnation of an instance, opening one if needed.
     async fn connect(&self, peer: &Peer) -> Result<Rc<Mux>, Refusal> {
         let unreachable = || Refusal::not_run(Reason::Unreachable);
         if let Some(mux) = self.find(peer) {
@@ -75,7 +75,7 @@
         let identity = self.identity.as_ref().ok_or_else(unreachable)?;
         let dialled = identity.dial(&peer.links, Purpose::Stream).await;
         let link: Link = dialled.map_err(|_| unreachable())?;
-        // The address may have been taken over by another run or another instance.
+        // Another incarnation or another instance may have taken over the address.
         let hello = link.peer();
         if hello.instance != peer.instance || hello.incarnation != peer.incarnation {
             return Err(unreachable());
@@ -94,7 +94,7 @@
     }
 }
 
-/// Chooses an instance of a place, a less loaded one with a higher probability.
+/// Chooses an instance of a place at random, preferring less loaded ones.
 pub fn choose_peer<'a>(view: &'a View, place: &Place) -> Option<&'a Peer> {
     let peers = view.peers.values();
     let usable: Vec<_> = peers
@@ -107,11 +107,12 @@
         .copied()
 }
 
-/// Sends a request to another instance and waits for the head of its answer.
+/// Forwards a request to another instance and waits for the response head.
 ///
 /// # Errors
 ///
-/// "Not run" if no link could be opened or the other instance says so, "unknown" otherwise.
+/// Returns "not run" if no link could be opened or the other instance reports so, "unknown"
+/// otherwise.
 pub async fn send(
     worker: &Rc<Worker>,
     call: &Call,
@@ -122,8 +123,8 @@
     let until = deadline.min(Instant::now() + DIAL_TIMEOUT);
     let mux = timeout_at(until.into(), worker.links.connect(peer)).await;
     let mux = mux.map_err(|_| Refusal::not_run(Reason::Unreachable))??;
-    // Opening a link takes seconds over a slow network. A rule that was narrowed meanwhile has been
-    // reported as accepted, so the request must not leave by what was in force before.
+    // Opening a link can take seconds over a slow network. A residency rule narrowed meanwhile has
+    // been confirmed to the operator, so the request must not leave under the previous rule.
     worker
         .check_again(&call.request, &peer.place)
         .map_err(Refusal::not_run)?;
@@ -132,7 +133,7 @@
     reply.map_err(|_| Refusal::unknown(Reason::Deadline))?
 }
 
-/// Returns what a failure that another instance reported means here.
+/// Converts a failure reported by another instance to a refusal.
 fn refusal(failure: Failure) -> Refusal {
     match failure {
         Failure::NotRun { reason, retry_ms } => {
@@ -143,7 +144,7 @@
     }
 }
 
-/// Returns a refusal as the failure that another instance is told.
+/// Converts a refusal to the failure that is reported to another instance.
 fn failure(refusal: &Refusal) -> Failure {
     let reason = refusal.reason.to_string();
     if refusal.outcome == zinniastall_route::outcome::Outcome::NotRun {
--- a/crates/zinniastall-entry/src/callers/forward/mux.rs
+++ b/crates/zinniastall-entry/src/callers/forward/mux.rs
@@ -1,4 +1,4 @@
-//! The sender's end of a link: many streams over one connection.
+//! Sending end of a link: multiplexes streams over one connection.
 
 use std::{
     cell::{Cell, RefCell},
@@ -20,14 +20,15 @@
 use super::{KEEPALIVE_INTERVAL, LINK_TIMEOUT, head::reply, refusal};
 use crate::callers::reply::{BodySource, Reply, lazy_body};
 
-/// The sender's end of a link.
+/// Sending end of a link.
 ///
-/// Frames of one run of the other instance arrive on this link only, and each names its stream; one
-/// for a stream that is not open any more is dropped.
+/// A link serves one incarnation of the other instance. Each frame names its stream, and a frame of
+/// a closed stream is dropped.
 #[derive(Debug)]
 pub(super) struct Mux {
     incarnation: id::Incarnation,
-    /// Holds at most the requests in progress and their credits.
+    /// Outgoing messages; bounded in practice by the requests in progress and their credit
+    /// messages.
     out: mpsc::UnboundedSender<Message>,
     streams: RefCell<IndexMap<Stream, mpsc::UnboundedSender<Message>>>,
     last: Cell<Stream>,
@@ -35,7 +36,7 @@
 }
 
 impl Mux {
-    /// Starts the tasks that write and read a link.
+    /// Spawns the tasks that write to and read from a link.
     pub(super) fn start(link: Link) -> Rc<Self> {
         let incarnation = link.peer().incarnation;
         let (sender, receiver) = link.split();
@@ -62,21 +63,21 @@
         mux
     }
 
-    /// Returns the run of the other instance.
+    /// Returns the incarnation of the other instance.
     pub(super) const fn incarnation(&self) -> id::Incarnation {
         self.incarnation
     }
 
-    /// Returns whether the link still works.
+    /// Returns whether the link is still usable.
     pub(super) fn is_alive(&self) -> bool {
         self.alive.get()
     }
 
-    /// Opens a stream and waits for the head of its answer.
+    /// Opens a stream and waits for the response head.
     ///
     /// # Errors
     ///
-    /// What the other instance says; "unknown" if the link breaks.
+    /// Returns the failure that the other instance reports, or "unknown" if the link breaks.
     pub(super) async fn request(self: &Rc<Self>, mut open: Open) -> Result<Reply, Refusal> {
         let stream = self.last.get() + 1;
         self.last.set(stream);
@@ -90,7 +91,7 @@
             offset: 0,
             ended: false,
         };
-        // From here on the request may have left, whatever the link does.
+        // From here on, the request may have been sent, whatever happens to the link.
         self.send(Message::Open(Box::new(open)));
         match answer.receiver.recv().await {
             Some(Message::Head {
@@ -105,7 +106,7 @@
     }
 
     fn send(&self, message: Message) {
-        // A closed link ends all streams by itself.
+        // If the link is closed, all its streams have ended anyway.
         drop(self.out.send(message));
     }
 
@@ -115,10 +116,10 @@
     }
 }
 
-/// Reads until the link breaks or falls silent.
+/// Reads until the link breaks or times out.
 ///
-/// A network partition closes nothing: without the pulse each request on the link would wait for its
-/// own deadline, and so would every further one that is sent after it.
+/// A network partition closes no connection. Without keepalive messages, each request on the link
+/// would wait for its own deadline, and so would every request sent later.
 async fn read(mux: std::rc::Weak<Mux>, mut receiver: link::Receiver) {
     while let Ok(Some(Ok(frame))) = timeout(LINK_TIMEOUT, receiver.next()).await {
         let Some(mux) = mux.upgrade() else { return };
@@ -148,7 +149,7 @@
     }
 }
 
-/// The answer of one stream; dropping it before its end cancels the request over there.
+/// Response body of one stream; dropping it before its end cancels the request.
 struct StreamBody {
     mux: Rc<Mux>,
     stream: Stream,
@@ -161,7 +162,7 @@
     async fn next_part(&mut self) -> Result<Option<Bytes>, Refusal> {
         let broken = || Refusal::unknown(Reason::Broken);
         match self.receiver.recv().await.ok_or_else(broken)? {
-            // A part that is lost, doubled or out of order shows in its offset.
+            // The offset reveals a part that was lost, duplicated or reordered.
             Message::Data { offset, bytes, .. } if offset == self.offset => {
                 let length = bytes.len() as u64;
                 self.offset += length;
@@ -178,7 +179,7 @@
             Message::Failed { failure, .. } => {
                 self.ended = true;
                 let refusal = refusal(failure);
-                // Once parts have arrived it has run, whatever the other end says.
+                // Once parts have arrived, the request has run, whatever the other end reports.
                 Err(Refusal::unknown(refusal.reason))
             }
             _ => Err(broken()),
--- a/crates/zinniastall-entry/src/callers/forward/open.rs
+++ b/crates/zinniastall-entry/src/callers/forward/open.rs
@@ -1,4 +1,4 @@
-//! Requests as they travel between instances.
+//! Conversion of requests to and from the message that opens a stream.
 
 use std::{
     rc::Rc,
@@ -17,7 +17,7 @@
 
 use crate::callers::{accept, call::Call, reply::remaining_ms, worker::Worker};
 
-/// Makes the message that opens a stream; the link gives it its number.
+/// Creates the message that opens a stream; the link assigns its number.
 pub(super) fn pack(call: &Call, hops: Vec<Place>) -> Open {
     let request = &call.request;
     Open {
@@ -39,14 +39,14 @@
     }
 }
 
-/// Judges a request that arrived and makes the parcel that is served here.
+/// Validates a forwarded request and builds the [`Call`] that is served here.
 ///
-/// The sender may hold an older or a newer configuration. What it permits and what this instance
-/// permits must both hold, so a rule that has reached either of them is kept.
+/// The sender may hold an older or a newer configuration. The request must be permitted by both, so
+/// a rule that has reached either instance is enforced.
 ///
 /// # Errors
 ///
-/// A refusal of a request that has not run.
+/// Returns a "not run" refusal if the request is not permitted.
 pub(super) fn unpack(worker: &Rc<Worker>, sender: &Address, open: Open) -> Result<Call, Refusal> {
     validate(worker, sender, open).map_err(|reason| {
         let retry = Duration::from_millis(500);
--- a/crates/zinniastall-entry/src/callers/forward/serve.rs
+++ b/crates/zinniastall-entry/src/callers/forward/serve.rs
@@ -1,4 +1,4 @@
-//! The receiver's end of stream links: serves what other instances send.
+//! Receiving end of stream links: serves requests that other instances forward.
 
 use std::{
     cell::{Cell, RefCell},
@@ -24,12 +24,12 @@
     links::Acceptor,
 };
 
-/// Most requests of one link in progress; a sender that opens more is wrong.
+/// Maximum number of requests in progress per link; a correct sender stays below it.
 const MAX_STREAMS: usize = 10_000;
-/// When to come back to a link that carries that many.
+/// Retry hint when a link has too many requests in progress.
 const FULL_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// Takes stream links to a traffic thread of their own.
+/// Accepts stream links and serves them on a dedicated traffic thread.
 #[derive(Debug)]
 pub struct Receiver {
     arbiter: actix::Arbiter,
@@ -55,7 +55,7 @@
         Self { arbiter, links }
     }
 
-    /// Returns the thread, so that a shutdown can stop it after the last request.
+    /// Returns the thread's handle, so that a shutdown can stop it after the last request.
     pub fn arbiter(&self) -> actix::ArbiterHandle {
         self.arbiter.handle()
     }
@@ -63,8 +63,8 @@
 
 impl Acceptor for Receiver {
     fn accept(&self, link: Link) {
-        // An instance that sends requests has a configuration, and so knows its cluster. Whoever
-        // names none is a stranger, whose requests would run under any client's name.
+        // An instance that forwards requests has a configuration and therefore knows its cluster. A
+        // peer without one is not trusted, since its requests would run under any client's name.
         if link.peer().cluster.is_none() {
             tracing::warn!(event = "link-refused", peer = link.peer().instance);
             return;
@@ -76,11 +76,12 @@
     }
 }
 
-/// Requests of one link in progress.
+/// Requests in progress on one link.
 #[derive(Debug, Default)]
 struct ActiveStreams {
     streams: RefCell<IndexMap<Stream, ActiveStream>>,
-    /// Highest number so far. A sender counts up, so what comes later with a lower one is doubled.
+    /// Highest stream number so far. Senders count up, so a frame with a lower number is a
+    /// duplicate.
     last: Cell<Stream>,
 }
 
@@ -91,8 +92,8 @@
 }
 
 impl Drop for ActiveStreams {
-    /// Cancels what still runs when its link breaks: nobody is left to take the answers. Requests with tickets run in
-    /// tasks of their own and go on.
+    /// Cancels the remaining requests when the link breaks, since nobody is left to receive the
+    /// responses. Requests with tickets run in separate tasks and continue.
     fn drop(&mut self) {
         for request in self.streams.borrow().values() {
             request.task.abort();
@@ -116,7 +117,7 @@
         match message {
             Message::Open(open) => start(&worker, &active, &sender, *open, out.clone()),
             Message::Cancel { stream } => cancel(&active, stream),
-            // A full channel has enough to say.
+            // A full channel already carries enough messages to serve as a keepalive.
             Message::Credit { stream: 0, .. } => drop(out.try_send(KEEPALIVE)),
             Message::Credit { stream, bytes } => {
                 if let Some(request) = active.streams.borrow().get(&stream) {
@@ -145,18 +146,18 @@
 ) {
     let stream = open.stream;
     let mut streams = active.streams.borrow_mut();
-    // A doubled frame must not run the request again, not even after the end of its answer.
+    // A duplicate frame must not run the request again, even after its response has ended.
     if stream <= active.last.get() {
         return;
     }
     active.last.set(stream);
     if streams.len() >= MAX_STREAMS {
-        // Dropped without a word, its caller would wait for the whole deadline.
+        // Without an explicit failure, the caller would wait until its deadline.
         let refusal = Refusal::not_run(Reason::Full).retry(FULL_RETRY_AFTER);
         let tickets = &worker.service.tickets;
         let refusal = tickets.rejected_early(refusal, open.ticket.as_deref(), Some(sender));
         let failure = failure(&refusal);
-        // A channel that is full as well has answers enough to send.
+        // If the channel is full too, the failure message is dropped.
         return drop(out.try_send(Message::Failed { stream, failure }));
     }
     let credit = Rc::new(Credit::new(WINDOW_BYTES));
--- a/crates/zinniastall-entry/src/callers/guard.rs
+++ b/crates/zinniastall-entry/src/callers/guard.rs
@@ -1,10 +1,10 @@
-//! Connections to targets that never mistake a lost connection for the end of an answer.
+//! Connections to targets that report a lost connection as an error.
 //!
-//! `awc` ends an answer's body without an error when the connection closes early, for announced
-//! lengths and for chunked bodies alike: a target killed in the middle of an answer would leave an
-//! answer that looks whole. [`Guard`] turns the close of a connection into an error. An answer that
-//! has arrived as a whole is recognised by its length or last chunk before the close is read, so
-//! only cut answers fail.
+//! `awc` ends a response body without an error if the connection closes early, for bodies with a
+//! content length and for chunked ones. A target killed in the middle of a response would then
+//! leave a truncated response that looks complete. [`Guard`] turns the close of the connection into
+//! an error. A complete response is recognised by its length or last chunk before the close is
+//! read, so only truncated responses fail.
 
 use std::{
     io,
@@ -15,14 +15,14 @@
 use actix_rt::net::{ActixStream, Ready, TcpStream};
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 
-/// A connection whose close is an error.
+/// A connection that reports end of file as an error.
 #[derive(Debug)]
 pub struct Guard {
     stream: TcpStream,
 }
 
 impl Guard {
-    /// Wraps a connection.
+    /// Wraps a connection to a target.
     pub const fn new(stream: TcpStream) -> Self {
         Self { stream }
     }
--- a/crates/zinniastall-entry/src/callers/locate.rs
+++ b/crates/zinniastall-entry/src/callers/locate.rs
@@ -1,4 +1,4 @@
-//! Tells callers which instances to use, and issues tickets.
+//! Service discovery for callers: tells them which instances to use, and issues tickets.
 
 use std::{rc::Rc, time::Duration};
 
@@ -13,20 +13,20 @@
 use super::{accept, response, worker::Worker};
 use crate::view::View;
 
-/// Most tickets that one answer carries.
+/// Maximum number of tickets in one response.
 const MAX_TICKETS: usize = 100;
 
-/// What a caller asks for.
+/// Query parameters.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 struct Query {
-    /// Model or service.
+    /// Name of a model or service.
     subject: String,
-    /// Region of the caller; that of this instance where absent.
+    /// Region of the caller; defaults to that of this instance.
     region: Option<id::Region>,
-    /// Availability zone of the caller.
+    /// Availability zone of the caller; defaults to that of this instance.
     zone: Option<id::Zone>,
-    /// Tickets wanted.
+    /// Number of tickets to issue.
     #[serde(default)]
     tickets: usize,
 }
@@ -48,7 +48,7 @@
     weight: u32,
 }
 
-/// Answers which instances to use for a model or service.
+/// Responds with the instances to use for a model or service.
 pub async fn locate(http: HttpRequest, worker: web::Data<Rc<Worker>>) -> HttpResponse {
     let view = worker.view();
     match find(&http, &worker, &view) {
@@ -78,7 +78,7 @@
         view.connected,
         &mut rand::rng(),
     );
-    // A ticket of an instance that is about to leave would soon have nobody to answer for it.
+    // The ticket of a draining instance would soon have no issuer to resolve it.
     let tickets = if view.draining { 0 } else { query.tickets };
     let tickets = (0..tickets.min(MAX_TICKETS)).map(|_| worker.service.tickets.issue());
     Ok(Answer {
--- a/crates/zinniastall-entry/src/callers/mod.rs
+++ b/crates/zinniastall-entry/src/callers/mod.rs
@@ -1,7 +1,7 @@
-//! Callers' HTTP interface and the request path behind it.
+//! HTTP interface for callers and the request pipeline behind it.
 //!
-//! `accept → identify → residency → ticket → admit → choose → dispatch → relay → settle`: the
-//! decisions are in `zinniastall-route`, this module does what they say.
+//! `accept → identify → residency → ticket → admit → choose → dispatch → relay → complete`:
+//! `zinniastall-route` makes the decisions and this module carries them out.
 
 pub mod accept;
 pub mod admission;
@@ -37,7 +37,7 @@
 use worker::Worker;
 
 impl Service {
-    /// Adds the callers' paths to one traffic thread's application.
+    /// Registers the callers' routes with one traffic thread's application.
     pub fn configure(&self, config: &mut web::ServiceConfig) {
         let worker = Rc::new(Worker::new(self.clone()));
         config
@@ -95,7 +95,8 @@
 ) -> Result<Call, Refusal> {
     let limits = &worker.service.limits;
     let body = accept::read_body(payload, limits).await?;
-    // The view is read after the body: a slow body must not bring an old configuration along.
+    // The view is loaded after the body, so that a slow upload is not judged by an outdated
+    // configuration.
     let view = worker.view();
     let index = worker.index(accept::configured(&view)?);
     accept::build_call(http, body, &view, &index, limits)
--- a/crates/zinniastall-entry/src/callers/pipeline.rs
+++ b/crates/zinniastall-entry/src/callers/pipeline.rs
@@ -1,4 +1,4 @@
-//! The path of a request from its ticket to its answer.
+//! Request pipeline from the ticket check to the response.
 
 use std::{rc::Rc, time::Duration};
 
@@ -17,17 +17,17 @@
     worker::Worker,
 };
 
-/// When to come back to an instance that was chosen elsewhere but cannot be reached.
+/// Retry hint when the chosen instance cannot be reached.
 pub(super) const UNREACHABLE_RETRY_AFTER: Duration = Duration::from_millis(500);
 
-/// An answer, and its body if that was gathered.
+/// A response, and its body if that has been buffered.
 pub type Answer = (Reply, Option<Bytes>);
 
-/// Serves a caller's request.
+/// Serves a request from a caller.
 ///
 /// # Errors
 ///
-/// The end of a request for which no whole answer arrived and nothing can be relayed.
+/// Returns a refusal if no complete response arrived and none can be relayed.
 pub async fn serve(worker: &Rc<Worker>, call: Call) -> Result<Answer, Refusal> {
     let draining = worker.view().draining;
     if call.request.idempotent {
@@ -42,7 +42,7 @@
     answer.map_err(|refusal| worker.service.with_ticket(refusal))
 }
 
-/// Serves a request that another instance sent.
+/// Serves a request that another instance forwarded.
 ///
 /// # Errors
 ///
@@ -63,7 +63,7 @@
     serve_once(worker, call, action).await
 }
 
-/// Serves a request that may be repeated, unless the instance takes no more.
+/// Serves an idempotent request, unless the instance is draining.
 async fn serve_idempotent(
     worker: &Rc<Worker>,
     call: Call,
@@ -75,7 +75,7 @@
     dispatch(worker, &Rc::new(call)).await
 }
 
-/// Runs a ticket's request in a task of its own, or joins it.
+/// Runs the request of a ticket in a separate task, or joins a run that has started.
 async fn serve_once(worker: &Rc<Worker>, call: Call, action: Action) -> Result<Answer, Refusal> {
     let (record, owner) = match action {
         Action::Run(record) => (record, true),
@@ -84,8 +84,8 @@
     };
     let deadline = call.request.deadline;
     if owner {
-        // The task outlives the caller's connection: when the answer is lost on its way, the
-        // resend finds it here.
+        // The task outlives the caller's connection: if the response is lost on its way, a retry of
+        // the caller finds it here.
         let task = run_recorded(Rc::clone(worker), Rc::new(call), Writer(record.clone()));
         actix::spawn(task);
     }
@@ -94,7 +94,7 @@
         let buffered = relay::buffer(&mut reply).await?;
         Ok((reply, buffered))
     };
-    // A resend waits for its own deadline only; the run goes on.
+    // A retry waits only until its own deadline; the run continues.
     let answer = timeout_at(deadline.into(), read).await;
     answer.map_err(|_| Refusal::unknown(Reason::Deadline))?
 }
@@ -122,7 +122,7 @@
     Ok(())
 }
 
-/// Passes a resend to the instance that issued its ticket.
+/// Forwards a retry to the instance that issued its ticket.
 async fn forward_to_issuer(
     worker: &Rc<Worker>,
     call: &Call,
@@ -131,7 +131,7 @@
     let gone = || Refusal::unknown(Reason::IssuerGone);
     let view = worker.view();
     let peer = view.peers.get(&issuer.instance).ok_or_else(gone)?;
-    // Another run has lost the marks of the one that issued it.
+    // A different incarnation has lost the record of which tickets were used.
     if peer.incarnation != issuer.incarnation || peer.instance == view.instance {
         return Err(gone());
     }
@@ -142,9 +142,9 @@
     let hops = hops.map_err(Refusal::unknown)?;
     let asked = forward::send(worker, call, peer, hops).await;
     let mut reply = asked.map_err(|refusal| match refusal.reason {
-        // The issuer knows whether it ran.
+        // The issuer knows whether the request ran.
         Reason::Forwarded(_) => refusal,
-        // It may have run there earlier, although this time nothing got through.
+        // The request may have run there earlier, although nothing got through this time.
         Reason::Unreachable => gone(),
         reason => Refusal::unknown(reason),
     })?;
--- a/crates/zinniastall-entry/src/callers/progress.rs
+++ b/crates/zinniastall-entry/src/callers/progress.rs
@@ -1,24 +1,24 @@
-//! Counts requests in progress, so that a shutdown knows when it cuts nothing.
+//! Counts requests in progress, so that a shutdown knows when it is safe to stop.
 
 use std::sync::{
     Arc,
     atomic::{AtomicU64, Ordering},
 };
 
-/// Counts requests in progress over all threads.
+/// Counts requests in progress across all threads.
 #[derive(Debug, Clone, Default)]
 pub struct Progress {
     count: Arc<AtomicU64>,
 }
 
-/// One request in progress; dropping it ends the count.
+/// Counts one request until dropped.
 #[derive(Debug)]
 pub struct Started {
     count: Arc<AtomicU64>,
 }
 
 impl Progress {
-    /// Counts a request.
+    /// Starts counting a request.
     pub fn start(&self) -> Started {
         self.count.fetch_add(1, Ordering::SeqCst);
         Started {
@@ -26,7 +26,7 @@
         }
     }
 
-    /// Returns the requests in progress.
+    /// Returns the number of requests in progress.
     pub fn count(&self) -> u64 {
         self.count.load(Ordering::SeqCst)
     }
--- a/crates/zinniastall-entry/src/callers/relay.rs
+++ b/crates/zinniastall-entry/src/callers/relay.rs
@@ -1,4 +1,4 @@
-//! Relays answers and sees to it that a cut one never looks whole.
+//! Relays responses and ensures that a truncated one never looks complete.
 
 use std::{
     rc::Rc,
@@ -23,9 +23,10 @@
     worker::Worker,
 };
 
-/// Ends a body that falls silent: whole answers at the request's deadline, streams after a pause.
+/// Fails a body that stalls: a plain response at the request's deadline, an event stream after
+/// `stall_timeout` without data.
 ///
-/// A stream may last longer than any deadline, as long as it moves; its deadline is that of its
+/// A stream may outlive the deadline as long as it makes progress; the deadline bounds only its
 /// first part.
 pub fn with_timeouts(body: Body, events: bool, deadline: Instant, stall_timeout: Duration) -> Body {
     let next = move |state: Option<(Body, Instant)>| async move {
@@ -48,7 +49,7 @@
     stream::unfold(Some((body, deadline)), next).boxed_local()
 }
 
-/// A stream of events that may be resumed at its target.
+/// An event stream that can be resumed at its target.
 struct EventStream {
     worker: Rc<Worker>,
     call: Rc<Call>,
@@ -58,10 +59,10 @@
     attempts: u32,
 }
 
-/// Passes on whole events only, and fails when the closing one is missing.
+/// Relays complete events only, and fails if the closing event is missing.
 ///
-/// When the connection breaks in between, an idempotent stream continues at its offset on the same
-/// target, if that resumes it and the budget of retries permits.
+/// If the connection breaks in between, an idempotent stream resumes at its offset on the same
+/// target, provided that the target supports it and the retry budget permits.
 pub fn resumable_events(
     worker: &Rc<Worker>,
     call: &Rc<Call>,
@@ -109,7 +110,8 @@
         };
         let next = dispatch::next(request, &broken, progress, Instant::now());
         let offset = self.events.count();
-        // Before its first event the stream can start afresh at any target; that is a retry.
+        // Before the first event, the request can start over at any target, which counts as a
+        // regular retry.
         if next == Next::End || offset == 0 || !request.idempotent {
             return Err(broken);
         }
@@ -125,7 +127,7 @@
         let reply = target::send(&self.worker.client, &report, &self.call, offset)
             .await
             .map_err(|_| broken.clone())?;
-        // A target that ignores the offset starts again; relaying that would double events.
+        // A target that ignores the offset starts over; relaying that would duplicate events.
         if !reply.events || reply.offset != offset {
             return Err(broken);
         }
@@ -141,11 +143,12 @@
     }
 }
 
-/// Waits for the first part of a stream, so that a target lost before it can still be replaced.
+/// Waits for the first part of a stream, so that a target that fails before it can still be
+/// replaced.
 ///
 /// # Errors
 ///
-/// The refusal that cut the stream.
+/// Returns the refusal that ended the stream.
 pub async fn await_first_part(reply: &mut Reply) -> Result<(), Refusal> {
     let mut rest = std::mem::replace(&mut reply.body, stream::empty().boxed_local());
     let first = match rest.next().await {
@@ -157,14 +160,14 @@
     Ok(())
 }
 
-/// Gathers a short answer, so that its end is known before its head is sent.
+/// Buffers a short response, so that its outcome is known before its head is sent.
 ///
-/// Returns `None` for an answer that is an event stream or longer than [`GATHER`]; the reply then
-/// still has its whole body.
+/// Returns `None` if the response is an event stream or longer than [`MAX_BUFFERED_BYTES`]; the
+/// reply then still has its full body.
 ///
 /// # Errors
 ///
-/// The refusal that cut the answer.
+/// Returns the refusal that ended the response.
 pub async fn buffer(reply: &mut Reply) -> Result<Option<Bytes>, Refusal> {
     let long = reply
         .length
--- a/crates/zinniastall-entry/src/callers/reply.rs
+++ b/crates/zinniastall-entry/src/callers/reply.rs
@@ -1,4 +1,4 @@
-//! An answer on its way back, wherever it comes from.
+//! A response on its way back to the caller, from a target or another instance.
 
 use std::time::Instant;
 
@@ -10,10 +10,10 @@
 use zinniastall_model::{id, place::Place};
 use zinniastall_route::outcome::Refusal;
 
-/// Parts of an answer. The stream ends without an error only if the answer is whole.
+/// Parts of a body. The stream ends without an error only if the body is complete.
 pub type Body = LocalBoxStream<'static, Result<Bytes, Refusal>>;
 
-/// An answer whose head has arrived.
+/// A response whose head has arrived.
 pub struct Reply {
     /// HTTP status.
     pub status: u16,
@@ -21,11 +21,11 @@
     pub headers: Vec<(String, String)>,
     /// Announced length of the body.
     pub length: Option<u64>,
-    /// Whether the body is a stream of events.
+    /// Whether the body is an event stream.
     pub events: bool,
-    /// Event at which a resumed stream starts, as its target says.
+    /// Event number at which a resumed stream starts, as stated by the target.
     pub offset: u64,
-    /// Who serves it.
+    /// Target that serves the request.
     pub served: Served,
     /// Body; dropping it cancels the request at the target.
     pub body: Body,
@@ -40,32 +40,32 @@
     }
 }
 
-/// Who serves a request.
+/// The target that serves a request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Served {
-    /// Target.
+    /// Name of the target.
     pub target: id::Target,
-    /// Where the target runs.
+    /// Place in which the target runs.
     pub place: Place,
 }
 
-/// Returns the time left until an instant, in milliseconds.
+/// Returns the time remaining until an instant, in milliseconds.
 pub fn remaining_ms(until: Instant) -> u64 {
     let left = until.saturating_duration_since(Instant::now());
     u64::try_from(left.as_millis()).unwrap_or(u64::MAX)
 }
 
-/// What a body is pulled from.
+/// Source of a body's parts.
 pub(super) trait BodySource: 'static {
-    /// Returns the next part, or nothing at the end of the whole body.
+    /// Returns the next part, or `None` at the end of a complete body.
     ///
     /// # Errors
     ///
-    /// The refusal that cuts the body; nothing is pulled after it.
+    /// Returns the refusal that ends the body; the source is not polled after it.
     async fn next_part(&mut self) -> Result<Option<Bytes>, Refusal>;
 }
 
-/// Makes a body that asks for a part only when its reader does.
+/// Creates a body that requests a part only when it is polled.
 pub(super) fn lazy_body(parts: impl BodySource) -> Body {
     let next = |state: Option<_>| async move {
         let mut parts = state?;
--- a/crates/zinniastall-entry/src/callers/response.rs
+++ b/crates/zinniastall-entry/src/callers/response.rs
@@ -1,4 +1,4 @@
-//! Writes answers and refusals as HTTP.
+//! Builds HTTP responses from replies and refusals.
 
 use actix_web::{
     HttpResponse, HttpResponseBuilder,
@@ -16,11 +16,11 @@
 
 use super::reply::{Body, Reply};
 
-/// Longest answer that is gathered before it is sent, in bytes. A gathered answer can say
-/// "answered" in its head and can be asked for again if it breaks.
+/// Maximum length of a response that is buffered before it is sent. A buffered response can state
+/// "answered" in its head and can be retried if it breaks.
 pub const MAX_BUFFERED_BYTES: usize = 256 * 1024;
 
-/// An error body.
+/// JSON body of an error response.
 #[derive(Debug, Serialize)]
 struct ErrorBody<'a> {
     error: ErrorDetail<'a>,
@@ -36,7 +36,7 @@
     ticket: Option<&'a str>,
 }
 
-/// Returns a refusal as the JSON of an error body.
+/// Returns the JSON error body of a refusal.
 pub fn error_json(refusal: &Refusal) -> String {
     let body = ErrorBody {
         error: ErrorDetail {
@@ -47,11 +47,11 @@
             ticket: refusal.ticket.as_deref(),
         },
     };
-    // Texts and numbers always encode.
+    // Strings and numbers always serialize.
     serde_json::to_string(&body).unwrap_or_default()
 }
 
-/// Answers a refusal.
+/// Builds the error response of a refusal.
 pub fn refuse(refusal: &Refusal, request: &str, instance: &id::Instance) -> HttpResponse {
     let mut response = HttpResponse::build(status_code(refusal.status()));
     response
@@ -71,7 +71,7 @@
         .body(error_json(refusal))
 }
 
-/// Answers with a reply; `whole` is its body when it has been gathered.
+/// Builds the response of a reply; `buffered` is its body if that has been buffered.
 pub fn build(
     reply: Reply,
     buffered: Option<Bytes>,
@@ -102,10 +102,10 @@
     }
 }
 
-/// Ends a broken stream of events by an error event before the connection is aborted.
+/// Adds an error event to a broken event stream before the connection is aborted.
 ///
-/// The error itself would abort at once and take what is not yet written with it, so the task
-/// yields once after the error event to let the connection be flushed.
+/// The error itself aborts the connection at once and discards what is not yet written. The task
+/// therefore yields once after the error event, to let the connection be flushed.
 fn with_error_event(body: Body) -> Body {
     let parts = body.flat_map(|part| match part {
         Ok(bytes) => stream::once(async { Ok(bytes) }).boxed_local(),
--- a/crates/zinniastall-entry/src/callers/server.rs
+++ b/crates/zinniastall-entry/src/callers/server.rs
@@ -1,8 +1,8 @@
-//! The server of the callers' interface.
+//! HTTP server for callers.
 //!
-//! `actix-web` has no hook for what the HTTP library refuses by itself, so the server is put
-//! together from the parts that `actix_web::HttpServer` consists of, around connections that give
-//! these refusals a body.
+//! `actix-web` has no hook for requests that the HTTP library itself rejects. The server is
+//! therefore assembled from the parts of `actix_web::HttpServer`, on top of connections that add a
+//! typed body to those rejections.
 
 use std::{io, net::TcpListener, time::Duration};
 
@@ -20,11 +20,11 @@
     connection::{Connection, GuardedBody, Responses},
 };
 
-/// Starts to serve callers on traffic threads; the server runs once it is awaited.
+/// Creates the callers' server on `threads` traffic threads; it runs once it is awaited.
 ///
 /// # Errors
 ///
-/// Faults of the listener.
+/// Returns an error if the listener cannot be registered.
 pub fn start(
     service: &Service,
     listener: TcpListener,
--- a/crates/zinniastall-entry/src/callers/service.rs
+++ b/crates/zinniastall-entry/src/callers/service.rs
@@ -1,4 +1,4 @@
-//! What all traffic threads of an instance share.
+//! State shared by all traffic threads of an instance.
 
 use std::{sync::Arc, time::Duration};
 
@@ -8,35 +8,35 @@
 use super::{admission::Admission, progress::Progress, settings::Callers, ticket::Ledger};
 use crate::{links::Identity, settings::Limits, view::Board};
 
-/// How often a shutdown looks whether it may end.
+/// How often a shutdown checks whether it may end.
 const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// What all traffic threads of an instance share.
+/// State shared by all traffic threads of an instance.
 #[derive(Debug, Clone)]
 pub struct Service {
-    /// Where the view is read.
+    /// Source of the current view.
     pub board: Board,
     /// Metrics.
     pub hub: Hub,
-    /// Bounds on what callers may send.
+    /// Limits on what callers may send.
     pub limits: Arc<Limits>,
-    /// Longest silence within a stream.
+    /// Maximum gap between parts of a stream.
     pub stall_timeout: Duration,
-    /// Longest wait of a forwarded request for its sender's configuration.
+    /// Maximum time that a forwarded request waits for its sender's configuration.
     pub max_revision_wait: Duration,
-    /// Admission and choice.
+    /// Admission control and target selection.
     pub admission: Admission,
-    /// Work that runs at most once.
+    /// Tickets for at-most-once execution.
     pub tickets: Ledger,
     /// Requests in progress.
     pub progress: Progress,
-    /// Who this instance is on links; without it nothing is forwarded.
+    /// Identity of this instance on links; without it, no request is forwarded.
     pub identity: Option<Identity>,
     linger: Duration,
 }
 
 impl Service {
-    /// Creates the service of an instance.
+    /// Creates the shared state of an instance.
     pub fn new(board: Board, hub: Hub, limits: Limits, settings: &Callers) -> Self {
         let tickets = Ledger::new(&board.view(), settings.tickets.clone());
         Self {
@@ -53,14 +53,14 @@
         }
     }
 
-    /// Lets the instance forward requests under an identity.
+    /// Enables forwarding under the given identity.
     #[must_use]
     pub fn identity(mut self, identity: Identity) -> Self {
         self.identity = Some(identity);
         self
     }
 
-    /// Adds a fresh ticket to a refusal that says "not run".
+    /// Adds a new ticket to a "not run" refusal that carries none.
     pub fn with_ticket(&self, refusal: Refusal) -> Refusal {
         if refusal.outcome != Outcome::NotRun || refusal.ticket.is_some() {
             return refusal;
@@ -69,10 +69,10 @@
         refusal.ticket(ticket)
     }
 
-    /// Waits, after the view says that the instance drains, until nothing is cut by its end.
+    /// Waits until a draining instance can stop without interrupting a request.
     ///
-    /// Requests in progress end first. Then recorded answers are kept for callers whose answer was
-    /// lost, until their tickets expire or the time set for it has passed.
+    /// Requests in progress end first. Recorded responses are then kept for callers that lost
+    /// theirs, until the tickets expire or the linger time has passed.
     pub async fn drained(&self) {
         while self.progress.count() > 0 {
             tokio::time::sleep(DRAIN_POLL_INTERVAL).await;
@@ -82,7 +82,7 @@
                 tokio::time::sleep(DRAIN_POLL_INTERVAL).await;
             }
         };
-        // Both ends are as they should be.
+        // Whether the tickets expire or the linger time passes first makes no difference.
         let _ = tokio::time::timeout(self.linger, lingering).await;
     }
 }
--- a/crates/zinniastall-entry/src/callers/settings.rs
+++ b/crates/zinniastall-entry/src/callers/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of the callers' interface: the deployment's policy, and tickets.
+//! Settings of the callers' interface: routing policy and tickets.
 
 use std::{sync::Arc, time::Duration};
 
@@ -8,34 +8,34 @@
 /// Settings of the callers' interface.
 #[derive(Debug, Clone)]
 pub struct Callers {
-    /// How targets are chosen.
+    /// Routing policy.
     pub policy: Arc<Policy>,
-    /// Longest silence within a stream before it counts as broken.
+    /// Maximum gap between parts of a stream before it is considered broken.
     pub stall_timeout: Duration,
-    /// Longest time that a forwarded request waits for the configuration under which its sender
-    /// judged it; zero judges at once.
+    /// Maximum time that a forwarded request waits for the configuration revision of its sender;
+    /// zero disables the wait.
     pub max_revision_wait: Duration,
-    /// Work that runs at most once.
+    /// At-most-once execution.
     pub tickets: Tickets,
 }
 
-/// Settings of work that runs at most once.
+/// Settings for at-most-once execution.
 #[derive(Debug, Clone)]
 pub struct Tickets {
-    /// How long a ticket is valid.
+    /// Validity period of a ticket.
     pub validity: Duration,
-    /// Most used tickets that are remembered.
+    /// Maximum number of used tickets that are remembered.
     pub marks: usize,
-    /// Longest answer that is kept for a resend, in bytes.
+    /// Maximum size of a response that is kept for retries, in bytes.
     pub answer_bytes: usize,
-    /// Most bytes of answers that are kept in all.
+    /// Maximum total size of kept responses, in bytes.
     pub kept_bytes: usize,
-    /// How long a shutdown keeps answering for tickets after its last request has ended.
+    /// How long a shutdown continues to resolve tickets after its last request has ended.
     pub linger: Duration,
 }
 
 impl Callers {
-    /// Reads the sections of an entry instance's settings.
+    /// Reads the callers' sections of an entry instance's settings.
     pub fn read(reader: &mut Reader<'_>) -> Self {
         Self {
             policy: Arc::new(reader.nested("policy", policy)),
@@ -90,7 +90,7 @@
     }
 }
 
-/// Converts a checked number; its range keeps it within `usize`.
+/// Converts a number whose range has been checked to fit in `usize`.
 fn count(number: u64) -> usize {
     usize::try_from(number).unwrap_or(usize::MAX)
 }
--- a/crates/zinniastall-entry/src/callers/target.rs
+++ b/crates/zinniastall-entry/src/callers/target.rs
@@ -1,9 +1,9 @@
-//! Sends a request to a target by HTTP.
+//! HTTP client for targets.
 //!
-//! "Not run" may be said only where that is certain. Once the HTTP library holds a connection the
-//! request's bytes may have left, so every fault from then on is "unknown"; only faults of
-//! establishing the connection, and a target's own typed refusal, are "not run". The library
-//! neither retries nor follows redirects here, since both could run a request twice.
+//! "Not run" must be certain. Once the HTTP library holds a connection, bytes of the request may
+//! have left, so every later failure is "unknown". Only failures to connect, and typed refusals
+//! from the target, are "not run". Retries and redirects in the library are disabled, since both
+//! could run a request twice.
 
 use std::time::Duration;
 
@@ -29,15 +29,15 @@
     reply::{Body, Reply, Served, remaining_ms},
 };
 
-/// Longest time to establish a connection to a target of the zone; the request is judged before it.
+/// Maximum time to connect to a target of the zone; the request is validated before it.
 pub const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-/// Idle connections are closed after this time; shorter than what HTTP servers commonly keep, so
-/// that they are rarely found closed by the other end.
+/// Idle time after which a pooled connection is closed. It is shorter than the keep-alive time
+/// common in HTTP servers, so that a connection is rarely found closed by the other end.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(4);
-/// Idle times after which a connection is replaced even if it is in use all the time.
+/// Maximum lifetime of a connection in constant use, in multiples of the idle timeout.
 const MAX_LIFETIME_IN_IDLE_TIMEOUTS: u32 = 15;
 
-/// One thread's connections to targets.
+/// Connections from one thread to targets.
 #[derive(Clone)]
 pub struct Clients {
     pooled: Client,
@@ -60,11 +60,11 @@
 }
 
 impl Clients {
-    /// Returns the client for a request.
+    /// Returns the HTTP client for a request.
     ///
-    /// A pooled connection may have been closed by the target in the moment in which it is used,
-    /// and nobody can tell then whether the request was read. Work that may not be repeated would
-    /// end as "unknown" for that, so it gets a connection of its own.
+    /// A target may close a pooled connection at the moment it is reused, and then it is unknown
+    /// whether the request was read. Requests that must not be repeated would end as "unknown", so
+    /// each of them gets a new connection.
     const fn client(&self, idempotent: bool) -> &Client {
         if idempotent {
             &self.pooled
@@ -92,16 +92,17 @@
 
 fn guard(connection: Connection<Uri, actix_rt::net::TcpStream>) -> Connection<Uri, Guard> {
     let (stream, rest) = connection.replace_io(());
-    // Without it small events would wait for acknowledgements; a failure only costs latency.
+    // Without `TCP_NODELAY`, small events would wait for acknowledgements. A failure only adds
+    // latency.
     let _ = stream.set_nodelay(true);
     rest.replace_io(Guard::new(stream)).1
 }
 
-/// Sends a request to a target and waits for the head of its answer.
+/// Sends a request to a target and waits for the response head.
 ///
 /// # Errors
 ///
-/// A [`Refusal`] whose outcome says whether the target may have run the request.
+/// Returns a [`Refusal`] whose outcome tells whether the target may have run the request.
 pub async fn send(
     clients: &Clients,
     target: &gossip::Target,
@@ -110,7 +111,7 @@
 ) -> Result<Reply, Refusal> {
     let url = format!("http://{}{}", target.address, call.path);
     let method = awc::http::Method::from_bytes(call.method.as_bytes())
-        .map_err(|_| Refusal::not_run(Reason::Body("the method is not known".to_owned())))?;
+        .map_err(|_| Refusal::not_run(Reason::Body("unknown HTTP method".to_owned())))?;
     let client = clients.client(call.request.idempotent);
     let mut request = client.request(method, url);
     for (name, value) in &call.headers {
@@ -134,11 +135,11 @@
     Ok(read_head(response, target))
 }
 
-/// Decides whether a failed send may have run.
+/// Classifies a send error by whether the request may have run.
 fn classify(error: &SendRequestError) -> Refusal {
     match error {
-        // `Disconnected` is the one connection error that the library also gives for a connection
-        // that broke while it was in use.
+        // `Disconnected` is the only connection error that the library also reports for a
+        // connection that broke while in use.
         SendRequestError::Connect(ConnectError::Disconnected) => Refusal::unknown(Reason::Broken),
         SendRequestError::Connect(_) | SendRequestError::Url(_) => {
             Refusal::not_run(Reason::Unreachable)
@@ -174,7 +175,7 @@
     }
 }
 
-/// Recognises a target's word that it has not run the request.
+/// Recognises a target's typed refusal, which states that the request has not run.
 fn typed_refusal(response: &ClientResponse) -> Option<Refusal> {
     let status = response.status();
     let refusing = [
--- a/crates/zinniastall-entry/src/callers/ticket/ledger.rs
+++ b/crates/zinniastall-entry/src/callers/ticket/ledger.rs
@@ -1,4 +1,4 @@
-//! The tickets of one run of an instance.
+//! Tickets of one incarnation of an instance.
 
 use std::{
     sync::{Arc, Mutex, MutexGuard, PoisonError},
@@ -17,21 +17,21 @@
     view::View,
 };
 
-/// When to come back if the table of used tickets is full.
+/// Retry hint when the table of used tickets is full.
 const FULL_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// What a request with a ticket may do here.
+/// How to handle a request with a ticket.
 #[derive(Debug)]
 pub enum Action {
-    /// It runs, and its answer is recorded.
+    /// Run the request and record its response.
     Run(Arc<Record>),
-    /// It runs or has run already; its recorded answer is read.
+    /// Read the recorded response of a request that is running or has run.
     Join(Arc<Record>),
-    /// The issuer decides.
+    /// Forward the request to the issuer of the ticket, which decides.
     Issuer(Address),
 }
 
-/// The tickets of one run of an instance.
+/// Issues tickets and tracks which have been used, for one incarnation of an instance.
 #[derive(Debug, Clone)]
 pub struct Ledger {
     issuer: Arc<Issuer>,
@@ -41,7 +41,7 @@
 }
 
 impl Ledger {
-    /// Creates the tickets of a run with a key of its own.
+    /// Creates an empty ledger with a random signing key.
     pub fn new(view: &View, settings: Tickets) -> Self {
         let address = Address::new(
             view.place.region.clone(),
@@ -58,16 +58,16 @@
         }
     }
 
-    /// Makes a ticket.
+    /// Issues a ticket.
     pub fn issue(&self) -> String {
         self.issuer.issue(self.now(), rand::random())
     }
 
-    /// Decides on a request that may not be repeated and came from a caller.
+    /// Decides how to handle a non-idempotent request from a caller.
     ///
     /// # Errors
     ///
-    /// A refusal; one that says "not run" carries a fresh ticket where that helps.
+    /// Returns a refusal; a "not run" refusal carries a new ticket where that helps.
     pub fn admit(&self, call: &Call, draining: bool) -> Result<Action, Refusal> {
         let Some(text) = &call.request.ticket else {
             let refusal = Refusal::not_run(Reason::TicketRequired).retry(Duration::ZERO);
@@ -83,11 +83,11 @@
         }
     }
 
-    /// Decides on a request that may not be repeated and came from another instance.
+    /// Decides how to handle a non-idempotent request from another instance.
     ///
-    /// The sender is trusted to have checked a ticket of its own, since only it can; the mark here
-    /// still refuses a second arrival. A ticket of a third instance is refused: a request is not
-    /// sent on.
+    /// Only the sender can verify a ticket that it issued, so it is trusted to have done so; the
+    /// mark here still rejects a second arrival. A ticket of a third instance is refused, since a
+    /// forwarded request is not forwarded again.
     ///
     /// # Errors
     ///
@@ -103,8 +103,8 @@
                 let text = call.request.ticket.as_deref().unwrap_or_default();
                 let ticket = Ticket::parse(text);
                 let ticket = ticket.map_err(|_| Refusal::not_run(Reason::TicketInvalid))?;
-                // The expiry is on the sender's clock. The sender has checked it; from here on the
-                // ticket cannot be valid for longer than a whole validity.
+                // The expiry refers to the sender's clock. The sender has checked it, so from now
+                // on the ticket is valid for at most one full validity period.
                 let until = self.now() + self.issuer.validity();
                 self.mark(&ticket.name, until, call, draining)
             }
@@ -113,12 +113,13 @@
         }
     }
 
-    /// Judges the refusal of a request that was turned away before its ticket was looked at.
+    /// Adjusts the refusal of a request that was rejected before its ticket was examined.
     ///
-    /// Such a refusal is certain for a request that comes for the first time. A resend may meet it as
-    /// well: its client was withdrawn meanwhile, its rules were narrowed, its connection became slow.
-    /// Told "not run", its caller would take a new ticket and the work would run twice. `sender` is the
-    /// instance that sent the request; what it issued itself may have been used here.
+    /// "Not run" is certain only for the first arrival of a request. A retry can be rejected the
+    /// same way, because its client was withdrawn, its residency rules were narrowed or its
+    /// connection became slow. If told "not run", its caller would take a new ticket and the
+    /// request would run twice. `sender` is the instance that forwarded the request; a ticket that
+    /// it issued may have been used here.
     pub fn rejected_early(
         &self,
         refusal: Refusal,
@@ -143,12 +144,12 @@
         refusal
     }
 
-    /// Returns whether a ticket is marked here, whoever issued it.
+    /// Returns whether a ticket of any issuer is marked as used here.
     fn is_marked(&self, text: &str) -> bool {
         Ticket::parse(text).is_ok_and(|ticket| self.lock().contains(&ticket.name))
     }
 
-    /// Takes note that a record has ended, and bounds what is kept in all.
+    /// Drops recorded responses of ended requests until the total size is within its limit.
     pub fn enforce_kept_limit(&self) {
         let marks = self.lock();
         let kept: usize = marks.records().filter_map(|record| record.kept()).sum();
@@ -165,7 +166,7 @@
         }
     }
 
-    /// Returns whether answers are kept that a caller may still ask for.
+    /// Returns whether unexpired tickets remain that a caller may still retry with.
     pub fn keeps_answers(&self) -> bool {
         let now = self.now();
         let mut marks = self.lock();
@@ -182,7 +183,7 @@
     ) -> Result<Action, Refusal> {
         let limit = self.settings.answer_bytes;
         let mut marks = self.lock();
-        // A draining instance starts nothing, and never will again: "not run" stays true.
+        // A draining instance never starts new runs, so "not run" remains true.
         if draining && !marks.contains(name) {
             return Err(Refusal::not_run(Reason::Draining));
         }
@@ -201,12 +202,13 @@
     }
 
     fn lock(&self) -> MutexGuard<'_, Marks<Arc<Record>>> {
-        // A mark is inserted in one step, so the table is usable after a panic elsewhere.
+        // A mark is inserted in a single step, so the table stays consistent after a panic
+        // elsewhere.
         self.marks.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-/// Returns what a ticket is used for: the same client with the same call and body.
+/// Returns what identifies the use of a ticket: the client, the method, the path and the body.
 fn usage(call: &Call) -> Use {
     let Request { client, .. } = &call.request;
     let mut hasher = blake3::Hasher::new();
--- a/crates/zinniastall-entry/src/callers/ticket/mod.rs
+++ b/crates/zinniastall-entry/src/callers/ticket/mod.rs
@@ -1,9 +1,9 @@
-//! Third filter: work that runs at most once.
+//! Third filter: at-most-once execution.
 //!
-//! The instance that issued a ticket runs its request in a task of its own, which outlives the
-//! caller's connection and records the answer. The first caller reads the record like every later
-//! one, so a resend joins the run or gets its recorded end. Elsewhere a resend is passed to the
-//! issuer; if that cannot be asked, the outcome is unknown.
+//! The instance that issued a ticket runs its request in a separate task, which outlives the
+//! caller's connection and records the response. The first caller reads the record in the same way
+//! as any later one, so a retry joins the run or gets its recorded result. Other instances forward
+//! a retry to the issuer; if the issuer cannot be reached, the outcome is unknown.
 
 mod ledger;
 mod reader;
--- a/crates/zinniastall-entry/src/callers/ticket/reader.rs
+++ b/crates/zinniastall-entry/src/callers/ticket/reader.rs
@@ -1,4 +1,4 @@
-//! Reading a recorded answer, while it is written or later.
+//! Reader of a recorded response, during or after the run.
 
 use std::sync::Arc;
 
@@ -8,7 +8,7 @@
 use super::record::{Record, State, Step};
 use crate::callers::reply::BodySource;
 
-/// One reader of a record.
+/// A cursor over a record.
 pub(super) struct Reader {
     record: Arc<Record>,
     owner: bool,
@@ -16,7 +16,7 @@
 }
 
 impl Reader {
-    /// Creates a reader at the start; the owner is the one for whom the request runs.
+    /// Creates a reader at the start of a record; the owner is the reader that started the run.
     pub(super) const fn new(record: Arc<Record>, owner: bool) -> Self {
         Self {
             record,
--- a/crates/zinniastall-entry/src/callers/ticket/record.rs
+++ b/crates/zinniastall-entry/src/callers/ticket/record.rs
@@ -1,4 +1,4 @@
-//! The recorded answer of a ticket's request.
+//! Recorded response of a ticket's request.
 
 use std::{
     collections::VecDeque,
@@ -12,11 +12,11 @@
 use super::reader::Reader;
 use crate::callers::reply::{self, Reply, Served};
 
-/// The recorded answer of a ticket's request: one task writes it, any number read it.
+/// Recorded response of a ticket's request, with a single writer and any number of readers.
 ///
-/// An answer that is longer than may be kept is dropped as its first reader takes it, and the task
-/// waits for that reader, so that memory stays bounded. A later resend is then told that the
-/// request ran and that its answer is not kept.
+/// A response that exceeds the limit is discarded as the owner (the reader that started the run)
+/// consumes it, and the writer waits for the owner, so that memory stays bounded. A later retry is
+/// told that the request ran and that its response was not kept.
 #[derive(Debug)]
 pub struct Record {
     state: Mutex<State>,
@@ -28,11 +28,11 @@
 pub(super) struct State {
     head: Option<Head>,
     parts: VecDeque<Bytes>,
-    /// Number of the first part that is still held.
+    /// Index of the first part that is still held.
     base: usize,
     bytes: usize,
     retained: bool,
-    /// Part that the first reader takes next; `None` once it is gone.
+    /// Index of the part that the owner reads next; `None` once it is gone.
     pub(super) owner: Option<usize>,
     end: Option<Result<(), Refusal>>,
 }
@@ -46,7 +46,7 @@
     served: Served,
 }
 
-/// What a reader finds at its place.
+/// What a reader finds at its position.
 pub(super) enum Step {
     Part(Bytes),
     Wait,
@@ -71,7 +71,7 @@
         }
     }
 
-    /// Writes the head of the answer.
+    /// Sets the response head.
     pub fn set_head(&self, reply: &Reply) {
         self.lock().head = Some(Head {
             status: reply.status,
@@ -83,7 +83,7 @@
         self.notify();
     }
 
-    /// Writes a part of the answer, and waits while the first reader has too much before it.
+    /// Appends a part, and waits while more than the limit is held for the owner.
     pub async fn push(&self, bytes: Bytes) {
         let mut changed = self.changed.subscribe();
         {
@@ -103,7 +103,7 @@
         }
     }
 
-    /// Writes the end; later ends change nothing.
+    /// Records the end of the response; later calls have no effect.
     pub fn end(&self, end: Result<(), Refusal>) {
         let mut state = self.lock();
         if state.end.is_none() {
@@ -113,14 +113,13 @@
         self.notify();
     }
 
-    /// Returns the bytes that are kept for a resend, once the answer has ended.
+    /// Returns the number of bytes kept for retries, once the response has ended.
     pub fn kept(&self) -> Option<usize> {
         let state = self.lock();
         state.end.as_ref().map(|_| state.bytes)
     }
 
-    /// Drops the answer of a request that has ended, as far as its first reader has taken it; its
-    /// end is kept.
+    /// Discards the parts of an ended response that the owner has read; its result is kept.
     pub fn drop_answer(&self) {
         let mut state = self.lock();
         state.retained = false;
@@ -129,11 +128,12 @@
         self.notify();
     }
 
-    /// Reads the answer from its start; the owner is the reader for whom the request runs.
+    /// Returns a reply that reads the response from its start; the owner is the reader that started
+    /// the run.
     ///
     /// # Errors
     ///
-    /// The recorded refusal, or [`Reason::NotKept`].
+    /// Returns the recorded refusal, or [`Reason::NotKept`].
     pub async fn read(self: Arc<Self>, owner: bool) -> Result<Reply, Refusal> {
         let reader = Reader::new(Arc::clone(&self), owner);
         let head = self.wait_head().await?;
@@ -163,7 +163,7 @@
     fn poll_head(&self) -> Result<Option<Head>, Refusal> {
         let state = self.lock();
         match (&state.head, &state.end) {
-            // A resend of an answer that broke is told so at once instead of getting half of it.
+            // A retry is told at once that the response broke, instead of receiving a part of it.
             (_, Some(Err(refusal))) => Err(refusal.clone()),
             (Some(_), _) if state.base > 0 => Err(Refusal::unknown(Reason::NotKept)),
             (Some(head), _) => Ok(Some(head.clone())),
@@ -173,7 +173,8 @@
     }
 
     pub(super) fn lock(&self) -> MutexGuard<'_, State> {
-        // Each change is made in one step, so the state is usable after a panic elsewhere.
+        // Each change is made in a single step, so the state stays consistent after a panic
+        // elsewhere.
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
@@ -183,7 +184,7 @@
 }
 
 impl State {
-    /// Drops parts that may not be kept and that the first reader has taken.
+    /// Discards parts that exceed the limit and that the owner has read.
     pub(super) fn trim(&mut self) {
         let end = self.base + self.parts.len();
         let taken = self.owner.unwrap_or(end);
@@ -208,7 +209,7 @@
     }
 }
 
-/// Ends a record as unknown if the task that writes it ends without having done so.
+/// Marks a record as failed with an unknown outcome if the task that writes it ends early.
 #[derive(Debug)]
 pub struct Writer(pub Arc<Record>);
 
--- a/crates/zinniastall-entry/src/callers/worker.rs
+++ b/crates/zinniastall-entry/src/callers/worker.rs
@@ -1,4 +1,4 @@
-//! What one traffic thread keeps.
+//! State of one traffic thread.
 
 use std::{cell::RefCell, rc::Rc, sync::Arc};
 
@@ -9,9 +9,9 @@
 use super::{Service, forward::Links, target::Clients};
 use crate::view::View;
 
-/// What one traffic thread keeps.
+/// State of one traffic thread.
 pub struct Worker {
-    /// What all traffic threads share.
+    /// State shared by all traffic threads.
     pub service: Service,
     /// Connections to targets.
     pub client: Clients,
@@ -29,7 +29,7 @@
 }
 
 impl Worker {
-    /// Creates the worker of the calling thread.
+    /// Creates the worker of the current thread.
     pub fn new(service: Service) -> Self {
         Self {
             client: Clients::default(),
@@ -45,7 +45,7 @@
         self.service.board.view()
     }
 
-    /// Returns a configuration arranged for look-ups; it is arranged once a revision.
+    /// Returns the look-up index of a configuration; it is rebuilt once per revision.
     pub fn index(&self, state: &Arc<State>) -> Rc<Index> {
         let mut index = self.index.borrow_mut();
         if index.revision() != state.revision {
@@ -54,7 +54,7 @@
         Rc::clone(&index)
     }
 
-    /// Judges a request by the configuration in force now, before it is sent to a place.
+    /// Validates a request against the current configuration before it is sent to a place.
     ///
     /// # Errors
     ///
--- a/crates/zinniastall-entry/tests/callers/bad_input.rs
+++ b/crates/zinniastall-entry/tests/callers/bad_input.rs
@@ -1,11 +1,11 @@
-//! What callers may send by mistake or malice.
+//! Invalid requests, sent by mistake or on purpose.
 
 use super::harness::{CHAT, Fake, Harness, KEY, Script};
 
 const COMPLETE: &str = "HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\n{}";
 
-/// Names a case: a raw request, and what its answer must say. After each the instance must still
-/// serve a good request.
+/// Defines test cases: a raw request, and what the response must contain. After each, the instance
+/// must still serve a valid request.
 macro_rules! refusal_cases {
     ($($name:ident: $request:expr => $($part:literal),+;)+) => {$(
         #[actix_web::test]
@@ -72,8 +72,8 @@
     ) => "408", "too-slow", "not-run";
 }
 
-// A service whose whole answer happens to be what the HTTP library writes when it refuses a head, as
-// a page about HTTP may be. The caller must get it as it is.
+// A service's response ends with the bytes that the HTTP library writes when it rejects a head, as
+// a page about HTTP may. The caller must receive them unchanged.
 #[actix_web::test]
 async fn answer_like_a_refusal_is_not_changed() {
     let bare = "HTTP/1.1 400 Bad Request\r\ncontent-length: 0\r\nconnection: close\r\n\r\n";
--- a/crates/zinniastall-entry/tests/callers/harness.rs
+++ b/crates/zinniastall-entry/tests/callers/harness.rs
@@ -1,4 +1,4 @@
-//! An instance's callers' interface in this process, and targets that answer by script.
+//! The callers' interface of an instance in this process, and scripted targets.
 
 use std::{
     io::{Read, Write},
@@ -25,31 +25,31 @@
 use zinniastall_settings::{load, metrics::Hub};
 use zinniastall_wire::gossip;
 
-/// Key of the client that every bench knows.
+/// Key of the client in the default configuration.
 pub(crate) const KEY: &str = "maps-key";
-/// Body of a chat completion.
+/// Body of a chat completion request.
 pub(crate) const CHAT: &str =
     r#"{"model":"map-labels","messages":[{"role":"user","content":"room"}]}"#;
-/// Longest wait of a read in a test.
+/// Longest wait for a read or a condition.
 const TIMEOUT: Duration = Duration::from_secs(20);
-/// Pause between the parts of an answer, so that each is likely to be relayed by itself.
+/// Pause between the parts of a response, so that each is likely to be relayed separately.
 const PART_INTERVAL: Duration = Duration::from_millis(200);
 
-/// An instance's callers' interface.
+/// The callers' interface of an instance.
 pub(crate) struct Harness {
-    /// Where callers reach it.
+    /// Address for callers.
     pub(crate) address: SocketAddr,
     board: Board,
     handle: ServerHandle,
 }
 
 impl Harness {
-    /// Starts the interface before targets at these addresses.
+    /// Starts the interface with targets at these addresses.
     pub(crate) fn start(targets: &[SocketAddr]) -> Self {
         Self::with(targets, |_| {})
     }
 
-    /// Starts the interface before a target that runs one request at a time.
+    /// Starts the interface with a target that runs one request at a time.
     pub(crate) fn with_one_slot(target: SocketAddr) -> Self {
         let harness = Self::start(&[target]);
         let mut view = (*harness.board.view()).clone();
@@ -86,7 +86,7 @@
         }
     }
 
-    /// Puts a changed configuration in force.
+    /// Publishes a view with a changed configuration.
     pub(crate) fn apply(&self, object: Object) {
         let mut view = (*self.board.view()).clone();
         let mut state = view.state.as_deref().cloned().unwrap_or_default();
@@ -95,20 +95,20 @@
         self.board.publish(view);
     }
 
-    /// Takes the configuration away, as an instance is without one that isn't listed any more.
+    /// Removes the configuration, as on an instance that is no longer listed in it.
     pub(crate) fn remove_configuration(&self) {
         let mut view = (*self.board.view()).clone();
         view.state = None;
         self.board.publish(view);
     }
 
-    /// Sends raw bytes and reads until the connection closes or falls silent.
+    /// Sends raw bytes and reads until the connection closes or the read times out.
     pub(crate) async fn send_raw(&self, bytes: Vec<u8>) -> String {
         let address = self.address;
         actix_web::rt::task::spawn_blocking(move || {
             let mut stream = TcpStream::connect(address).unwrap();
             stream.set_read_timeout(Some(TIMEOUT)).unwrap();
-            // A refusal may close the connection before all is written.
+            // A refusal may close the connection before everything is written.
             let _ = stream.write_all(&bytes);
             let mut answer = Vec::new();
             let _ = stream.read_to_end(&mut answer);
@@ -118,7 +118,7 @@
         .unwrap()
     }
 
-    /// Posts a body to a path with further headers and returns the raw answer.
+    /// Posts a body with additional headers and returns the raw response.
     pub(crate) async fn post(&self, path: &str, headers: &str, body: &str) -> String {
         let request = format!(
             "POST {path} HTTP/1.1\r\nhost: a\r\nconnection: close\r\nauthorization: Bearer {KEY}\r\n\
@@ -128,7 +128,7 @@
         self.send_raw(request.into_bytes()).await
     }
 
-    /// Gets tickets.
+    /// Requests tickets.
     pub(crate) async fn tickets(&self, count: usize) -> Vec<String> {
         let request = format!(
             "GET /v1/locate?subject=portal&tickets={count} HTTP/1.1\r\nhost: a\r\n\
@@ -225,7 +225,7 @@
     state
 }
 
-/// The client that every bench knows, with this key.
+/// Returns the client of the default configuration, with this key.
 pub(crate) fn client(key: &str) -> Client {
     Client {
         id: "maps".into(),
@@ -244,29 +244,29 @@
     assert!(matches!(answer, Answer::Done { .. }), "{answer:?}");
 }
 
-/// What a scripted target does with a request once it has read it.
+/// What a scripted target does once it has read a request.
 #[derive(Debug, Clone)]
 pub(crate) enum Script {
     /// Writes these bytes and closes the connection.
     Write(&'static str),
     /// Writes these parts with a pause between them and closes the connection.
     Parts(Vec<String>),
-    /// Writes these bytes after a while and closes the connection.
+    /// Writes these bytes after a delay and closes the connection.
     Delayed(Duration, &'static str),
-    /// Writes an answer without end, as fast as it is taken, and counts its bytes.
+    /// Writes a response without end, as fast as it is read, and counts its bytes.
     Endless,
     /// Writes these bytes and keeps the connection open until the other end closes it.
     Hold(&'static str),
 }
 
-/// A target that answers by script.
+/// A scripted target.
 pub(crate) struct Fake {
     pub(crate) address: SocketAddr,
-    /// Requests that it has read.
+    /// Number of requests read.
     pub(crate) ran: Arc<AtomicUsize>,
-    /// Bytes of endless answers that it has written.
+    /// Number of bytes written in endless responses.
     pub(crate) sent: Arc<AtomicUsize>,
-    /// Connections that the other end closed while the script held them.
+    /// Number of held connections that the other end closed.
     pub(crate) cancelled: Arc<AtomicUsize>,
 }
 
@@ -332,7 +332,7 @@
     }
 }
 
-/// Reads a head and the announced length of body.
+/// Reads a head and a body of the announced length; returns `false` if the connection closes early.
 fn read_request(stream: &mut TcpStream) -> bool {
     let mut bytes = Vec::new();
     let mut part = [0; 4096];
@@ -352,7 +352,7 @@
     }
 }
 
-/// Waits until a condition holds; the bound is generous, since the machine may be busy.
+/// Waits until a condition holds; the timeout is generous, since the machine may be busy.
 pub(crate) async fn until(what: &str, condition: impl Fn() -> bool) {
     let end = Instant::now() + TIMEOUT;
     while !condition() {
--- a/crates/zinniastall-entry/tests/callers/load.rs
+++ b/crates/zinniastall-entry/tests/callers/load.rs
@@ -1,4 +1,4 @@
-//! More requests than targets can take, and readers that do not read.
+//! Overload of targets, and callers that do not read their responses.
 
 use std::{
     io::{Read, Write},
@@ -13,8 +13,7 @@
 const COMPLETE: &str = "HTTP/1.1 200 OK\r\nconnection: close\r\ncontent-length: 2\r\n\r\n{}";
 const CHAT_PATH: &str = "/v1/chat/completions";
 
-// A target takes one request at a time. The others wait at the instance for their turn and are all
-// answered.
+// A target runs one request at a time. The others wait in the queue and are all served.
 #[actix_web::test]
 async fn requests_wait_for_their_turn() {
     let late = Script::Delayed(Duration::from_millis(30), COMPLETE);
@@ -28,14 +27,14 @@
     harness.stop().await;
 }
 
-// The target is busy for long, and a request has less time than its turn will take. It must be told
-// at once, with the time to come back, instead of being held until its deadline has passed.
+// The target is busy for long, and a request has less time than its wait will take. It must be
+// refused at once, with a retry hint, instead of being held until its deadline.
 #[actix_web::test]
 async fn infeasible_requests_are_refused_on_arrival() {
     let late = Script::Delayed(Duration::from_millis(400), COMPLETE);
     let target = Fake::start(vec![late]);
     let harness = Harness::with_one_slot(target.address);
-    // The first answer tells how long a request takes.
+    // The first response shows how long a request takes.
     harness.post(CHAT_PATH, "", CHAT).await;
     let early = async { join_all((0..6).map(|_| harness.post(CHAT_PATH, "", CHAT))).await };
     let late = async {
@@ -61,8 +60,8 @@
     harness.stop().await;
 }
 
-// A caller asks for a huge answer and does not read it. Its bytes must stay with the target instead
-// of filling the instance's memory.
+// A caller requests a huge response and does not read it. The bytes must stay with the target
+// instead of filling the instance's memory.
 #[actix_web::test]
 async fn slow_reader_applies_backpressure() {
     let target = Fake::start(vec![Script::Endless]);
@@ -93,7 +92,7 @@
         "the target still writes after {} bytes",
         sent()
     );
-    // What the kernel's buffers of two connections hold, and little more.
+    // The limit is slightly more than the kernel buffers of two connections hold.
     assert!(sent() < 32 << 20, "{} bytes", sent());
     harness.stop().await;
 }
--- a/crates/zinniastall-entry/tests/callers/main.rs
+++ b/crates/zinniastall-entry/tests/callers/main.rs
@@ -1,4 +1,4 @@
-//! The callers' interface in one process, before small fakes of targets.
+//! The callers' interface in one process, with scripted targets.
 
 #![expect(clippy::unwrap_used, reason = "a helper of a test fails its test")]
 
--- a/crates/zinniastall-entry/tests/callers/outcomes.rs
+++ b/crates/zinniastall-entry/tests/callers/outcomes.rs
@@ -1,4 +1,4 @@
-//! How requests end when targets answer, break or refuse.
+//! Outcomes of requests when targets respond, fail or refuse.
 
 use std::sync::Arc;
 
@@ -19,13 +19,13 @@
 const STREAM_CUT_OFF: &str = "HTTP/1.1 200 OK\r\ncontent-type: text/event-stream\r\n\
     transfer-encoding: chunked\r\n\r\n9\r\ndata: a\n\n\r\n";
 
-/// Targets take their turn, so that a case knows who gets the first attempt.
+/// Round robin makes it known which target gets the first attempt.
 fn round_robin() -> Arc<Policy> {
     Arc::new(Policy::default().choice(Choice::RoundRobin))
 }
 
-/// Names a case: what the targets do in turn, how often they run the request in all, and what the
-/// caller's answer has and has not.
+/// Defines test cases: what each target does, how often they run the request in total, and what the
+/// caller's response must and must not contain.
 macro_rules! outcome_cases {
     ($($(#[$doc:meta])* $name:ident: $scripts:expr, $headers:literal => $ran:pat,
         [$($part:expr),*], [$($absent:expr),*];)+) => {$(
@@ -51,30 +51,31 @@
     refusal_is_retried: [Script::Write(TYPED_REFUSAL), Script::Write(COMPLETE)], ""
         => 2, ["HTTP/1.1 200", "engine-1"], [];
     refused_by_all: [Script::Write(TYPED_REFUSAL)], "" => 1, ["HTTP/1.1 503", "not-run"], [];
-    // The target dies after its head and a part of the body. A caller who takes what has arrived
-    // for the answer prints half a floor map.
+    // The target dies after its head and a part of the body. A caller that took this part for the
+    // whole response would print half a floor map.
     cut_answer_is_retried: [Script::Write(TRUNCATED), Script::Write(COMPLETE)], ""
         => 2, ["HTTP/1.1 200", "engine-1"], [];
-    // The same with a chunked body, whose lost end the HTTP library does not report.
+    // The same with a chunked body, whose missing end the HTTP library does not report.
     cut_chunks_are_retried: [Script::Write(TRUNCATED_CHUNKED), Script::Write(COMPLETE)], ""
         => 2, ["HTTP/1.1 200", "engine-1"], [];
-    // With nobody else to ask, the same target is asked again, within the limit of attempts.
+    // If no other target is left, the same target is tried again, up to the limit of attempts.
     cut_answer_is_unknown: [Script::Write(TRUNCATED)], "" => 1..=3, ["HTTP/1.1 502", "unknown"], ["200 OK"];
     cut_chunks_are_unknown: [Script::Write(TRUNCATED_CHUNKED)], "" => 1..=3, ["HTTP/1.1 502", "unknown"], ["200 OK"];
     silent_target: [Script::Hold("")], "x-zinniastall-deadline-ms: 300\r\n"
         => 1, ["HTTP/1.1 504", "unknown"], [];
     stream: [Script::Write(STREAM)], "" => 1, ["data: a\n\n", "data: [DONE]", "0\r\n\r\n"], [];
-    // An engine that ends its stream without the closing event has lost a part of the answer.
-    // The caller must see an error event and an aborted connection, never a clean end.
-    // The instance asks the engine to resume; one that starts again instead is not relayed twice.
+    // An engine that ends its stream without the closing event has lost a part of the response. The
+    // caller must see an error event and an aborted connection, never a clean end. The instance
+    // asks the engine to resume; if the engine starts over instead, its stream is not relayed
+    // twice.
     unclosed_stream_is_aborted: [Script::Write(STREAM_WITHOUT_DONE)], ""
         => 1..=2, ["data: a\n\n", "event: error", "unknown"], ["\r\n0\r\n\r\n"];
     killed_stream_is_aborted: [Script::Write(STREAM_CUT_OFF)], ""
         => 1..=2, ["data: a\n\n", "event: error", "unknown"], ["\r\n0\r\n\r\n"];
 }
 
-// A caller goes away while the engine works. Without a cancel the engine would go on
-// for nobody, and everybody else would wait behind it.
+// A caller disconnects while the engine works. Without a cancel, the engine would continue for
+// nobody while other requests wait.
 #[actix_web::test]
 async fn caller_gone_cancels_at_the_target() {
     let target = Fake::start(vec![Script::Hold("")]);
--- a/crates/zinniastall-entry/tests/callers/tickets.rs
+++ b/crates/zinniastall-entry/tests/callers/tickets.rs
@@ -1,4 +1,4 @@
-//! Work that runs at most once, before one instance.
+//! At-most-once execution at a single instance.
 
 use std::time::{Duration, Instant};
 
@@ -26,8 +26,8 @@
     format!("x-zinniastall-ticket: {ticket}\r\n")
 }
 
-// The app's connection breaks while a proposal is being billed. The run goes on, its answer is
-// kept, and the resend gets it; billing again would charge the grant twice.
+// The caller's connection breaks while a proposal is being billed. The run must continue and the
+// retry must get its recorded response; billing again would charge the grant twice.
 #[actix_web::test]
 async fn run_outlives_its_caller() {
     let late = Script::Delayed(Duration::from_millis(300), ANSWER);
@@ -51,7 +51,8 @@
     harness.stop().await;
 }
 
-/// Names a case: settings, and what a resend of the same ticket says after the first answer.
+/// Defines test cases: settings, and the response to a retry with the same ticket after the first
+/// response.
 macro_rules! resend_cases {
     ($($(#[$doc:meta])* $name:ident: $change:expr, $pause:literal => [$($part:literal),+];)+) => {$(
         $(#[$doc])*
@@ -73,10 +74,11 @@
 
 resend_cases! {
     recorded: |_| {}, 0 => ["200 OK", "billed"];
-    // Kept answers have a bound. A resend past it must hear that the request ran, not run again.
+    // Kept responses are bounded. A retry beyond the limit must be told that the request ran, and
+    // must not run it again.
     not_kept: |callers| callers.tickets.answer_bytes = 0, 0 => ["502", "unknown", "answer-not-kept"];
     none_kept: |callers| callers.tickets.kept_bytes = 0, 0 => ["502", "unknown", "answer-not-kept"];
-    // After its expiry the mark is gone, so nobody can say whether the ticket's request ran.
+    // After the ticket expires its mark is gone, so it is unknown whether the request ran.
     expired: |callers| callers.tickets.validity = Duration::from_millis(400), 500
         => ["502", "unknown", "ticket-expired"];
 }
@@ -123,7 +125,7 @@
     })
 }
 
-/// Names a case: what changes between a ticket's run and the resend of the same ticket.
+/// Defines test cases: what changes between a ticket's run and the retry with the same ticket.
 macro_rules! resend_after_change_cases {
     ($($(#[$doc:meta])* $name:ident: $change:expr;)+) => {$(
         $(#[$doc])*
@@ -147,8 +149,8 @@
     )+};
 }
 
-// A proposal was billed and its answer lost. Before the caller sends it again, the configuration
-// changes so that the instance refuses the request before it looks at the ticket. Told "not run", the
+// A proposal was billed and its response lost. Before the caller retries, the configuration changes
+// so that the instance refuses the request before it examines the ticket. If told "not run", the
 // caller would have it billed a second time under a new ticket.
 resend_after_change_cases! {
     client_withdrawn_since: |harness| {
@@ -197,8 +199,8 @@
     }
 }
 
-// A proposal was forwarded and ran here; its sender sends the same again after this instance has heard
-// that the client is withdrawn. The sender would pass "not run" on to the caller.
+// A proposal was forwarded and ran here. The sender forwards it again after this instance has
+// learned that the client is withdrawn. The sender would pass "not run" on to the caller.
 #[test]
 fn forwarded_resend_refused_here_may_have_run() {
     let (own, _) = ledger("patras-a-1");
@@ -214,7 +216,8 @@
     assert!(matches!(action, Action::Run(_)), "{action:?}");
     assert_eq!(outcome(&used, &sender), Outcome::Unknown);
     assert_eq!(outcome(&fresh, &sender), Outcome::NotRun);
-    // Only the issuer and whom it sends work to can know.
+    // Only the issuer, and an instance to which it forwards requests, can know whether the ticket
+    // was used.
     assert_eq!(outcome(&fresh, &third), Outcome::Unknown);
     let own_ticket = own.issue();
     assert_eq!(outcome(&own_ticket, &third), Outcome::NotRun);
@@ -222,9 +225,9 @@
     assert_eq!(outcome(&own_ticket, &third), Outcome::Unknown);
 }
 
-// A caller whose answer was lost sends its order again over a connection that has become slow, and the
-// instance gives up reading it. The order has run: told "not run", the caller would take a new ticket
-// and order twice.
+// A caller that lost its response retries its order over a slow connection, and the instance gives
+// up reading it. The order has run: if told "not run", the caller would take a new ticket and order
+// twice.
 #[actix_web::test]
 async fn resend_rejected_early_is_reported_unknown() {
     let target = Fake::start(vec![Script::Write(ANSWER)]);
--- a/crates/zinniastall-entry/tests/follow.rs
+++ b/crates/zinniastall-entry/tests/follow.rs
@@ -1,4 +1,5 @@
-//! Following: whom an instance follows, and what it says of its own followers.
+//! Configuration distribution: which source an instance follows, and what it reports of its
+//! followers.
 
 use std::time::{Duration, Instant};
 
@@ -82,8 +83,8 @@
     }
 }
 
-/// A relay speaks for its followers. One that has died must not be spoken for any longer, or
-/// operators would see it as heard for as long as the relay lives.
+/// A relay reports for its followers. It must stop reporting one that has died, or operators would
+/// see that one as alive for as long as the relay lives.
 #[test]
 fn a_silent_follower_is_not_reported() {
     let now = Instant::now();
@@ -98,8 +99,8 @@
     assert_eq!(gathered.take(later, true), []);
 }
 
-/// The disk returns something else than was written. Half another configuration could permit what
-/// none ever permitted, so it must not be used.
+/// The disk returns other bytes than were written. A damaged configuration could permit what no
+/// configuration ever permitted, so it must not be used.
 #[test]
 fn a_damaged_configuration_is_refused() -> Result<(), Fault> {
     let folder = tempfile::tempdir().expect("a temporary folder");
--- a/crates/zinniastall-entry/tests/speaker.rs
+++ b/crates/zinniastall-entry/tests/speaker.rs
@@ -1,4 +1,4 @@
-//! What zones and regions say of themselves: who is named abroad, how often, until when.
+//! Capacity gossip of zones and regions: which zone is advertised, how often and for how long.
 
 use std::time::{Duration, Instant};
 
@@ -22,7 +22,7 @@
 const INTERVAL: Duration = Duration::from_secs(2);
 const HORIZON: Duration = Duration::from_secs(10);
 const TICK: Duration = Duration::from_millis(500);
-/// The links of the tests: from athens/a to athens/b, and from athens/a to patras/a.
+/// Links used by the tests: from athens/a to athens/b, and from athens/a to patras/a.
 const TO_B: Line = 1;
 const TO_PATRAS: Line = 2;
 
@@ -39,7 +39,7 @@
     Subject::Model("map-labels".to_owned())
 }
 
-/// Returns what athens/a knows: its own free slots of 24, and those of other zones.
+/// Returns the knowledge of athens/a: its own free slots of 24, and those of other zones.
 fn knowledge(own: u32, others: &[(&str, u32)]) -> Knowledge {
     let key = (subject(), "both".to_owned());
     let zone = |(zone, free): &(&str, u32)| ((*zone).to_owned(), capacity(24, *free));
@@ -62,10 +62,11 @@
     })
 }
 
-// The zone that a region names fills up while others have slots. Told late, all other regions would
-// send their requests to the one zone that has to refuse them.
+// The zone that a region advertises fills up while other zones have free slots. If this were
+// announced late, all other regions would send their requests to the one zone that must refuse
+// them.
 #[test]
-fn full_zone_is_no_longer_named() {
+fn full_zone_is_no_longer_advertised() {
     let now = Instant::now();
     let mut speaker = speaker(now);
     let mut announce = |own, others: &[(&str, u32)], after| {
@@ -79,8 +80,8 @@
     assert_eq!(announce(0, &[("b", 0)], 3), Some(("a".to_owned(), 0)));
 }
 
-// Whoever speaks for its region stops when another zone does, and for its zone when another instance
-// does. What it goes on saying would hold off the other's word.
+// An instance stops speaking for its region when another zone takes over, and for its zone when
+// another instance does. A stale fact would take the place of the new speaker's fact.
 #[test]
 fn region_fact_is_withdrawn_when_the_role_ends() {
     let now = Instant::now();
@@ -93,8 +94,8 @@
     assert!(matches!(withdrawn.key, Topic::Region(..)) && withdrawn.value.is_none());
 }
 
-// Loads change all the time. Each fact crosses every border to every region, so a fact that isn't
-// urgent must rest; one that is must never wait, or requests go where nothing is free.
+// Loads change all the time, and each fact is sent to every region. A routine fact must therefore
+// be rate limited. An urgent one must be sent at once, or requests go where no slot is free.
 #[test]
 fn routine_facts_are_rate_limited_and_urgent_ones_are_not() {
     let config = Config {
@@ -109,7 +110,7 @@
     let outcome = runner.run(&prop::collection::vec(step, 1..80), |steps| {
         let mut now = Instant::now();
         let mut speaker = speaker(now);
-        let mut told: Option<(String, u32, Instant)> = None;
+        let mut announced: Option<(String, u32, Instant)> = None;
         for (own, b, c) in steps {
             now += TICK;
             let b = b.map(|free| ("b", free));
@@ -117,30 +118,33 @@
             let news = speaker.speak(Voice::Region, &knowledge(own, &zones), now);
             let free: IndexMap<&str, u32> = zones.into_iter().chain([("a", own)]).collect();
             if let Some((zone, now_free)) = region_fact(&news.items) {
-                if let Some((before, was_free, at)) = &told
+                if let Some((before, was_free, at)) = &announced
                     && before == zone
                     && (*was_free == 0) == (now_free == 0)
                 {
-                    prop_assert!(now >= *at + INTERVAL * 5, "{before} told again too soon");
+                    prop_assert!(
+                        now >= *at + INTERVAL * 5,
+                        "{before} announced again too soon"
+                    );
                 }
-                told = Some((zone.to_owned(), now_free, now));
+                announced = Some((zone.to_owned(), now_free, now));
             }
-            let (zone, said, _) = told.as_ref().expect("something is told");
+            let (zone, announced_free, _) = announced.as_ref().expect("a zone is advertised");
             let known = free.get(zone.as_str());
             prop_assert!(
                 known.is_some(),
-                "{zone} is named and nothing is heard of it"
+                "{zone} is advertised, but has no known capacity"
             );
             let any = free.values().any(|free| *free > 0);
             prop_assert_eq!(known.is_some_and(|free| *free > 0), any);
-            prop_assert_eq!(*said > 0, any);
+            prop_assert_eq!(*announced_free > 0, any);
         }
         Ok(())
     });
     outcome.unwrap();
 }
 
-/// An instance of a zone that speaks for it, with one target.
+/// The speaker of a zone with one target.
 struct Zone {
     place: Place,
     digests: Digests,
@@ -181,7 +185,7 @@
         }
     }
 
-    /// Returns the places that this zone may send requests to.
+    /// Returns the places to which this zone may send requests.
     fn known(&self, now: Instant) -> Vec<String> {
         let digests = self.digests.capacities(now);
         digests
@@ -219,7 +223,8 @@
     }
 }
 
-/// Returns athens/a, athens/b and patras/a; facts go from b to a and from a to patras.
+/// Returns athens/a, athens/b and patras/a; facts go from athens/b to athens/a and from there to
+/// patras/a.
 fn three_zones(now: Instant) -> [Zone; 3] {
     let [a, b, patras] = [("athens", "a"), ("athens", "b"), ("patras", "a")]
         .map(|(region, zone)| Place::new(region, zone));
@@ -230,8 +235,8 @@
     ]
 }
 
-// Two zones of a region serve the same model. Told one by one to every other region, zones times
-// models would pass a node's budget fivefold at the target size.
+// Two zones of a region serve the same model. If each were announced to every other region, zones
+// times models would exceed a node's budget fivefold at the target size.
 #[test]
 fn regions_exchange_one_fact_per_model() {
     let now = Instant::now();
@@ -240,28 +245,29 @@
     a.take(&b.place.clone(), b.flush(now).get(&TO_B), now);
     a.speak(Voice::Region, 6, now);
     let out = a.flush(now);
-    let told = |line| -> Vec<&Item> {
+    let facts_for = |line| -> Vec<&Item> {
         let items = &out[&line].items;
         items
             .iter()
             .filter(|item| !matches!(item.key, Topic::Doors(_)))
             .collect()
     };
-    let [one] = &told(TO_PATRAS)[..] else {
-        panic!("{:?}", told(TO_PATRAS));
+    let [one] = &facts_for(TO_PATRAS)[..] else {
+        panic!("{:?}", facts_for(TO_PATRAS));
     };
     assert!(matches!(one.key, Topic::Region(..)), "{one:?}");
-    let [near] = &told(TO_B)[..] else {
-        panic!("{:?}", told(TO_B));
+    let [near] = &facts_for(TO_B)[..] else {
+        panic!("{:?}", facts_for(TO_B));
     };
     assert!(matches!(near.key, Topic::Capacity(..)), "{near:?}");
     patras.take(&a.place.clone(), out.get(&TO_PATRAS), now);
     assert_eq!(patras.known(now), ["athens/b"], "b has more free slots");
 }
 
-// A speaker gets a new link while its loads change all the time and the budget is short. What is short
-// fits in on the other links at each turn; if they took the budget every time, the longer fact by which
-// the new peer learns where to send requests would never go out, and the zone would stay unknown to it.
+// A speaker opens a new link while its loads change all the time and its budget is short. Short
+// facts for the other links fit into the budget on every turn. If they always took all of it, the
+// longer fact that tells the new peer where to send requests would never be sent, and the peer
+// would never learn of the zone.
 #[test]
 fn long_fact_on_a_new_link_is_not_starved() {
     let mut now = Instant::now();
@@ -290,11 +296,11 @@
         assert!(spent <= balance, "{spent} of {balance}");
         balance -= spent;
     }
-    panic!("nothing of the doors after 200 turns");
+    panic!("the new link got no fact about the instances within 200 turns");
 }
 
-// A zone is lost while the zone that speaks for its region goes on vouching for what it says. Nobody
-// abroad may send requests to the lost one for longer than to one that speaks for itself.
+// A zone is lost while the speaker of its region keeps renewing the region's facts. Other regions
+// must not send requests to the lost zone for longer than to a zone that speaks for itself.
 #[test]
 fn lost_zone_is_not_renewed_by_its_region() {
     let start = Instant::now();
@@ -306,17 +312,18 @@
         let now = start + TICK * tick;
         a.speak(Voice::Region, 6, now);
         patras.take(&a.place.clone(), a.flush(now).get(&TO_PATRAS), now);
-        let named = patras.known(now) == ["athens/b"];
+        let offered = patras.known(now) == ["athens/b"];
         assert!(
-            !named || now <= start + HORIZON / 2 + TICK,
-            "named after {tick} ticks"
+            !offered || now <= start + HORIZON / 2 + TICK,
+            "still offered after {tick} ticks"
         );
     }
     assert_eq!(patras.known(start + TICK * 40), ["athens/a"]);
 }
 
-// The link from the speaking zone breaks just after it has named another zone whose doors were heard
-// long ago. Without its doors a zone can't be reached, whatever its region says.
+// The link from the speaking zone breaks just after it has advertised another zone, whose instances
+// were announced long ago. A zone cannot be reached without known instances, whatever its region
+// says.
 #[test]
 fn zone_without_known_instances_is_not_offered() {
     let start = Instant::now();
@@ -330,14 +337,14 @@
     let over = start + HORIZON + TICK;
     assert!(
         patras.known(over).is_empty(),
-        "offered without a door: {:?}",
+        "offered without known instances: {:?}",
         patras.known(over)
     );
 }
 
-// A zone that spoke for its region loses its way abroad and stops. Its word for its own zone goes on
-// by another zone. If that vouched for the old word of the region as well, other regions would go on
-// sending requests by it for ever.
+// The speaker of a region loses its links to other regions and stops speaking for it. The facts of
+// its own zone continue through another zone. If those renewed the old fact of the region too,
+// other regions would use it for ever.
 #[test]
 fn zone_fact_does_not_renew_the_region_fact() {
     let start = Instant::now();
@@ -361,5 +368,5 @@
         );
     }
     let doors = patras.digests.doors(start + TICK * 60);
-    assert_eq!(doors.len(), 1, "the zone's own word is still vouched for");
+    assert_eq!(doors.len(), 1, "the zone's own facts are still renewed");
 }
--- a/crates/zinniastall-entry/tests/spread.rs
+++ b/crates/zinniastall-entry/tests/spread.rs
@@ -1,4 +1,4 @@
-//! Targets' table, address book, atlas and bounds; and a restart with the clock set back.
+//! Target table, address book, atlas and bounds; and a restart with the clock set back.
 
 use std::time::{Duration, Instant};
 
@@ -76,8 +76,8 @@
     }
 }
 
-// A target dies without a word. Its lease is all that tells, and it is judged by the clock of
-// whoever holds the report.
+// A target dies without notice. Only the end of its lease reveals that, by the clock of the
+// instance that holds the report.
 #[test]
 fn lease_expires_by_the_holders_clock() {
     let now = Instant::now();
@@ -91,10 +91,10 @@
     assert_eq!(table.serving(now + seconds(2)).len(), 0);
     assert!(
         table.sweep(now, now + seconds(2)),
-        "the end of the lease went unnoticed"
+        "the sweep must report the expired lease"
     );
     table.sweep(now, now + seconds(60));
-    assert!(table.is_empty(), "residue");
+    assert!(table.is_empty(), "expired reports remain");
 }
 
 // A report that claims a lease of an hour would keep a dead target for an hour.
@@ -110,8 +110,8 @@
     assert_eq!(table.serving(now + seconds(4)).len(), 0);
 }
 
-// A renewal names its target by a tag. One that renews a report that isn't held, because the target
-// changed or has a new run, must not renew what is held instead.
+// A renewal identifies its report by a tag. If the target has changed or restarted since, the
+// renewal must not renew the report that is held instead.
 #[test]
 fn renewal_of_another_report_is_ignored() {
     let now = Instant::now();
@@ -124,7 +124,7 @@
     assert_eq!(far.serving(now + seconds(4)).len(), 0);
 }
 
-// Whoever may announce could invent names without end.
+// A sender of announcements could invent an unlimited number of names.
 #[test]
 fn table_is_bounded() {
     let now = Instant::now();
@@ -142,7 +142,7 @@
     assert_eq!(table.take(target("engine-7", 1, 2), now), Ok(Taken::Load));
 }
 
-// The byte budget is spent. Leases are still renewed; prefixes wait and go along later.
+// The byte budget is spent. Leases are still renewed; prefixes wait for a later message.
 #[test]
 fn prefixes_wait_for_the_budget_and_leases_do_not() {
     let now = Instant::now();
@@ -178,8 +178,8 @@
     emptied: [1, 2], [] => None;
 }
 
-// An instance is gone for good. Dialled without pauses, its address would get an attempt from each
-// instance of the zone each half second, and after a partition all would dial at the same moment.
+// An instance is gone for good. Without backoff, each instance of the zone would dial its address
+// every half second, and after a partition all would dial at the same moment.
 #[test]
 fn dial_attempts_back_off() {
     let start = Instant::now();
@@ -202,8 +202,8 @@
     );
 }
 
-// What a peer says of another may be old. It serves for an attempt to dial, and never for what is
-// told to callers.
+// What a peer reports of another may be outdated. It may be used to dial, but must never be passed
+// on to callers.
 #[test]
 fn secondhand_report_does_not_confirm_a_peer() {
     let now = Instant::now();
@@ -245,7 +245,7 @@
     let mut second = Atlas::new(Place::new("athens", "b"), now);
     second.update(doors(&[("athens", "a"), ("patras", "a")]), now);
     assert_eq!(wanted(&second, 0), ["athens-a-1"]);
-    // A region that nothing is heard of any more is tried by all speakers, at every zone of it.
+    // All speakers dial every zone of a region from which nothing is heard any more.
     second.update(doors(&[("athens", "a")]), now);
     assert_eq!(wanted(&second, 0), ["athens-a-1", "patras-a-1"]);
 }
@@ -280,7 +280,7 @@
     malformed_prefix: "cache", json!({"prefixes": ["xyz"]});
 }
 
-/// Starts an instance's membership in athens/a on the calling arbiter.
+/// Starts the membership actor of an instance in athens/a on the current arbiter.
 async fn instance(
     name: &str,
     incarnation: u64,
@@ -341,31 +341,33 @@
     peers.get(name).map(|peer| peer.incarnation)
 }
 
-// An instance restarts on a machine whose clock went back. Its run has a lower number than the one
-// that its peers remember, so they take all that it says for late: it would never serve again.
+// An instance restarts on a machine whose clock was set back. Its incarnation is lower than the one
+// that its peers remember, so they would ignore its messages as outdated and it would never serve
+// again.
 #[actix_rt::test]
 async fn restart_with_an_earlier_clock_raises_its_incarnation() {
     let (peer, identity, _) = instance("entry-1", 5, Vec::new()).await;
     let seeds = vec![identity.addresses().links.clone()];
     let (_, _, former) = instance("entry-2", 100, seeds.clone()).await;
-    until("the former run is seen", || {
+    until("the former incarnation is seen", || {
         seen_incarnation(&peer, "entry-2") == Some(100)
     })
     .await;
     former.send(Stop).await.unwrap();
     let (restarted, _, _) = instance("entry-2", 40, seeds).await;
-    until("the restarted one is seen", || {
+    until("the restarted instance is seen", || {
         seen_incarnation(&peer, "entry-2") == Some(101)
     })
     .await;
-    until("its own view has the run", || {
+    until("its own view has the new incarnation", || {
         restarted.view().incarnation == 101
     })
     .await;
 }
 
-// All zones have the same one in their settings. Facts about a zone don't pass through a third, so
-// zones that are never named to each other would never spill to each other, though nothing is cut.
+// All zones have the same seed in their settings. Facts about a zone are not relayed by a third, so
+// zones that never learn of each other would never spill requests to each other, although every
+// link works.
 #[actix_rt::test]
 async fn zones_discover_each_other_through_a_third() {
     let places = [
