--- a/crates/zinniastall-entry/src/callers/pipeline.rs
+++ b/crates/zinniastall-entry/src/callers/pipeline.rs
@@ -17,7 +17,7 @@
     worker::Worker,
 };
 
-/// Retry hint when the chosen instance cannot be reached.
+/// Retry hint when this instance is draining or the chosen one cannot be reached.
 pub(super) const UNREACHABLE_RETRY_AFTER: Duration = Duration::from_millis(500);
 
 /// A response, and its body if that has been buffered.
--- a/crates/zinniastall-entry/tests/speaker.rs
+++ b/crates/zinniastall-entry/tests/speaker.rs
@@ -349,13 +349,13 @@
 fn zone_fact_does_not_renew_the_region_fact() {
     let start = Instant::now();
     let [mut a, mut b, mut patras] = three_zones(start);
-    let abroad: IndexMap<Line, Place> = [(TO_PATRAS, patras.place.clone())].into();
-    b.digests.paths(&abroad);
+    let to_patras: IndexMap<Line, Place> = [(TO_PATRAS, patras.place.clone())].into();
+    b.digests.paths(&to_patras);
     b.speak(Voice::Region, 0, start);
     patras.take(&b.place.clone(), b.flush(start).get(&TO_PATRAS), start);
     assert_eq!(patras.known(start), ["athens/b"]);
-    let by_a: IndexMap<Line, Place> = [(TO_B, a.place.clone())].into();
-    b.digests.paths(&by_a);
+    let to_a: IndexMap<Line, Place> = [(TO_B, a.place.clone())].into();
+    b.digests.paths(&to_a);
     for tick in 1..60 {
         let now = start + TICK * tick;
         b.speak(Voice::Zone, 8, now);
