--- a/crates/zinniastall-coord/examples/cost.rs
+++ b/crates/zinniastall-coord/examples/cost.rs
@@ -1,9 +1,10 @@
-//! Measures what a change costs in messages, bytes and processor time, without links and disks.
+//! Measures the cost of a change and of a heartbeat in messages, bytes and processor time, without
+//! links and disks.
 //!
 //! `cargo run --release -p zinniastall-coord --example cost -- [REPLICAS]`
 //!
-//! Replicas run in one thread; messages are counted in the form in which links carry them. Time is
-//! that spent inside the replicas, encoding left out.
+//! Replicas run in one thread. Messages are counted in the encoding that links use; time is the
+//! time spent inside the replicas, without encoding.
 
 use std::error::Error;
 use std::time::{Duration, Instant};
@@ -21,7 +22,7 @@
 const HEARTBEAT: Duration = Duration::from_millis(50);
 const ELECTION: Duration = Duration::from_millis(500);
 
-/// What one side of the group has sent and spent.
+/// Messages and bytes sent and time spent by one side of the group.
 #[derive(Debug, Default, Clone, Copy)]
 struct Cost {
     messages: u64,
@@ -34,7 +35,7 @@
     replicas: Vec<Replica>,
     messages: Vec<(Id, Id, Message)>,
     applied: u32,
-    /// Of the leader, then of all followers together.
+    /// Cost of the leader, then of all followers together.
     costs: [Cost; 2],
 }
 
@@ -77,7 +78,7 @@
         Ok(())
     }
 
-    /// Lets time pass and messages move until none is left.
+    /// Advances the clock and delivers messages until none is left.
     fn advance(&mut self, span: Duration) {
         self.now += span;
         let now = self.now;
@@ -94,7 +95,7 @@
         }
     }
 
-    /// Calls a replica and empties it, counting what that takes.
+    /// Calls a replica, drains it and adds up the cost.
     fn timed<T>(&mut self, index: usize, call: impl FnOnce(&mut Replica) -> T) -> T {
         let began = Instant::now();
         let mut sent = Vec::new();
--- a/crates/zinniastall-coord/examples/embed.rs
+++ b/crates/zinniastall-coord/examples/embed.rs
@@ -1,7 +1,7 @@
-//! Three replicas in one thread, with their messages passed by hand.
+//! Runs three replicas in one thread and passes their messages by hand.
 //!
 //! Shows the whole interface that an embedder needs: found a group, admit and promote two more
-//! replicas, propose a command, read behind a barrier and under a lease, and hand leadership over.
+//! replicas, propose a command, read behind a barrier and under a lease, and transfer leadership.
 //! Disks are left out: a real embedder stores and syncs each batch before it calls `synced`, as
 //! `zinniastall-store` does.
 
@@ -17,13 +17,13 @@
 const CLUSTER: Cluster = *b"embedded example";
 const STEP: Duration = Duration::from_millis(10);
 
-/// A replica and the state that it keeps: the commands applied so far.
+/// A replica and its state: the commands applied so far.
 struct Member {
     replica: Replica,
     commands: Vec<String>,
 }
 
-/// All replicas, the messages between them, and a clock that the example turns itself.
+/// All replicas, the messages between them, and a simulated clock.
 struct Group {
     now: Instant,
     members: Vec<Member>,
@@ -31,7 +31,7 @@
 }
 
 impl Group {
-    /// Builds three replicas, of which the first founds a cluster and the others wait for it.
+    /// Builds three replicas; the first founds a cluster and the others wait to be admitted.
     fn new() -> Result<Self, Box<dyn Error>> {
         let now = Instant::now();
         let timing = Timing::new(Duration::from_millis(50), Duration::from_millis(500));
@@ -53,7 +53,7 @@
         })
     }
 
-    /// Lets time pass and moves messages until a condition holds.
+    /// Advances the clock and delivers messages until a condition holds.
     fn run_until(&mut self, condition: impl Fn(&Self) -> bool) {
         while !condition(self) {
             self.now += STEP;
@@ -74,7 +74,7 @@
         }
     }
 
-    /// Does what the replicas ask for: store, send, apply, and say that it is synced.
+    /// Processes the batches of all replicas: sends, applies, and reports them as synced.
     fn drain(&mut self) {
         for member in &mut self.members {
             while let Some(ready) = member.replica.ready() {
--- a/crates/zinniastall-coord/src/command.rs
+++ b/crates/zinniastall-coord/src/command.rs
@@ -1,17 +1,17 @@
-//! Recorded answers of operators' commands, so that a resend never runs twice.
+//! Deduplication of operators' commands: a resend gets the recorded answer and never runs twice.
 //!
 //! An operator whose answer was lost sends the same command id again. The [`Table`] is part of the
-//! replicated state and of snapshots, so any leader finds the recorded answer, also after restarts.
-//! The same id with another body is told from a resend by the body's digest.
+//! replicated state and of snapshots, so any leader finds the recorded answer, also after a
+//! restart. The digest of the body tells a resend from another command under the same id.
 //!
 //! # Why eviction is safe
 //!
-//! The table is bounded per operator and as a whole, oldest first. Each command names the revision
-//! of the object that it expects. A command that ran moved its object to a later revision, and
-//! revisions are never used again, so a resend that outlived its record is refused as a conflict
-//! instead of running again. A command that was refused had no effect, so running it late is its
-//! first run. This holds only while an object that was deleted keeps its last revision: a command
-//! that creates must not find "absent" again after another command has deleted the object.
+//! The number of records is bounded per operator and in total; the oldest are evicted first. Each
+//! command names the revision of the object that it expects. A command that ran moved its object to
+//! a later revision, and revisions are never reused, so a resend that outlives its record is
+//! refused as a conflict instead of running again. A command that was refused had no effect, so
+//! running it late is its first run. This holds only if a deleted object keeps its last revision: a
+//! command that creates must not find the object absent again after another command has deleted it.
 
 use indexmap::IndexMap;
 use serde::{Deserialize, Serialize};
@@ -19,19 +19,19 @@
 /// Digest of a command's body.
 pub type Digest = [u8; blake3::OUT_LEN];
 
-/// Returns the digest by which a body is compared with that of an earlier command.
+/// Returns the digest that identifies a command's body.
 pub fn digest(body: &[u8]) -> Digest {
     blake3::hash(body).into()
 }
 
-/// What the table knows of a command.
+/// The result of looking up a command.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Outcome<'a, Answer> {
-    /// The id has not been seen: the command may run.
+    /// The id is unknown: the command may run.
     New,
-    /// The same command ran before with this answer.
+    /// The same command ran before and got this answer.
     Recorded(&'a Answer),
-    /// The id belongs to a command with another body.
+    /// The id was used for a command with another body.
     Reused,
 }
 
@@ -42,9 +42,9 @@
     answer: Answer,
 }
 
-/// Answers by operator and command id, bounded in the order of insertion.
+/// Recorded answers by operator and command id; the oldest are evicted first.
 ///
-/// Every replica that records the same commands in the same order holds the same table.
+/// Replicas that record the same commands in the same order hold equal tables.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Table<Answer> {
     per_operator: usize,
@@ -55,9 +55,10 @@
 }
 
 impl<Answer> Table<Answer> {
-    /// Creates an empty table with the largest number of records per operator and as a whole.
+    /// Creates an empty table that holds at most `per_operator` records per operator and `whole` in
+    /// total.
     ///
-    /// A bound of zero counts as one: the last command's resend is always recognised.
+    /// A limit of zero counts as one, so that a resend of the last command is always recognised.
     pub fn new(per_operator: usize, whole: usize) -> Self {
         Self {
             per_operator: per_operator.max(1),
@@ -73,12 +74,12 @@
         self.len
     }
 
-    /// Tells whether nothing is recorded.
+    /// Returns whether nothing is recorded.
     pub const fn is_empty(&self) -> bool {
         self.len == 0
     }
 
-    /// Looks a command up before it runs.
+    /// Looks up a command before it runs.
     pub fn look_up(&self, operator: &str, id: &str, digest: &Digest) -> Outcome<'_, Answer> {
         let Some(record) = self
             .operators
@@ -94,9 +95,10 @@
         }
     }
 
-    /// Records the answer of a command that [`look_up`](Self::look_up) called new.
+    /// Records the answer of a command for which [`look_up`](Self::look_up) returned
+    /// [`Outcome::New`].
     ///
-    /// An id that is recorded already keeps its first answer.
+    /// An id that is already recorded keeps its first answer.
     pub fn record(&mut self, operator: &str, id: &str, digest: Digest, answer: Answer) {
         let records = self.operators.entry(operator.to_owned()).or_default();
         if records.contains_key(id) {
--- a/crates/zinniastall-coord/src/digest.rs
+++ b/crates/zinniastall-coord/src/digest.rs
@@ -1,16 +1,17 @@
-//! Digests: small facts about groups of instances, flooded to everybody and aged out when late.
+//! Digests: small facts about groups of instances, flooded to all instances and expired when they
+//! are not renewed.
 //!
-//! A *maker* speaks for a group, such as an availability zone. It numbers its items; an item holds
-//! until a later one of the same key. So that a fact that stays the same costs next to nothing, the
-//! maker sends only what changed, and from time to time one [`Renewal`]: "all that I have sent up
-//! to this number still holds". [`Table`] keeps the newest item of each key and stops believing it
-//! when neither it nor a renewal has come for a while. [`Outbox`] holds what a link still has to
-//! carry, newest only, so that a slow link or a spent [`Bucket`] delays facts but never queues old
-//! ones. [`overlay`] says who passes on to whom.
+//! A *maker* publishes facts about a group, such as an availability zone, as numbered items; an
+//! item holds until a later one with the same key. So that an unchanged fact costs next to nothing,
+//! the maker sends only what changed, and from time to time a [`Renewal`]: "everything that I have
+//! sent up to this number still holds". [`Table`] keeps the newest item of each key and expires it
+//! if neither it nor a renewal has arrived for a while. [`Outbox`] tracks what a link still has to
+//! carry, in its newest state only, so that a slow link or a spent [`Bucket`] delays facts but
+//! never queues outdated ones. [`overlay`] defines who forwards to whom.
 //!
-//! A renewal must never vouch for an item that its receiver doesn't have. Therefore an outbox
-//! holds a renewal back until all items of its maker have gone out on that link, and links deliver
-//! in order.
+//! A renewal must never confirm an item that its receiver doesn't have. Therefore an outbox holds a
+//! renewal back until all items of its maker have been sent on that link, and links must deliver in
+//! order.
 //!
 //! # Example
 //!
--- a/crates/zinniastall-coord/src/digest/author.rs
+++ b/crates/zinniastall-coord/src/digest/author.rs
@@ -1,4 +1,4 @@
-//! Makes the items of one maker.
+//! Creation of the items of one maker.
 
 use std::hash::Hash;
 
@@ -6,7 +6,7 @@
 
 use super::{Item, Renewal};
 
-/// The items that one maker has made.
+/// The items that one maker has published.
 #[derive(Debug)]
 pub struct Author<K, M, V> {
     maker: M,
@@ -16,7 +16,7 @@
 }
 
 impl<K: Clone + Eq + Hash, M: Clone, V: Clone + PartialEq> Author<K, M, V> {
-    /// Creates a maker's run.
+    /// Creates the author for one run of a maker.
     pub fn new(maker: M, incarnation: u64) -> Self {
         Self {
             maker,
@@ -26,9 +26,9 @@
         }
     }
 
-    /// Makes an item if the value differs from the last one; `None` withdraws the key.
+    /// Creates an item if the value differs from the last one; `None` withdraws the key.
     ///
-    /// Values should be coarse: each difference is sent to everybody.
+    /// Values should be coarse: each change is sent to every instance.
     pub fn make(&mut self, key: K, value: Option<V>) -> Option<Item<K, M, V>> {
         if self.values.get(&key) == value.as_ref() {
             return None;
@@ -48,15 +48,15 @@
         })
     }
 
-    /// Forgets what was made, so that every value is made anew; numbers go on.
+    /// Forgets all values, so that each is published again; the numbering continues.
     ///
-    /// A maker that takes over again finds the other maker's items in every table. Its own old
-    /// ones have been replaced there, so an unchanged value has to be sent again.
+    /// A maker that takes over a group again finds the items of the previous maker in every table.
+    /// Its own old items have been replaced there, so unchanged values must be sent again.
     pub fn forget(&mut self) {
         self.values.clear();
     }
 
-    /// Returns the value that a key was last given.
+    /// Returns the last value of a key.
     pub fn value(&self, key: &K) -> Option<&V> {
         self.values.get(key)
     }
@@ -66,7 +66,7 @@
         self.values.keys()
     }
 
-    /// Vouches for all items so far.
+    /// Returns a renewal of all items so far.
     pub fn renewal(&self) -> Renewal<M> {
         Renewal {
             maker: self.maker.clone(),
--- a/crates/zinniastall-coord/src/digest/bucket.rs
+++ b/crates/zinniastall-coord/src/digest/bucket.rs
@@ -1,14 +1,14 @@
-//! A budget of bytes a second.
+//! A byte budget.
 
 use std::time::{Duration, Instant};
 
-/// Longest time for which an unspent budget is kept.
+/// Time over which unspent budget accumulates; also limits the debt.
 const BURST_WINDOW: Duration = Duration::from_secs(2);
 
 /// A token bucket that may go into debt.
 ///
-/// What must be sent, such as heartbeats, is charged whatever the balance is. What can wait is sent
-/// only out of a positive balance, so that it gives way to what can't.
+/// Traffic that can't wait, such as heartbeats, is charged whatever the balance is. Other traffic
+/// is sent only from a positive balance, so that it yields to the first kind.
 #[derive(Debug)]
 pub struct Bucket {
     rate: f64,
@@ -37,7 +37,7 @@
         self.balance = (self.balance - bytes as f64).max(-debt);
     }
 
-    /// Returns the bytes that may be sent now.
+    /// Refills the bucket and returns the bytes that may be sent now.
     #[expect(
         clippy::cast_possible_truncation,
         clippy::cast_sign_loss,
--- a/crates/zinniastall-coord/src/digest/outbox.rs
+++ b/crates/zinniastall-coord/src/digest/outbox.rs
@@ -1,4 +1,4 @@
-//! What one link still has to carry.
+//! Pending digests of one link.
 
 use std::{hash::Hash, time::Instant};
 
@@ -6,7 +6,7 @@
 
 use super::{Item, Renewal, Table};
 
-/// Items and renewals that go out together.
+/// Items and renewals that are sent together.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Batch<K, M, V> {
     /// Items.
@@ -17,7 +17,7 @@
 
 /// Keys and makers whose newest state a link still has to carry.
 ///
-/// It holds names, not values: a key that changes three times before its turn goes out once.
+/// It holds keys instead of values: a key that changes three times before its turn is sent once.
 #[derive(Debug)]
 pub struct Outbox<K, M> {
     keys: IndexSet<K>,
@@ -34,7 +34,7 @@
 }
 
 impl<K: Clone + Eq + Hash, M: Clone + Eq + Hash> Outbox<K, M> {
-    /// Creates an outbox for a new link, with all that the table holds and the filters let pass.
+    /// Creates the outbox of a new link, with everything in the table that passes the filters.
     pub fn from_table<V: Clone>(
         table: &Table<K, M, V>,
         key: impl Fn(&K) -> bool,
@@ -52,22 +52,23 @@
         self.keys.insert(key);
     }
 
-    /// Adds a maker's renewal.
+    /// Adds a maker whose renewal is to be sent.
     pub fn renew(&mut self, maker: M) {
         self.makers.insert(maker);
     }
 
-    /// Returns how many keys wait.
+    /// Returns the number of pending keys.
     pub fn len(&self) -> usize {
         self.keys.len()
     }
 
-    /// Tells whether nothing waits.
+    /// Returns whether nothing is pending.
     pub fn is_empty(&self) -> bool {
         self.keys.is_empty() && self.makers.is_empty()
     }
 
-    /// Takes what fits into a number of bytes, oldest waiting first; `size` estimates an item.
+    /// Removes and returns what fits into `bytes`, in the order of arrival; `size` estimates the
+    /// size of an item.
     pub fn take<V: Clone>(
         &mut self,
         table: &Table<K, M, V>,
@@ -93,7 +94,7 @@
         Batch { items, renewals }
     }
 
-    /// Takes the renewals of makers none of whose items wait.
+    /// Removes and returns the renewals of makers that have no pending items.
     fn take_renewals<V: Clone>(&mut self, table: &Table<K, M, V>, now: Instant) -> Vec<Renewal<M>> {
         let waiting: IndexSet<&M> = self
             .keys
--- a/crates/zinniastall-coord/src/digest/table.rs
+++ b/crates/zinniastall-coord/src/digest/table.rs
@@ -1,4 +1,4 @@
-//! The newest item of each key and how long it is believed.
+//! The newest item of each key, and its expiry.
 
 use std::{
     hash::Hash,
@@ -8,22 +8,22 @@
 use indexmap::IndexMap;
 use serde::{Deserialize, Serialize};
 
-/// Most keys held; a maker that invents keys must not make every process grow.
+/// Most keys held, so that a maker that invents keys can't make every process grow.
 const MAX_KEYS: usize = 65_536;
 
-/// A fact, as it travels.
+/// A fact in transit.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Item<K, M, V> {
     /// What it is about.
     #[serde(rename = "k")]
     pub key: K,
-    /// Who made it.
+    /// Who published it.
     #[serde(rename = "m")]
     pub maker: M,
     /// Maker's run.
     #[serde(rename = "i")]
     pub incarnation: u64,
-    /// Counts the maker's items within a run.
+    /// Number of the item within that run.
     #[serde(rename = "s")]
     pub sequence: u64,
     /// Age when sent, in milliseconds.
@@ -34,10 +34,10 @@
     pub value: Option<V>,
 }
 
-/// A maker's word that its items up to a number still hold.
+/// A maker's statement that its items up to a number still hold.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Renewal<M> {
-    /// Who says so.
+    /// Who makes the statement.
     #[serde(rename = "m")]
     pub maker: M,
     /// Maker's run.
@@ -67,20 +67,20 @@
     made: Instant,
 }
 
-/// A fact that is believed.
+/// A fact that hasn't expired.
 #[derive(Debug)]
 pub struct Entry<'a, K, M, V> {
     /// What it is about.
     pub key: &'a K,
-    /// Who made it, in which run, and its number.
+    /// Maker, its incarnation and the number of the item.
     pub maker: (&'a M, u64, u64),
     /// The fact.
     pub value: &'a V,
-    /// When it was made or last vouched for, on this process's clock.
+    /// When it was created or last renewed, on this process's clock.
     pub made: Instant,
 }
 
-/// The newest item of each key.
+/// The newest item of each key, and its expiry.
 #[derive(Debug)]
 pub struct Table<K, M, V> {
     horizon: Duration,
@@ -89,7 +89,7 @@
 }
 
 impl<K: Clone + Eq + Hash, M: Clone + Eq + Hash, V: Clone> Table<K, M, V> {
-    /// Creates an empty table; what nobody has vouched for within `horizon` is unknown.
+    /// Creates an empty table; an item expires when it hasn't been renewed for `horizon`.
     pub fn new(horizon: Duration) -> Self {
         Self {
             horizon,
@@ -98,7 +98,7 @@
         }
     }
 
-    /// Takes an item in. Returns whether it is news, which is to be passed on.
+    /// Applies an item; returns whether it is new and must be forwarded.
     pub fn apply(&mut self, item: Item<K, M, V>, now: Instant) -> bool {
         let Some(made) = self.creation_time(item.age_ms, now) else {
             return false;
@@ -109,8 +109,8 @@
             if same_maker && number <= (record.incarnation, record.sequence) {
                 return false;
             }
-            // Two makers speak for a group while one takes over from the other. The younger fact
-            // wins, since numbers of different makers can't be compared.
+            // Two makers may publish facts about a group while one takes over from the other. Their
+            // numbers can't be compared, so the younger fact wins.
             if !same_maker && made <= self.confirmed_at(record) {
                 return false;
             }
@@ -128,7 +128,7 @@
         true
     }
 
-    /// Takes a renewal in. Returns whether it is news, which is to be passed on.
+    /// Applies a renewal; returns whether it is new and must be forwarded.
     pub fn renew(&mut self, renewal: &Renewal<M>, now: Instant) -> bool {
         let Some(made) = self.creation_time(renewal.age_ms, now) else {
             return false;
@@ -136,8 +136,8 @@
         let number = (renewal.incarnation, renewal.sequence);
         if let Some(last) = self.renewals.get(&renewal.maker) {
             let known = (last.incarnation, last.sequence);
-            // The same renewal comes by several ways, each with a slightly different age; only one
-            // that is younger by far is a later one.
+            // The same renewal arrives on several paths with slightly different ages; only a
+            // clearly younger one is a later renewal.
             let later = made > last.made + self.horizon / 20;
             if number < known || !later {
                 return false;
@@ -154,7 +154,7 @@
         true
     }
 
-    /// Returns the facts that are believed.
+    /// Returns the facts that haven't expired.
     pub fn fresh(&self, now: Instant) -> impl Iterator<Item = Entry<'_, K, M, V>> {
         let horizon = self.horizon;
         self.records.iter().filter_map(move |(key, record)| {
@@ -170,7 +170,7 @@
         })
     }
 
-    /// Returns a key's item as it is sent now.
+    /// Returns the item of a key with its current age, for sending.
     pub fn item(&self, key: &K, now: Instant) -> Option<Item<K, M, V>> {
         let record = self.records.get(key)?;
         Some(Item {
@@ -183,12 +183,12 @@
         })
     }
 
-    /// Returns who made a key's item.
+    /// Returns the maker of a key's item.
     pub fn maker(&self, key: &K) -> Option<&M> {
         self.records.get(key).map(|record| &record.maker)
     }
 
-    /// Returns a maker's renewal as it is sent now.
+    /// Returns the last renewal of a maker with its current age, for sending.
     pub fn renewal(&self, maker: &M, now: Instant) -> Option<Renewal<M>> {
         let renewal = self.renewals.get(maker)?;
         Some(Renewal {
@@ -199,13 +199,13 @@
         })
     }
 
-    /// Returns all keys held and all makers that have vouched, for a new link.
+    /// Returns all keys held and all makers with a renewal, for a new link.
     pub fn contents(&self) -> (Vec<K>, Vec<M>) {
         let keys = self.records.keys().cloned().collect();
         (keys, self.renewals.keys().cloned().collect())
     }
 
-    /// Drops what has been unknown for as long again.
+    /// Removes items and renewals that are older than twice the horizon.
     pub fn sweep(&mut self, now: Instant) {
         let retention = self.horizon * 2;
         let expired = |record: &Record<M, V>| {
@@ -225,7 +225,7 @@
             .retain(|_, renewal| now.saturating_duration_since(renewal.made) <= retention);
     }
 
-    /// Returns when an item was made or last vouched for.
+    /// Returns when an item was created or last renewed.
     fn confirmed_at(&self, record: &Record<M, V>) -> Instant {
         let renewal = self.renewals.get(&record.maker).filter(|renewal| {
             renewal.incarnation == record.incarnation && record.sequence <= renewal.sequence
@@ -233,7 +233,7 @@
         renewal.map_or(record.made, |renewal| renewal.made.max(record.made))
     }
 
-    /// Returns when something of this age was made, unless that is beyond the horizon.
+    /// Returns when something of this age was created, or `None` if that is beyond the horizon.
     fn creation_time(&self, age_ms: u64, now: Instant) -> Option<Instant> {
         let age = Duration::from_millis(age_ms);
         (age <= self.horizon).then(|| now.checked_sub(age))?
--- a/crates/zinniastall-coord/src/election.rs
+++ b/crates/zinniastall-coord/src/election.rs
@@ -1,8 +1,8 @@
-//! Timings of elections and the counting of votes.
+//! Election timing and vote counting.
 //!
 //! A follower that heard a leader refuses votes for [`Timing::election`]; a leader's lease is
-//! shorter than that by [`Timing::margin`]. The order of these two times is what keeps a leader that
-//! was cut off from answering beside its successor, so it is checked before a replica starts.
+//! shorter than that by [`Timing::margin`]. This order of the two times keeps a leader that was cut
+//! off from answering reads beside its successor, so it is checked before a replica starts.
 
 use std::time::Duration;
 
@@ -13,23 +13,24 @@
 use crate::replica::Id;
 use crate::voters::Voters;
 
-/// Heartbeats that must fit into an election timeout, so that one lost message elects nobody.
+/// Heartbeats that must fit into an election timeout, so that a single lost message causes no
+/// election.
 const MIN_HEARTBEATS_PER_ELECTION: u32 = 3;
 
-/// Times by which a group runs; all its replicas need the same ones.
+/// Timing of a group; all its replicas need the same values.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Timing {
     /// Time between two heartbeats of a leader.
     pub heartbeat: Duration,
-    /// Least time without a leader after which a replica votes for another; campaigns start at a
-    /// random time between this and twice this.
+    /// Minimum election timeout: time without a leader after which a replica votes for another one.
+    /// Campaigns start at a random time between this and twice this.
     pub election: Duration,
-    /// By how much the lease is shorter than `election`: what the clocks of two instances may
-    /// differ by over that time.
+    /// Difference between `election` and the lease. It bounds by how much the clocks of two
+    /// instances may drift apart during an election timeout.
     pub margin: Duration,
 }
 
-/// Timings that can't keep a group safe or stable.
+/// Timing that can't keep a group safe or stable.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum Error {
     /// The heartbeat is zero.
@@ -44,7 +45,7 @@
 }
 
 impl Timing {
-    /// Creates timings from the two main times, with a tenth of the election timeout as margin.
+    /// Creates a timing with a margin of a tenth of the election timeout.
     pub fn new(heartbeat: Duration, election: Duration) -> Self {
         Self {
             heartbeat,
@@ -53,11 +54,11 @@
         }
     }
 
-    /// Checks that the times fit together.
+    /// Checks that the values fit together.
     ///
     /// # Errors
     ///
-    /// [`Error`] names the first time that doesn't fit.
+    /// [`Error`] names the first value that doesn't fit.
     pub fn check(&self) -> Result<(), Error> {
         if self.heartbeat.is_zero() {
             return Err(Error::Heartbeat);
@@ -71,7 +72,7 @@
         Ok(())
     }
 
-    /// Returns how long a lease lasts from the sending of the heartbeats that gained it.
+    /// Returns the duration of a lease, counted from the sending of the heartbeats that gained it.
     pub fn lease(&self) -> Duration {
         self.election.saturating_sub(self.margin)
     }
@@ -81,30 +82,30 @@
     }
 }
 
-/// Answers to one campaign, counted over the voters that the candidate knows.
+/// Answers to one campaign.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Votes {
     answers: IndexMap<Id, bool>,
 }
 
-/// How a campaign stands.
+/// State of a campaign.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Tally {
-    /// A majority granted.
+    /// A majority granted its vote.
     Won,
-    /// A majority refused.
+    /// So many refused that no majority is left.
     Lost,
-    /// Neither has a majority yet.
+    /// Undecided.
     Pending,
 }
 
 impl Votes {
-    /// Notes the first answer of a replica; a doubled message changes nothing.
+    /// Records the first answer of a replica; duplicates are ignored.
     pub fn record(&mut self, id: Id, granted: bool) {
         self.answers.entry(id).or_insert(granted);
     }
 
-    /// Counts the answers of those who vote; anyone else's answer counts for nothing.
+    /// Counts the answers of voters; other answers are ignored.
     pub fn result(&self, voters: &Voters) -> Tally {
         let mut granted = 0;
         let mut refused = 0;
--- a/crates/zinniastall-coord/src/lib.rs
+++ b/crates/zinniastall-coord/src/lib.rs
@@ -1,9 +1,9 @@
-//! Coordination parts without I/O: consensus, leases, fences, command tables, tickets, membership,
-//! digests and quarantine.
+//! Coordination primitives without I/O: consensus, leases, fencing tokens, command deduplication,
+//! tickets, membership, digests and quarantine.
 //!
-//! Nothing here opens a socket, reads a clock or starts a thread. Each part is a state machine that
-//! is given messages and the present [`Instant`](std::time::Instant) and hands back what the
-//! embedder has to store, send and apply. That makes every decision reproducible from a seed.
+//! Nothing here opens a socket, reads a clock or starts a thread. Each primitive is a state
+//! machine: the embedder passes it messages and the current [`Instant`](std::time::Instant), and it
+//! returns what to store, send and apply. Every decision can therefore be reproduced from a seed.
 //!
 //! | module | gives |
 //! |---|---|
--- a/crates/zinniastall-coord/src/log.rs
+++ b/crates/zinniastall-coord/src/log.rs
@@ -1,4 +1,4 @@
-//! Entries of the replicated log and the part of it held in memory.
+//! Entries of the replicated log, and the part of it held in memory.
 
 use std::collections::VecDeque;
 
@@ -7,24 +7,24 @@
 use crate::replica::{Index, Term};
 use crate::voters::Voters;
 
-/// Bytes counted for an entry beside those of its command.
+/// Bytes counted for an entry in addition to those of its command.
 const ENTRY_OVERHEAD: usize = 32;
 
-/// One entry of the log.
+/// An entry of the log.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Entry {
     /// Term of the leader that appended it.
     pub term: Term,
-    /// Place in the log, counted from 1.
+    /// Index in the log, counted from 1.
     pub index: Index,
-    /// What it carries.
+    /// Content.
     pub payload: Payload,
 }
 
-/// What an entry carries.
+/// The content of an entry.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Payload {
-    /// Nothing: a new leader appends it to commit what came before.
+    /// Nothing; a new leader appends it to commit the entries before it.
     Noop,
     /// The set of voters and learners from here on.
     Voters(Voters),
@@ -33,7 +33,7 @@
 }
 
 impl Entry {
-    /// Returns about how many bytes the entry takes in a message.
+    /// Returns the approximate size of the entry in a message, in bytes.
     pub fn size(&self) -> usize {
         ENTRY_OVERHEAD
             + match &self.payload {
@@ -48,7 +48,7 @@
             }
     }
 
-    /// Returns the entry's place and term.
+    /// Returns the entry's index and term.
     pub const fn position(&self) -> Position {
         Position {
             index: self.index,
@@ -57,23 +57,23 @@
     }
 }
 
-/// A place in the log and the term of the entry there; zero stands before the first entry.
+/// An index in the log and the term of the entry there; index zero stands before the first entry.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Position {
-    /// Place in the log.
+    /// Index in the log.
     pub index: Index,
-    /// Term of the entry at that place.
+    /// Term of the entry at that index.
     pub term: Term,
 }
 
 impl Position {
-    /// Tells whether a log that ends here holds at least what one that ends at `other` holds.
+    /// Returns whether a log that ends here is at least as up to date as one that ends at `other`.
     pub fn covers(&self, other: &Self) -> bool {
         (self.term, self.index) >= (other.term, other.index)
     }
 }
 
-/// The tail of the log behind the last compaction.
+/// The tail of the log after the last compaction.
 #[derive(Debug, Clone, Default)]
 pub struct Log {
     base: Position,
@@ -81,7 +81,7 @@
 }
 
 impl Log {
-    /// Creates a log that begins behind `base`.
+    /// Creates an empty log that continues after `base`.
     pub const fn new(base: Position) -> Self {
         Self {
             base,
@@ -89,17 +89,17 @@
         }
     }
 
-    /// Returns the place before the first entry held.
+    /// Returns the position before the first entry held.
     pub const fn base(&self) -> Position {
         self.base
     }
 
-    /// Returns the place of the last entry.
+    /// Returns the position of the last entry.
     pub fn last(&self) -> Position {
         self.entries.back().map_or(self.base, Entry::position)
     }
 
-    /// Returns the term at a place, if it is held.
+    /// Returns the term at an index, if it is held.
     pub fn term(&self, index: Index) -> Option<Term> {
         if index == self.base.index {
             return Some(self.base.term);
@@ -107,13 +107,13 @@
         self.get(index).map(|entry| entry.term)
     }
 
-    /// Returns the entry at a place, if it is held.
+    /// Returns the entry at an index, if it is held.
     pub fn get(&self, index: Index) -> Option<&Entry> {
         let offset = index.checked_sub(self.base.index + 1)?;
         self.entries.get(usize::try_from(offset).ok()?)
     }
 
-    /// Tells whether the log holds an entry of this term at this place.
+    /// Returns whether the log holds an entry of this term at this index.
     pub fn matches(&self, position: Position) -> bool {
         self.term(position.index) == Some(position.term)
     }
@@ -128,14 +128,14 @@
         self.entries.push_back(entry);
     }
 
-    /// Drops all entries from a place on.
+    /// Removes all entries from an index on.
     pub fn truncate(&mut self, from: Index) {
         let keep = from.saturating_sub(self.base.index + 1);
         self.entries
             .truncate(usize::try_from(keep).unwrap_or(usize::MAX));
     }
 
-    /// Drops all entries up to and with a place that is held.
+    /// Removes all entries up to and including an index, if that index is held.
     pub fn compact(&mut self, last: Index) {
         let Some(term) = self.term(last) else { return };
         while self
@@ -148,7 +148,8 @@
         self.base = Position { index: last, term };
     }
 
-    /// Copies entries from one place to another, at least one if there is one, up to about `bytes`.
+    /// Copies the entries between two indexes, up to about `bytes` but at least one if there is
+    /// one.
     pub fn slice(&self, from: Index, last: Index, bytes: usize) -> Vec<Entry> {
         let mut total: usize = 0;
         let mut slice = Vec::new();
@@ -163,7 +164,7 @@
         slice
     }
 
-    /// Returns the bytes that the entries from one place to another take in messages.
+    /// Returns the size in messages of the entries between two indexes, in bytes.
     pub fn bytes(&self, from: Index, last: Index) -> usize {
         (from..=last)
             .filter_map(|index| self.get(index))
@@ -171,10 +172,10 @@
             .sum()
     }
 
-    /// Returns the last place at or before `index` whose term is no later than `term`.
+    /// Returns the last position at or before `index` whose term is no later than `term`.
     ///
-    /// Two logs agree at no place with different terms, so a mismatch skips whole terms at once
-    /// instead of one entry a round trip.
+    /// Two logs never match at an index where their terms differ, so a mismatch skips whole terms
+    /// at once instead of one entry per round trip.
     pub fn last_within(&self, index: Index, term: Term) -> Position {
         let mut index = index.min(self.last().index);
         while index > self.base.index {
--- a/crates/zinniastall-coord/src/membership.rs
+++ b/crates/zinniastall-coord/src/membership.rs
@@ -1,14 +1,14 @@
-//! Membership: which of the other instances are alive, judged by evidence in both directions.
+//! Membership: failure detection by heartbeats with evidence for both directions of a link.
 //!
-//! Each instance counts its heartbeats and sends one a period to every peer. A heartbeat echoes the
-//! newest one that its sender has heard from the receiver. An instance that reads the echo of its
-//! own heartbeat 7 knows that heartbeat 7 arrived and that the answer came back, so the peer was
-//! alive after heartbeat 7 was sent. How long ago that was is the *staleness* of the evidence, and
-//! it is the only thing that [`Roster`] judges: a frozen peer, a peer that hears but isn't heard
-//! and one that is heard but doesn't hear all stop the evidence the same way.
+//! Each instance numbers its heartbeats and sends one per period to every peer. A heartbeat echoes
+//! the newest one that its sender has received from the receiver. An instance that reads the echo
+//! of its own heartbeat 7 knows that heartbeat 7 arrived and that an answer came back, so the peer
+//! was alive after heartbeat 7 was sent. The time since then is the *staleness* of the evidence,
+//! and [`Roster`] judges nothing else: a frozen peer, a peer that receives but can't be heard, and
+//! a peer that can be heard but doesn't receive all stop the evidence in the same way.
 //!
-//! The longest staleness that is still believed comes from a [`Window`] over the recent ones, so
-//! that a slow link isn't taken for a dead peer.
+//! The longest staleness at which a peer still counts as alive comes from a [`Window`] over recent
+//! samples, so that a slow link isn't taken for a dead peer.
 //!
 //! # Example
 //!
--- a/crates/zinniastall-coord/src/membership/roster.rs
+++ b/crates/zinniastall-coord/src/membership/roster.rs
@@ -1,4 +1,4 @@
-//! The peers of one instance and the evidence for each.
+//! The peers of one instance and the evidence that they are alive.
 
 use std::{
     collections::VecDeque,
@@ -16,13 +16,13 @@
 /// Number of a heartbeat within a run.
 pub type Sequence = u64;
 
-/// Own heartbeats whose time of sending is remembered; an echo of an older one is no evidence.
+/// Own heartbeats whose send time is kept; an echo of an older one is no evidence.
 const MAX_SENT_HEARTBEATS: usize = 128;
-/// Most departed peers remembered. The oldest goes first; what it guarded against, a frame of an
-/// old run that is still under way, is the less likely the older it is.
+/// Most departed peers remembered. The oldest is evicted first: the older the departure, the less
+/// likely is a late frame of that run, which the memory guards against.
 const MAX_DEPARTED: usize = 1024;
 
-/// Times that a [`Roster`] works with.
+/// Timing of a [`Roster`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Config {
     /// Time between two heartbeats.
@@ -31,16 +31,17 @@
     pub floor: Duration,
     /// Longest bound on staleness.
     pub ceiling: Duration,
-    /// Pause between two ticks after which this instance takes itself for frozen.
+    /// Pause between two ticks after which this instance counts as having been frozen.
     pub freeze_threshold: Duration,
-    /// Fresh evidences in a row that a lost peer has to show before it counts again.
+    /// Consecutive fresh echoes that a lost peer must deliver before it counts as alive again.
     pub probation: u32,
-    /// How long the run of a departed peer is remembered.
+    /// How long the incarnation of a departed peer is remembered.
     pub memory: Duration,
 }
 
 impl Default for Config {
-    /// Sized for one heartbeat a half second and links of up to some hundred milliseconds.
+    /// Returns a configuration for two heartbeats per second and link delays of up to a few hundred
+    /// milliseconds.
     fn default() -> Self {
         Self {
             period: Duration::from_millis(500),
@@ -53,43 +54,44 @@
     }
 }
 
-/// Shortest and longest bound on the staleness of a peer's evidence.
+/// Limits of the bound on the staleness of a peer's evidence.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Bounds {
-    /// Shortest.
+    /// Shortest bound.
     pub floor: Duration,
-    /// Longest.
+    /// Longest bound.
     pub ceiling: Duration,
 }
 
-/// Newest heartbeat that the sender has heard from the receiver.
+/// The newest heartbeat that the sender has received from the receiver.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Echo(pub Incarnation, pub Sequence);
 
-/// One heartbeat, addressed to one peer.
+/// A heartbeat to one peer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Heartbeat {
-    /// Sender's run.
+    /// Incarnation of the sender.
     #[serde(rename = "i")]
     pub incarnation: Incarnation,
-    /// Counts the sender's heartbeats.
+    /// Number of the heartbeat within that run.
     #[serde(rename = "s")]
     pub sequence: Sequence,
-    /// What the sender has heard from the receiver.
+    /// Newest heartbeat that the sender has received from the receiver.
     #[serde(rename = "e", default, skip_serializing_if = "Option::is_none")]
     pub echo: Option<Echo>,
 }
 
-/// What a heartbeat told.
+/// How a received heartbeat compares with earlier ones.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Heard {
-    /// The first one of a peer's run.
+    /// The first heartbeat of a run.
     NewRun,
-    /// A new one of a known run.
+    /// A new heartbeat of a known run.
     Fresh,
-    /// A doubled or late one.
+    /// A duplicate or late heartbeat.
     Duplicate,
-    /// One of a run before the known one; the sender should raise its own above this.
+    /// A heartbeat of a run earlier than the known one, which is given; the sender should raise its
+    /// own incarnation above it.
     Stale(Incarnation),
 }
 
@@ -100,16 +102,17 @@
     /// When the newest own heartbeat that the peer has echoed was sent.
     evidence: Option<Instant>,
     window: Window,
-    /// Fresh evidences still to be shown before the peer counts.
+    /// Fresh echoes still required before the peer counts as alive.
     probation_left: u32,
-    /// When a new heartbeat last came.
+    /// When a new heartbeat was last received.
     last_heard: Instant,
 }
 
 /// The peers of one instance.
 ///
-/// Only heartbeats that arrive from a peer itself count. What others say of it may lead to a
-/// connection attempt but never makes it alive: hearsay of a dead peer would otherwise circle.
+/// Only heartbeats that arrive from the peer itself count. Reports by others may lead to a
+/// connection attempt but never make a peer alive: otherwise reports of a dead peer could circulate
+/// forever.
 #[derive(Debug)]
 pub struct Roster<I> {
     own: I,
@@ -137,24 +140,24 @@
         }
     }
 
-    /// Returns this instance's run.
+    /// Returns this instance's incarnation.
     pub const fn incarnation(&self) -> Incarnation {
         self.incarnation
     }
 
-    /// Raises this instance's run above one that others remember.
+    /// Raises this instance's incarnation above one that its peers remember.
     ///
-    /// A process whose clock went back starts with a lower number than its former run. Its peers
-    /// would drop all that it says as late.
+    /// A process whose clock was set back starts with a lower incarnation than its previous run.
+    /// Its peers would drop all its messages as late.
     pub fn raise_incarnation(&mut self, remembered: Incarnation) {
         self.incarnation = self.incarnation.max(remembered.saturating_add(1));
     }
 
-    /// Starts a heartbeat period. Returns whether this instance was frozen since the last one.
+    /// Starts a heartbeat period; returns whether this instance was frozen since the last one.
     ///
-    /// What a frozen instance believes is as old as the freeze is long, and it can't tell from its
-    /// messages: its sockets held them back. All evidence is void after a freeze, so nobody counts
-    /// as alive until an echo of a heartbeat sent after it.
+    /// After a freeze all state is as old as the freeze is long, and the messages that waited in
+    /// the sockets don't show it. All evidence is therefore discarded: no peer counts as alive
+    /// until it echoes a heartbeat that was sent after the freeze.
     pub fn tick(&mut self, now: Instant) -> bool {
         let frozen = now.saturating_duration_since(self.ticked_at) > self.config.freeze_threshold;
         self.ticked_at = now;
@@ -174,7 +177,7 @@
         frozen
     }
 
-    /// Makes this period's heartbeat for one peer.
+    /// Creates this period's heartbeat to one peer.
     pub fn heartbeat(&self, peer: &I) -> Heartbeat {
         let echo = self.members.get(peer);
         Heartbeat {
@@ -184,16 +187,16 @@
         }
     }
 
-    /// Takes in a heartbeat that arrived from a peer.
+    /// Processes a heartbeat received from a peer.
     pub fn hear(&mut self, peer: &I, heartbeat: Heartbeat, now: Instant) -> Heard {
         let Config { floor, ceiling, .. } = self.config;
         self.hear_within(peer, heartbeat, Bounds { floor, ceiling }, now)
     }
 
-    /// Takes in a heartbeat that arrived from a peer to which heartbeats go at a pace of its own,
-    /// with bounds that fit it.
+    /// Processes a heartbeat received from a peer that has its own heartbeat period, with bounds
+    /// that fit that period.
     ///
-    /// The bounds are those of the peer's run; the first heartbeat of a run sets them.
+    /// The first heartbeat of a run sets the bounds for that run.
     pub fn hear_within(
         &mut self,
         peer: &I,
@@ -219,13 +222,13 @@
         heard
     }
 
-    /// Tells whether a peer is alive.
+    /// Returns whether a peer is alive.
     pub fn is_alive(&self, peer: &I, now: Instant) -> bool {
         let member = self.members.get(peer);
         member.is_some_and(|member| member.probation_left == 0 && member.is_fresh(now))
     }
 
-    /// Returns a peer's run, if one is known.
+    /// Returns a peer's incarnation, if it is known.
     pub fn run(&self, peer: &I) -> Option<Incarnation> {
         self.members.get(peer).map(|member| member.incarnation)
     }
@@ -239,13 +242,13 @@
             .map(|(peer, _)| peer)
     }
 
-    /// Returns the longest staleness of a peer's evidence that is still believed.
+    /// Returns the longest staleness at which a peer still counts as alive.
     pub fn bound(&self, peer: &I) -> Option<Duration> {
         self.members.get(peer).map(|member| member.window.bound())
     }
 
-    /// Forgets a peer that is gone or whose address has another owner; its run stays remembered
-    /// for a while, so that late frames of it are known as such.
+    /// Removes a peer that is gone or whose address has another owner. Its incarnation is
+    /// remembered for a while, so that its late frames are recognised.
     pub fn forget(&mut self, peer: &I, now: Instant) {
         let Some(member) = self.members.swap_remove(peer) else {
             return;
@@ -258,8 +261,8 @@
             .insert(peer.clone(), (member.incarnation, until));
     }
 
-    /// Forgets the peers that have been silent for the time of memory, and the departed whose
-    /// memory is over. Returns the peers.
+    /// Removes the peers that have been silent for the time of memory and returns them; also drops
+    /// the departed peers that have been remembered long enough.
     pub fn sweep(&mut self, now: Instant) -> Vec<I> {
         self.departed.retain(|_, (_, until)| *until > now);
         let memory = self.config.memory;
@@ -276,7 +279,7 @@
         gone
     }
 
-    /// Returns how many peers and how many departed ones are held.
+    /// Returns the number of peers and of departed peers held.
     pub fn held(&self) -> (usize, usize) {
         (self.members.len(), self.departed.len())
     }
@@ -322,8 +325,8 @@
     fn restart_probation(&mut self, now: Instant) {
         let probation = self.config.probation;
         for member in self.members.values_mut() {
-            // One lost evidence on a bad link is followed by others. A peer that came back at
-            // once each time would flap in every view.
+            // On a bad link, one loss is followed by others. A peer that counted as alive again at
+            // once each time would flap in every instance's view.
             if member.probation_left == 0 && !member.is_fresh(now) {
                 member.probation_left = probation;
             }
--- a/crates/zinniastall-coord/src/membership/window.rs
+++ b/crates/zinniastall-coord/src/membership/window.rs
@@ -1,19 +1,20 @@
-//! How long silence has to last before it means something.
+//! Adaptive bound on the staleness of a peer's evidence.
 
 use std::{collections::VecDeque, time::Duration};
 
-/// Samples kept; at two heartbeats a second the window spans about a minute.
+/// Samples kept; at two heartbeats per second the window spans about a minute.
 const MAX_SAMPLES: usize = 128;
-/// Mean deviations above the mean that are still believed.
+/// Mean deviations above the mean at which a peer still counts as alive.
 ///
-/// Measured over ten minutes and twelve pairs at 10% loss: 4 flapped 12 times, 6 and 8 once each, 10
-/// never; on links without loss the deviation is small and all four find a cut equally fast.
+/// Over ten minutes and twelve pairs at 10% loss, 4 deviations gave 12 flaps, 6 and 8 one each, and
+/// 10 none. On links without loss the deviation is small, and all four detect a cut equally fast.
 const DEVIATION_FACTOR: u32 = 10;
 
-/// Recent stalenesses of one peer's evidence, and the bound that follows from them.
+/// Recent staleness samples of one peer, and the bound derived from them.
 ///
-/// The bound is mean + ten mean deviations + half the floor, within a floor and a ceiling. A fixed timeout would
-/// have to be sized to the slowest link, and would then find a dead neighbour late.
+/// The bound is mean + ten mean deviations + half the floor, limited by a floor and a ceiling. A
+/// fixed timeout would have to fit the slowest link, and would detect a dead peer on a fast link
+/// late.
 #[derive(Debug, Clone)]
 pub struct Window {
     samples: VecDeque<Duration>,
@@ -23,7 +24,7 @@
 }
 
 impl Window {
-    /// Creates an empty window; its bound is the ceiling until samples speak.
+    /// Creates an empty window, whose bound is the ceiling.
     pub const fn new(floor: Duration, ceiling: Duration) -> Self {
         Self {
             samples: VecDeque::new(),
@@ -33,8 +34,8 @@
         }
     }
 
-    /// Takes one staleness in. One beyond the ceiling counts as the ceiling: a long outage must
-    /// not make the next one harder to find.
+    /// Adds a sample. A sample beyond the ceiling counts as the ceiling: a long outage must not
+    /// make the next one harder to detect.
     pub fn record(&mut self, staleness: Duration) {
         let sample = staleness.min(self.ceiling);
         if self.samples.len() == MAX_SAMPLES
@@ -46,7 +47,7 @@
         self.samples.push_back(sample);
     }
 
-    /// Returns the longest staleness that is still believed.
+    /// Returns the longest staleness at which the peer still counts as alive.
     pub fn bound(&self) -> Duration {
         let Ok(count @ 1..) = u32::try_from(self.samples.len()) else {
             return self.ceiling;
--- a/crates/zinniastall-coord/src/quarantine.rs
+++ b/crates/zinniastall-coord/src/quarantine.rs
@@ -1,13 +1,16 @@
-//! Quarantine: requests that crash the processes that run them are not run for ever.
+//! Quarantine of requests that crash the processes that run them.
 //!
-//! A process that crashes takes down everything that it runs, so each of these requests is a suspect and one of them
-//! is guilty at most. Three facts tell them apart. A request that finishes anywhere is cleared. A crash counts against
-//! a request that was sent when it was suspected already; those under which the first crash came count once together,
-//! since a request that is sent by many rides on many processes at any moment. And a request is quarantined only
-//! with [`CRASH_LIMIT`] crashes.
+//! A process that crashes takes down all requests that it runs. Each of them is a suspect, and at
+//! most one of them is the cause. Three rules tell them apart:
 //!
-//! Instances that share a [`Table`] send each other their [`Suspicion`]s. Merging is commutative, associative and
-//! idempotent, so messages may be lost, doubled, late and out of order.
+//! - A request that finishes anywhere is cleared.
+//! - A crash counts against each request that was already suspected when it was sent. Crashes of
+//!   copies that were sent before the request was suspected count once together: a popular request
+//!   runs on many processes at any moment, and many of them may crash at once.
+//! - A request is quarantined only at [`CRASH_LIMIT`] crashes.
+//!
+//! Instances that share a [`Table`] send each other their [`Suspicion`]s. Merging is commutative,
+//! associative and idempotent, so messages may be lost, duplicated, delayed and reordered.
 //!
 //! # Example
 //!
@@ -31,39 +34,40 @@
 use indexmap::IndexMap;
 use serde::{Deserialize, Serialize};
 
-/// Crashes with which a request is quarantined.
+/// Number of crashes at which a request is quarantined.
 pub const CRASH_LIMIT: usize = 3;
-/// Crashes with which a request is a strong suspect: one more quarantines it.
+/// Number of crashes at which a request is a strong suspect: one more quarantines it.
 pub const STRONG_SUSPECT_CRASHES: usize = CRASH_LIMIT - 1;
 
-/// One run of a process; another one follows its crash.
+/// Number of a process run; a process that restarts after a crash begins another run.
 pub type Run = u64;
 
-/// What is known against a request.
+/// The crashes that count against a request.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Suspicion {
-    /// How often the request was cleared; what was known before counts no more.
+    /// How often the request was cleared; crashes of earlier rounds no longer count.
     #[serde(rename = "r")]
     round: u32,
-    /// Run that crashed under the request before it was suspected, the least of them.
+    /// Lowest run that crashed with a copy that was sent before the request was suspected.
     #[serde(rename = "f")]
     first: Option<Run>,
-    /// Runs that crashed under it when it was suspected, in order, the least [`CRASH_LIMIT`] of them.
+    /// The lowest [`CRASH_LIMIT`] runs that crashed with a copy that was sent while the request was
+    /// suspected, in ascending order.
     #[serde(rename = "l")]
     later: Vec<Run>,
 }
 
-/// What came of merging another instance's suspicion.
+/// Result of merging another instance's suspicion.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Merged {
-    /// Whether more is known here than before.
+    /// Whether the local suspicion changed.
     pub is_changed: bool,
-    /// Whether the other instance knows less than is known here now.
+    /// Whether the other instance knows less than this one does now.
     pub is_behind: bool,
 }
 
 impl Suspicion {
-    /// Returns the crashes that count, [`CRASH_LIMIT`] at most.
+    /// Returns the number of crashes that count, at most [`CRASH_LIMIT`].
     pub fn crashes(&self) -> usize {
         let first = self.first.filter(|first| !self.later.contains(first));
         (usize::from(first.is_some()) + self.later.len()).min(CRASH_LIMIT)
@@ -78,7 +82,7 @@
         }
     }
 
-    /// Clears the request: what was known before counts no more.
+    /// Clears the request; earlier crashes no longer count.
     pub fn clear(&mut self) {
         *self = Self {
             round: self.round.saturating_add(1),
@@ -86,7 +90,7 @@
         };
     }
 
-    /// Takes what another instance knows.
+    /// Merges what another instance knows.
     pub fn merge(&mut self, other: &Self) {
         if other.round < self.round {
             return;
@@ -123,7 +127,7 @@
 }
 
 impl<K: Hash + Eq + Copy + AsRef<[u8]>> Table<K> {
-    /// Creates an empty table that holds `capacity` requests at most, one at least.
+    /// Creates an empty table that holds at most `capacity` requests, and at least one.
     pub fn new(capacity: usize) -> Self {
         Self {
             entries: IndexMap::new(),
@@ -131,34 +135,34 @@
         }
     }
 
-    /// Tells whether nothing was ever known against any request.
+    /// Returns whether no suspicion is recorded.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
-    /// Returns the crashes that count against a request.
+    /// Returns the number of crashes that count against a request.
     pub fn crashes(&self, key: K) -> usize {
         self.suspicion(key).map_or(0, Suspicion::crashes)
     }
 
-    /// Tells whether a request is not to be run any more.
+    /// Returns whether a request must not run any more.
     pub fn is_quarantined(&self, key: K) -> bool {
         self.crashes(key) >= CRASH_LIMIT
     }
 
-    /// Returns what is known against a request.
+    /// Returns the suspicion against a request.
     pub fn suspicion(&self, key: K) -> Option<&Suspicion> {
         self.entries.get(&key).map(|held| &held.suspicion)
     }
 
-    /// Returns the requests that are suspected strongly or quarantined.
+    /// Returns the requests that are strong suspects or quarantined.
     pub fn strong(&self) -> impl Iterator<Item = (K, &Suspicion)> {
         let held = self.entries.iter();
         let all = held.map(|(key, held)| (*key, &held.suspicion));
         all.filter(|(_, suspicion)| suspicion.crashes() >= STRONG_SUSPECT_CRASHES)
     }
 
-    /// Returns how many requests are quarantined.
+    /// Returns the number of quarantined requests.
     pub fn quarantined(&self) -> usize {
         let strong = self.strong();
         strong
@@ -166,18 +170,18 @@
             .count()
     }
 
-    /// Notes that a run crashed under a request; `was_suspect` tells whether that was suspected when it was sent.
-    /// Tells whether this is news.
+    /// Records that a run crashed with a request; `was_suspect` states whether the request was
+    /// suspected when it was sent. Returns whether the suspicion changed.
     pub fn crash(&mut self, key: K, run: Run, was_suspect: bool, now: Instant) -> bool {
         self.change(key, now, |suspicion| suspicion.crash(run, was_suspect))
     }
 
-    /// Notes that a request finished; tells whether that clears it.
+    /// Records that a request finished; returns whether that cleared it.
     pub fn finish(&mut self, key: K, now: Instant) -> bool {
         self.crashes(key) > 0 && self.change(key, now, Suspicion::clear)
     }
 
-    /// Takes what another instance knows.
+    /// Merges what another instance knows.
     pub fn merge(&mut self, key: K, other: &Suspicion, now: Instant) -> Merged {
         let is_changed = self.change(key, now, |suspicion| suspicion.merge(other));
         let held = self.suspicion(key);
@@ -187,7 +191,8 @@
         }
     }
 
-    /// Returns a digest of all strong suspicions; tables that know the same have the same.
+    /// Returns a digest of all strong suspicions; it is equal for tables with equal strong
+    /// suspicions.
     pub fn digest(&self) -> u64 {
         let digest = |(key, suspicion): (K, &Suspicion)| {
             let mut hasher = blake3::Hasher::new();
@@ -223,7 +228,8 @@
         true
     }
 
-    /// Forgets the request against which the least is known, the longest untouched of these.
+    /// Evicts the request with the fewest crashes if the table is full; among equals, the one that
+    /// was updated least recently.
     fn evict(&mut self) {
         if self.entries.len() < self.capacity {
             return;
--- a/crates/zinniastall-coord/src/replica.rs
+++ b/crates/zinniastall-coord/src/replica.rs
@@ -1,15 +1,15 @@
-//! One replica of a replicated log.
+//! A replica of a replicated log.
 //!
-//! A [`Replica`] is a state machine without I/O. The embedder feeds it time with
-//! [`tick`](Replica::tick), messages with [`receive`](Replica::receive) and commands with
-//! [`propose`](Replica::propose), and after each of these empties it with
-//! [`ready`](Replica::ready), which says what to store, send and apply. See
-//! `examples/embed.rs` for a group of three in one thread.
+//! A [`Replica`] is a state machine without I/O. The embedder calls [`tick`](Replica::tick) as time
+//! passes, passes messages to [`receive`](Replica::receive) and commands to
+//! [`propose`](Replica::propose), and after each call drains [`ready`](Replica::ready), which
+//! returns what to store, send and apply. `examples/embed.rs` runs a group of three replicas in one
+//! thread.
 //!
-//! The protocol is leader-based majority replication in terms, as in Ongaro and Ousterhout, "In
-//! Search of an Understandable Consensus Algorithm" (2014), with the pre-vote, check-quorum, leader
-//! transfer and single-server membership changes of Ongaro's dissertation. `docs/design/consensus.md`
-//! gives the reasons and the points where this one differs.
+//! The protocol is Raft: leader-based majority replication in terms, as in Ongaro and Ousterhout,
+//! "In Search of an Understandable Consensus Algorithm" (2014), with the pre-vote, check-quorum,
+//! leadership transfer and single-server membership changes of Ongaro's dissertation.
+//! `docs/design/consensus.md` explains the design and where it deviates from Raft.
 
 mod builder;
 mod campaign;
@@ -50,22 +50,22 @@
 use crate::election::{Timing, Votes};
 use crate::log::{Log, Position};
 
-/// Identity of a replica: random, never zero, made with its data folder and lost with it.
+/// Identity of a replica: random, never zero, created with its data folder and lost with it.
 pub type Id = u64;
 
 /// Number of an election; at most one replica leads in a term.
 pub type Term = u64;
 
-/// Place in the log, counted from 1.
+/// Index in the log, counted from 1.
 pub type Index = u64;
 
-/// Identity of a cluster, random, made when it is founded.
+/// Identity of a cluster: random, created when the cluster is founded.
 pub type Cluster = [u8; 16];
 
-/// Bytes of committed entries handed out at once, so that a long log is applied in steps.
+/// Bytes of committed entries in one batch, so that a long log is applied in steps.
 const MAX_COMMITTED_BATCH_BYTES: usize = 4 << 20;
 
-/// One member of a replicated log.
+/// A replica of a replicated log.
 #[derive(Debug)]
 pub struct Replica {
     id: Id,
@@ -99,7 +99,7 @@
 }
 
 impl Replica {
-    /// Returns a builder for a replica with the id of its data folder.
+    /// Returns a builder for the replica that owns the data folder with this id.
     pub fn builder(id: Id, timing: Timing) -> Builder {
         Builder::new(id, timing)
     }
@@ -109,9 +109,9 @@
         self.id
     }
 
-    /// Lets time pass: sends heartbeats, campaigns, or steps down, as far as they are due.
+    /// Advances the clock: sends heartbeats, campaigns or steps down if that is due.
     ///
-    /// To be called a few times per heartbeat.
+    /// Call it several times per heartbeat interval.
     pub fn tick(&mut self, now: Instant) {
         self.poll_survey();
         if matches!(self.state, State::Leader(_)) {
@@ -121,13 +121,13 @@
         }
     }
 
-    /// Returns the next batch of work, or nothing when all is done for now.
+    /// Returns the next batch of work, or `None` if nothing is left to do for now.
     ///
-    /// Each batch has to be answered with [`synced`](Self::synced), in order.
+    /// Each batch must be acknowledged with [`synced`](Self::synced), in order.
     pub fn ready(&mut self) -> Option<Ready> {
-        // What a majority has synced is handed out even if this replica hasn't synced it yet. A
-        // leader with a slow disk would otherwise answer reads without an entry that followers
-        // have applied already.
+        // Entries that a majority has synced are returned even if this replica hasn't synced them
+        // yet. Otherwise a leader with a slow disk would serve reads that miss an entry which
+        // followers have already applied.
         self.pending.committed =
             self.log
                 .slice(self.applied + 1, self.commit, MAX_COMMITTED_BATCH_BYTES);
@@ -144,7 +144,8 @@
         Some(ready)
     }
 
-    /// Notes that everything up to a batch has been synced; releases the messages that waited.
+    /// Records that every batch up to this one is synced, and releases the messages that waited for
+    /// it.
     pub fn synced(&mut self, batch: u64, now: Instant) {
         for (to, message) in self.durable.synced(batch) {
             if to == self.id {
@@ -156,7 +157,8 @@
         self.advance_commit(now);
     }
 
-    /// Makes a snapshot of the state that the embedder reached by applying all entries handed out.
+    /// Creates a snapshot of the state that the embedder has after applying every entry returned so
+    /// far.
     pub fn snapshot(&self, data: Vec<u8>) -> Snapshot {
         let term = self.log.term(self.applied).unwrap_or_default();
         let last = Position {
@@ -170,7 +172,8 @@
         }
     }
 
-    /// Notes that a snapshot has been synced, and forgets most of the entries before it.
+    /// Records that a snapshot is synced, and discards the entries before it except the last
+    /// [`Limits::retain`].
     pub fn compacted(&mut self, snapshot: Snapshot) {
         let last = snapshot.last.index;
         if self
@@ -219,7 +222,7 @@
         }
     }
 
-    /// Sends once everything stored so far has been synced.
+    /// Sends a message once everything stored so far is synced.
     fn send_synced(&mut self, to: Id, body: Body) {
         if let Some(message) = self.message(to, body) {
             self.durable.hold(to, message);
@@ -240,10 +243,11 @@
         self.pending.hard = Some(hard);
     }
 
-    /// Follows in a term, which forgets the vote if the term is new.
+    /// Becomes a follower in a term; a new term clears the vote.
     ///
-    /// A part of a snapshot is forgotten too: another leader may write the same state in other bytes,
-    /// and one put together from both would be garbage with the right length.
+    /// A partially received snapshot is discarded too. Another leader may encode the same state in
+    /// other bytes, and a snapshot assembled from both would be corrupt although its length is
+    /// right.
     fn become_follower(&mut self, term: Term, leader: Option<Id>, now: Instant) {
         let new = term > self.hard.term;
         if new {
@@ -256,7 +260,7 @@
         self.reset_election_timer(now);
     }
 
-    /// Starts to wait anew before the next campaign.
+    /// Restarts the random wait before the next campaign.
     fn reset_election_timer(&mut self, now: Instant) {
         self.campaign_at = now + self.timing.random_election_timeout(&mut self.rng);
     }
--- a/crates/zinniastall-coord/src/replica/builder.rs
+++ b/crates/zinniastall-coord/src/replica/builder.rs
@@ -1,4 +1,4 @@
-//! Settings of a replica.
+//! Configuration of a replica.
 
 use std::sync::Arc;
 use std::time::Instant;
@@ -19,13 +19,13 @@
 pub struct Limits {
     /// Bytes of entries or of a snapshot in one message.
     pub message: usize,
-    /// Bytes sent to one follower before it acknowledges.
+    /// Unacknowledged bytes sent to one follower.
     pub window: usize,
     /// Bytes of one command.
     pub command: usize,
-    /// Bytes that may wait to be committed.
+    /// Bytes of entries that are not committed yet.
     pub uncommitted: usize,
-    /// Entries kept behind a snapshot for followers that are a little late.
+    /// Entries kept before the end of a snapshot, for followers that are slightly behind.
     pub retain: u64,
     /// Entries by which a learner may be behind when it is promoted.
     pub lag: u64,
@@ -67,7 +67,7 @@
         }
     }
 
-    /// Gives back what the store held; without it the replica is fresh.
+    /// Sets what the store held; without it the replica is fresh.
     #[must_use]
     pub fn restored(mut self, restored: Restored) -> Self {
         self.restored = restored;
@@ -81,30 +81,31 @@
         self
     }
 
-    /// Sets the seed of election timeouts, by default the id.
+    /// Sets the seed of the random election timeouts, by default the id.
     #[must_use]
     pub const fn seed(mut self, seed: u64) -> Self {
         self.seed = seed;
         self
     }
 
-    /// Says that the group uses no leases, so that this replica may vote and campaign soon after its
-    /// start.
+    /// Declares that the group uses no leases, so that this replica may vote and campaign soon
+    /// after its start.
     ///
-    /// With leases it has to wait as long as a leader may hold one by what this replica answered right
-    /// before it stopped. Without, that wait is nothing but time without a leader after all replicas
-    /// stopped at once. All replicas of a group need the same.
+    /// With leases it must wait for as long as a leader may hold one, because of an acknowledgement
+    /// that this replica sent right before it stopped. Without leases that wait only prolongs the
+    /// time without a leader after all replicas stopped at once. All replicas of a group need the
+    /// same setting.
     #[must_use]
     pub const fn without_leases(mut self) -> Self {
         self.leases = false;
         self
     }
 
-    /// Builds the replica as a follower that starts to wait at `now`.
+    /// Builds the replica as a follower whose election timer starts at `now`.
     ///
     /// # Errors
     ///
-    /// [`Error`] when the timings can't keep a group safe.
+    /// [`Error`] when the timing can't keep a group safe.
     pub fn build(self, now: Instant) -> Result<Replica, Error> {
         self.timing.check()?;
         let mut rng = StdRng::seed_from_u64(self.seed);
@@ -131,7 +132,7 @@
             (now, first_timeout)
         } else {
             let early = now.checked_sub(self.timing.election).unwrap_or(now);
-            // Links have to open before anybody can be asked.
+            // Links need time to open before other replicas can be asked.
             (
                 early,
                 first_timeout.saturating_sub(self.timing.election) / 2 + self.timing.heartbeat * 2,
--- a/crates/zinniastall-coord/src/replica/campaign.rs
+++ b/crates/zinniastall-coord/src/replica/campaign.rs
@@ -1,4 +1,4 @@
-//! Campaigns: pre-votes, votes, and when they are refused.
+//! Elections: pre-votes, votes, and when votes are refused.
 
 use std::time::Instant;
 
@@ -9,11 +9,11 @@
 use crate::log::Position;
 
 impl Replica {
-    /// Asks whether a campaign would be granted, before the term grows.
+    /// Asks the other voters whether they would grant a vote, before the term is raised.
     ///
-    /// A replica that was cut off would otherwise raise its term again and again, and on its return
-    /// every other replica, the leader included, would have to follow into that term: operators
-    /// would see commands fail each time a link heals.
+    /// Without this step a replica that was cut off would raise its term again and again, and on
+    /// its return every other replica, the leader included, would have to follow into that term:
+    /// operators would see commands fail each time a link recovers.
     pub(super) fn start_pre_vote(&mut self, now: Instant) {
         self.reset_election_timer(now);
         if !self.history.current().is_voter(self.id) || self.is_removed() {
@@ -32,8 +32,8 @@
 
     pub(super) fn on_pre_vote(&mut self, from: Id, term: Term, last: Position, now: Instant) {
         if let Some(index) = self.history.removal(from, self.commit) {
-            // The answer follows all the same: this set may be behind, and the asking replica may
-            // have been admitted since and be the only one that can lead.
+            // The vote is answered all the same: this set may be out of date, and the sender may
+            // have been admitted since and be the only replica that can lead.
             self.send(from, Body::Removed { index });
         }
         let granted =
@@ -66,10 +66,10 @@
         }
     }
 
-    /// Campaigns in the next term.
+    /// Starts a campaign in the next term.
     ///
-    /// The requests and the vote for itself leave only once the vote is synced: a candidate that
-    /// restarted and had forgotten it could vote for another in the same term.
+    /// The requests and the candidate's own vote are released only once the vote is synced: after a
+    /// restart a candidate that had forgotten it could vote for another one in the same term.
     fn start_election(&mut self, transfer: bool, now: Instant) {
         self.reset_election_timer(now);
         self.leader = None;
@@ -85,11 +85,12 @@
         self.send_synced(self.id, Body::VoteAnswer { granted: true });
     }
 
-    /// Votes for a candidate, at most one a term.
+    /// Votes for a candidate, at most once per term.
     ///
-    /// A learner votes too if it is asked: it may have been promoted by an entry that it doesn't hold
-    /// yet, and the group may need its vote to elect the one that does. Whether a vote counts is for
-    /// the candidate to say, whose set of voters a wiped disk's new id is not in.
+    /// A learner votes too if it is asked: it may have been promoted by an entry that it doesn't
+    /// hold yet, and the group may need its vote to elect the replica that does. The candidate
+    /// decides whether a vote counts; the new id of a replica whose disk was wiped isn't in its set
+    /// of voters.
     pub(super) fn on_vote(&mut self, from: Id, vote: Vote, now: Instant) {
         if self.refuses_votes(now) && !vote.transfer {
             return;
@@ -121,33 +122,33 @@
         }
     }
 
-    /// Campaigns at once because the leader has stopped for this replica.
+    /// Campaigns at once because the leader has stepped down in favour of this replica.
     pub(super) fn on_transfer(&mut self, from: Id, now: Instant) {
         if self.leader == Some(from) && self.history.current().is_voter(self.id) {
             self.start_election(true, now);
         }
     }
 
-    /// Tells whether this replica owes a leader its loyalty and refuses votes.
+    /// Returns whether this replica must refuse votes because a leader may hold a lease.
     ///
-    /// A leader's lease counts on every follower that acknowledged its heartbeat to elect nobody
-    /// else for an election timeout. A restart forgets when a leader was heard, so a replica that
-    /// has just started is bound as if it had heard one; without that, a restarted follower could
-    /// help to elect a second leader whose lease overlaps the first.
+    /// A lease relies on every follower that acknowledged its heartbeat to elect nobody else for an
+    /// election timeout. A restart forgets when a leader was last heard, so a replica that has just
+    /// started behaves as if it had just heard one. Otherwise a restarted follower could help to
+    /// elect a second leader whose lease overlaps the first.
     fn refuses_votes(&self, now: Instant) -> bool {
         let leads = matches!(self.state, State::Leader(_));
         leads || now < self.leader_heard_at + self.timing.election
     }
 
-    /// Notes that a committed set has removed this replica.
+    /// Records that a committed set of voters has removed this replica.
     ///
-    /// A replica that was away when it was removed is sent nothing more. It would ask for pre-votes
-    /// for ever, and its operator would see a follower that waits for a leader.
+    /// Nobody sends to a replica that was removed while it was down. Without this message it would
+    /// ask for pre-votes forever, and its operator would see a follower that waits for a leader.
     pub(super) fn on_removed(&mut self, index: Index) {
         self.removal_index = self.removal_index.max(index);
     }
 
-    /// Tells whether this replica was removed after the latest set that it holds.
+    /// Returns whether this replica was removed after the latest set of voters that it holds.
     pub(super) fn is_removed(&self) -> bool {
         self.removal_index > self.history.index()
     }
--- a/crates/zinniastall-coord/src/replica/durable.rs
+++ b/crates/zinniastall-coord/src/replica/durable.rs
@@ -1,9 +1,9 @@
-//! What has been synced, and the messages that wait for it.
+//! Tracks what is synced, and holds messages back until it is.
 //!
-//! An acknowledgement or a vote that left before its record was synced would be forgotten by a
-//! power cut after others had counted it: a committed entry could be lost or a second leader
-//! chosen in one term. Such messages are held with the number of the batch that stores what they
-//! promise, and leave once the embedder says that the batch is synced.
+//! If an acknowledgement or a vote were sent before its record is synced, a power cut could erase
+//! the record after others had counted it: a committed entry could be lost, or a second leader
+//! elected in one term. Such messages are held with the number of the batch that stores what they
+//! promise, and are released once the embedder reports that batch as synced.
 
 use std::collections::VecDeque;
 
@@ -41,12 +41,12 @@
         }
     }
 
-    /// Returns the last place of the log that is synced.
+    /// Returns the last index of the log that is synced.
     pub(super) const fn synced_index(&self) -> Index {
         self.synced_index
     }
 
-    /// Holds a message until the batch that is being filled is synced.
+    /// Holds a message until the open batch is synced.
     pub(super) fn hold(&mut self, to: Id, message: Message) {
         self.held.push_back(Envelope {
             number: self.open_batch,
@@ -55,14 +55,14 @@
         });
     }
 
-    /// Tells whether messages wait for the batch that is being filled.
+    /// Returns whether messages wait for the open batch.
     pub(super) fn has_held(&self) -> bool {
         self.held
             .back()
             .is_some_and(|held| held.number == self.open_batch)
     }
 
-    /// Closes the batch being filled, with the last place that it stores, and returns its number.
+    /// Closes the open batch, which stores the log up to `last`, and returns its number.
     pub(super) fn close_batch(&mut self, last: Option<Index>) -> u64 {
         let number = self.open_batch;
         if let Some(last) = last {
@@ -72,7 +72,8 @@
         number
     }
 
-    /// Notes that all batches up to one are synced and returns the messages that waited for them.
+    /// Records that all batches up to a number are synced and returns the messages that waited for
+    /// them.
     pub(super) fn synced(&mut self, number: u64) -> Vec<(Id, Message)> {
         while let Some(batch) = self.batches.pop_front_if(|batch| batch.number <= number) {
             self.synced_index = self.synced_index.max(batch.last);
@@ -84,7 +85,7 @@
         released
     }
 
-    /// Notes that places from one on no longer hold what was synced there.
+    /// Records that the log from an index on no longer holds what was synced there.
     pub(super) fn truncate(&mut self, from: Index) {
         let keep = from.saturating_sub(1);
         self.synced_index = self.synced_index.min(keep);
--- a/crates/zinniastall-coord/src/replica/follower.rs
+++ b/crates/zinniastall-coord/src/replica/follower.rs
@@ -1,4 +1,4 @@
-//! The follower's side: entries, heartbeats and snapshots from the leader.
+//! Follower: entries, heartbeats and snapshots from the leader.
 
 use std::sync::Arc;
 use std::time::Instant;
@@ -9,7 +9,7 @@
 use super::{Id, Index, Replica, State};
 use crate::log::{Entry, Log};
 
-/// What a follower keeps beside the log.
+/// Follower state beside the log.
 #[derive(Debug, Default)]
 pub(super) struct Follower {
     incoming: Option<Reassembly>,
@@ -38,7 +38,7 @@
         self.acknowledge(from, round, matched);
     }
 
-    /// Appends what is new and returns the last place known to equal the leader's log.
+    /// Appends the entries that are new and returns the last index known to match the leader's log.
     fn append_entries(&mut self, previous: Index, entries: Vec<Entry>) -> Index {
         let last = entries.last().map_or(previous, |entry| entry.index);
         for entry in entries {
@@ -124,12 +124,12 @@
         self.snapshot = Some(snapshot);
     }
 
-    /// Acknowledges that the log equals the leader's up to a place: at once what is synced, the rest
-    /// once it is.
+    /// Acknowledges that the log matches the leader's up to an index: what is synced at once, the
+    /// rest once it is synced.
     ///
-    /// The answer at once says that the leader was heard. Were it held back behind a slow disk, a
-    /// leader that everybody hears would lose its quorum and its lease whenever syncs take longer
-    /// than an election timeout, and operators would be told that nobody leads.
+    /// The immediate answer shows that the leader was heard. If it waited for a slow disk, a leader
+    /// that everybody hears would lose its quorum and its lease whenever syncs take longer than an
+    /// election timeout, and operators would be told that there is no leader.
     fn acknowledge(&mut self, to: Id, round: u64, matched: Index) {
         let synced = matched.min(self.durable.synced_index());
         let accepted = |matched| Body::AppendAnswer {
@@ -142,7 +142,8 @@
         }
     }
 
-    /// Notes that the leader of this term was heard.
+    /// Records that the leader of this term was heard; returns `false` if this replica leads
+    /// itself.
     fn record_leader_contact(&mut self, from: Id, now: Instant) -> bool {
         if matches!(self.state, State::Leader(_)) {
             return false;
--- a/crates/zinniastall-coord/src/replica/history.rs
+++ b/crates/zinniastall-coord/src/replica/history.rs
@@ -1,7 +1,7 @@
-//! The sets of voters that the log holds.
+//! The sets of voters in the log.
 //!
-//! A set is in force from the moment it is appended, not once it is committed; a set that is cut
-//! from the log gives way to the one before it.
+//! A set is in force as soon as it is appended, not only once it is committed. If it is truncated
+//! from the log, the set before it is in force again.
 
 use super::{Id, Index};
 use crate::log::{Entry, Payload};
@@ -25,7 +25,7 @@
         self.sets.last().map_or(&self.empty, |(_, voters)| voters)
     }
 
-    /// Returns the place of the current set.
+    /// Returns the index of the current set.
     pub(super) fn index(&self) -> Index {
         self.sets.last().map_or(0, |(index, _)| *index)
     }
@@ -35,7 +35,8 @@
         set.map_or(&self.empty, |(_, voters)| voters)
     }
 
-    /// Returns the place of the committed set if it has members and a replica is none of them.
+    /// Returns the index of the latest committed set if it has voters and a replica isn't a member
+    /// of it.
     pub(super) fn removal(&self, id: Id, commit: Index) -> Option<Index> {
         let (index, voters) = self.sets.iter().rev().find(|(at, _)| *at <= commit)?;
         (!voters.voters.is_empty() && !voters.is_member(id)).then_some(*index)
@@ -51,7 +52,7 @@
         self.sets.retain(|(index, _)| *index < from);
     }
 
-    /// Forgets the sets that a later one up to `upto` has replaced.
+    /// Discards the sets that a later one at or before `last` has replaced.
     pub(super) fn compact(&mut self, last: Index) {
         let replaced = self
             .sets
--- a/crates/zinniastall-coord/src/replica/inbox.rs
+++ b/crates/zinniastall-coord/src/replica/inbox.rs
@@ -1,4 +1,4 @@
-//! The rules that hold for every message before it is acted on.
+//! Checks and dispatch of incoming messages.
 
 use std::time::Instant;
 
@@ -7,10 +7,10 @@
 use crate::log::Position;
 
 impl Replica {
-    /// Takes a message that a link brought from another replica.
+    /// Processes a message from another replica.
     ///
-    /// Messages may be lost, doubled, late or out of order. One for another replica or of another
-    /// cluster is dropped.
+    /// Messages may be lost, duplicated, delayed or reordered. A message for another replica or
+    /// from another cluster is dropped.
     pub fn receive(&mut self, from: Id, message: Message, now: Instant) {
         if message.to != self.id || !self.accepts_cluster(&message) {
             return;
@@ -42,7 +42,8 @@
         }
     }
 
-    /// Checks the cluster; a fresh replica joins that of the first leader that addresses it.
+    /// Returns whether a message belongs to this cluster. A fresh replica joins the cluster of the
+    /// first leader that addresses it.
     fn accepts_cluster(&mut self, message: &Message) -> bool {
         if let Some(cluster) = self.cluster {
             return message.cluster == cluster;
@@ -87,10 +88,10 @@
         }
     }
 
-    /// Tells a leader of an earlier term that there is a later one.
+    /// Tells a leader of an earlier term about the later one.
     ///
-    /// Without an answer it would go on sending to this replica, which could never follow it, and
-    /// a group that needs this replica for its majority would stand still.
+    /// Without an answer it would keep sending to this replica, which can't follow it, and a group
+    /// that needs this replica for its majority would make no progress.
     fn reject_stale_term(&mut self, from: Id, body: &Body) {
         if matches!(body, Body::Append(_) | Body::Chunk(_)) {
             let outcome = Outcome::Rejected {
@@ -102,7 +103,7 @@
     }
 }
 
-/// A candidate's request.
+/// A vote request of a candidate.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Vote {
     pub(super) term: Term,
--- a/crates/zinniastall-coord/src/replica/leader.rs
+++ b/crates/zinniastall-coord/src/replica/leader.rs
@@ -1,4 +1,4 @@
-//! The leader's side: replication, commitment and stepping down.
+//! Leader: replication, commitment and stepping down.
 
 use std::collections::VecDeque;
 use std::time::Instant;
@@ -9,33 +9,33 @@
 use crate::election::Timing;
 use crate::log::{Entry, Payload};
 
-/// Rounds remembered in the time of a heartbeat.
+/// Rounds whose start time is kept, per heartbeat interval.
 const ROUNDS_KEPT_PER_HEARTBEAT: u32 = 16;
 
-/// What a leader keeps beside the log.
+/// Leader state beside the log.
 #[derive(Debug)]
 pub(super) struct Leader {
-    /// When it began to lead.
+    /// When it became the leader.
     pub(super) since: Instant,
-    /// Place of the entry with which its term began.
+    /// Index of the first entry of its term.
     pub(super) first_index: Index,
     pub(super) peers: Peers,
-    /// Bytes of entries that wait to be committed.
+    /// Bytes of entries that are not committed yet.
     pub(super) uncommitted_bytes: usize,
-    /// Successor that is being brought up to date, until when.
+    /// Target of a leadership transfer, and when the transfer is given up.
     pub(super) transfer: Option<(Id, Instant)>,
-    /// Number of the present heartbeat round.
+    /// Current heartbeat round.
     pub(super) round: u64,
     rounds: VecDeque<(u64, Instant)>,
     heartbeat_at: Instant,
 }
 
 impl Leader {
-    /// Opens a round: answers to messages sent from now on carry its number.
+    /// Opens a heartbeat round; answers to messages sent from now on carry its number.
     ///
-    /// Each commit and each barrier opens one, thousands on a busy leader. Only so many are
-    /// remembered; one that isn't counts as opened with the last remembered before it, which makes a
-    /// lease shorter by a part of a heartbeat and never longer.
+    /// Every commit and every barrier opens a round, which is thousands on a busy leader, so only
+    /// some start times are kept. A round without one counts as opened with the last kept round
+    /// before it, which can shorten a lease by a fraction of a heartbeat but never extends it.
     fn open_round(&mut self, timing: &Timing, now: Instant) {
         self.round += 1;
         let spacing = timing.heartbeat / ROUNDS_KEPT_PER_HEARTBEAT;
@@ -55,7 +55,7 @@
         }
     }
 
-    /// Notes that a member was heard, and from which round on it follows.
+    /// Records an answer from a member and the round that it answers.
     fn record_response(&mut self, from: Id, round: u64, now: Instant) -> Option<&mut Progress> {
         let progress = self.peers.get_mut(&from)?;
         progress.heard_at = Some(now);
@@ -73,7 +73,8 @@
 }
 
 impl Replica {
-    /// Begins to lead with an entry of its own term, which commits all that came before.
+    /// Becomes the leader and appends an entry of its own term, which commits all entries before
+    /// it.
     pub(super) fn become_leader(&mut self, now: Instant) {
         let last = self.log.last().index;
         let others = self.history.current().members().filter(|id| *id != self.id);
@@ -108,7 +109,7 @@
         }
     }
 
-    /// Opens a heartbeat round and sends to every member.
+    /// Opens a heartbeat round and sends a heartbeat to every member.
     pub(super) fn broadcast_heartbeat(&mut self, now: Instant) {
         if let State::Leader(leader) = &mut self.state {
             leader.open_round(&self.timing, now);
@@ -117,12 +118,12 @@
         self.send_to_peers(None, now, Progress::heartbeat);
     }
 
-    /// Sends new entries to every member that may be sent more.
+    /// Sends new entries to every member whose window permits it.
     pub(super) fn replicate(&mut self, now: Instant) {
         self.send_to_peers(None, now, Progress::entries);
     }
 
-    /// Sends to one peer or to all what `next` makes for each.
+    /// Sends the messages that `next` builds to one peer or to all.
     fn send_to_peers<Bodies: IntoIterator<Item = Body>>(
         &mut self,
         only: Option<Id>,
@@ -222,8 +223,8 @@
 
     /// Commits what a majority has synced.
     ///
-    /// Only an entry of the leader's own term counts: one of an earlier term could still be
-    /// replaced by a replica that has a later entry, although a majority holds it.
+    /// Only an entry of the leader's own term counts: an entry of an earlier term can still be
+    /// replaced by a replica that has a later entry, even if a majority holds it.
     pub(super) fn advance_commit(&mut self, now: Instant) {
         let Some(index) = self.majority_matched() else {
             return;
@@ -243,7 +244,8 @@
         }
     }
 
-    /// Lets go of members that a committed change removed, and steps down if this is one.
+    /// Drops members that a committed change removed, and steps down if this replica is one of
+    /// them.
     fn apply_committed_voters(&mut self, now: Instant) {
         let voters = self.history.current();
         let State::Leader(leader) = &mut self.state else {
@@ -255,10 +257,10 @@
         }
     }
 
-    /// Stops leading and lets a successor campaign at once.
+    /// Steps down and lets a successor campaign at once.
     ///
-    /// The lease ends here: the others may elect the successor although they heard this leader a
-    /// moment ago.
+    /// The lease ends here, because the others may elect the successor although they heard this
+    /// leader a moment ago.
     pub(super) fn step_down(&mut self, successor: Option<Id>, now: Instant) {
         if let Some(id) = successor {
             self.send(id, Body::Transfer);
@@ -266,7 +268,7 @@
         self.become_follower(self.hard.term, None, now);
     }
 
-    /// Hands leadership over once the chosen successor holds everything.
+    /// Completes a leadership transfer once the successor holds the whole log.
     pub(super) fn complete_transfer(&mut self, now: Instant) {
         let last = self.log.last().index;
         let State::Leader(leader) = &self.state else {
--- a/crates/zinniastall-coord/src/replica/message.rs
+++ b/crates/zinniastall-coord/src/replica/message.rs
@@ -1,4 +1,4 @@
-//! What replicas say to each other.
+//! Messages between replicas.
 
 use serde::{Deserialize, Serialize};
 
@@ -6,29 +6,29 @@
 use crate::log::{Entry, Position};
 use crate::voters::Voters;
 
-/// One message to one replica.
+/// A message to one replica.
 ///
-/// The link tells the receiver who sent it. The cluster and the receiver's id are part of the
-/// message, because an address outlives the replica behind it: a disk that was lost and replaced
-/// answers at the same address under another id, and must not act on what was meant for the old one.
+/// The link identifies the sender. The message names the cluster and the receiver's id because an
+/// address outlives the replica behind it: after a lost disk is replaced, a replica with another id
+/// answers at the same address and must not act on messages for the old one.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Message {
     /// Cluster of the sender.
     pub cluster: Cluster,
-    /// Replica the message is meant for.
+    /// Id of the receiver.
     pub to: Id,
-    /// Present term of the sender.
+    /// Current term of the sender.
     pub term: Term,
-    /// What it says.
+    /// Content.
     pub body: Body,
 }
 
-/// What a message says.
+/// The content of a message.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Body {
-    /// Asks whether a campaign in the next term would be granted.
+    /// Asks whether the receiver would vote for the sender in the next term.
     PreVote {
-        /// Last entry of the asking replica.
+        /// Last entry of the sender.
         last: Position,
     },
     /// Answers [`Body::PreVote`].
@@ -42,7 +42,7 @@
     Vote {
         /// Last entry of the candidate.
         last: Position,
-        /// Whether the leader before asked for this campaign and has given its lease up.
+        /// Whether the previous leader asked for this campaign and has given up its lease.
         transfer: bool,
     },
     /// Answers [`Body::Vote`].
@@ -50,89 +50,89 @@
         /// Whether the vote is granted.
         granted: bool,
     },
-    /// Carries entries; without entries it is a heartbeat.
+    /// Carries entries; an empty one is a heartbeat.
     Append(Append),
-    /// Answers [`Body::Append`] and the last [`Body::Chunk`].
+    /// Answers [`Body::Append`] and the last [`Body::Chunk`] of a snapshot.
     AppendAnswer {
         /// Round of the message answered.
         round: u64,
-        /// Whether the entries fitted.
+        /// Whether the entries were accepted.
         outcome: Outcome,
     },
-    /// Carries a part of a snapshot.
+    /// Carries a chunk of a snapshot.
     Chunk(Chunk),
     /// Answers [`Body::Chunk`].
     ChunkAnswer {
         /// Round of the message answered.
         round: u64,
-        /// Last entry the snapshot covers.
+        /// Last index that the snapshot covers.
         last: Index,
-        /// Bytes received without a gap.
+        /// Contiguous bytes received from the start.
         received: u64,
     },
-    /// Asks the receiver to campaign at once; the sender has stopped leading.
+    /// Asks the receiver to campaign at once; the sender has stepped down.
     Transfer,
-    /// Asks where the receiver stands; sent by a replica that has started and knows no leader.
+    /// Asks for the receiver's term and last entry; sent by a replica that knows no leader.
     Survey {
-        /// Random number of the sender's start, which the answer repeats.
+        /// Random number of the survey, which the answer repeats.
         number: u64,
     },
-    /// Answers [`Body::Survey`]; the message's term is a part of the answer.
+    /// Answers [`Body::Survey`]; the term of the message is part of the answer.
     #[serde(rename = "Standing")]
     SurveyAnswer {
-        /// Number of the question.
+        /// Number of the survey.
         number: u64,
         /// Last entry that the sender has synced.
         last: Position,
     },
-    /// Answers [`Body::PreVote`] of a replica that a committed set of voters has removed.
+    /// Tells a replica that asked for a pre-vote that a committed set of voters doesn't contain it.
     Removed {
-        /// Place of that set.
+        /// Index of that set.
         index: Index,
     },
 }
 
-/// Entries that follow a place in the log.
+/// Entries that follow a position in the log.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Append {
     /// Heartbeat round in which it was sent.
     pub round: u64,
-    /// Place before the first entry.
+    /// Position before the first entry.
     pub previous: Position,
     /// Entries in order.
     pub entries: Vec<Entry>,
-    /// Last place that the leader knows to be committed.
+    /// Last index that the leader knows to be committed.
     pub commit: Index,
 }
 
 impl Append {
-    /// Tells whether each entry follows the place before it, as in every honest message.
+    /// Returns whether the entries are consecutive, as in every well-formed message.
     pub(super) fn is_gapless(&self) -> bool {
-        let places = self.previous.index + 1..;
-        places
+        let indexes = self.previous.index + 1..;
+        indexes
             .zip(&self.entries)
             .all(|(index, entry)| entry.index == index)
     }
 }
 
-/// How a follower took an [`Append`].
+/// A follower's answer to an [`Append`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Outcome {
-    /// The follower's log equals the leader's up to here, and is synced up to here.
+    /// The follower's log matches the leader's up to an index and is synced up to it.
     Accepted {
-        /// Last place that equals the leader's log.
+        /// Last index that matches the leader's log.
         matched: Index,
     },
-    /// The follower doesn't hold the place before the entries.
+    /// The follower's log doesn't contain the position before the entries.
     Rejected {
-        /// Place that wasn't held.
+        /// Index that didn't match.
         previous: Index,
-        /// Last place at which the follower's log may equal the leader's.
+        /// Last position at which the follower's log may match the leader's.
         hint: Position,
     },
 }
 
-/// A part of a snapshot.
+/// A chunk of a snapshot.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Chunk {
     /// Heartbeat round in which it was sent.
@@ -143,9 +143,9 @@
     pub voters: Voters,
     /// Size of the whole snapshot in bytes.
     pub total: u64,
-    /// Place of the data in the snapshot in bytes.
+    /// Offset of the data in the snapshot in bytes.
     pub offset: u64,
-    /// The bytes.
+    /// The bytes at that offset.
     #[serde(with = "serde_bytes")]
     pub data: Vec<u8>,
 }
--- a/crates/zinniastall-coord/src/replica/progress.rs
+++ b/crates/zinniastall-coord/src/replica/progress.rs
@@ -1,4 +1,4 @@
-//! A leader's view of one follower: what it holds, and what to send next.
+//! A leader's view of one follower: what it has acknowledged, and what to send next.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -16,7 +16,7 @@
 /// Longest wait before a chunk is sent again, in election timeouts.
 const MAX_RESEND_ELECTION_TIMEOUTS: u32 = 8;
 
-/// What a message to a follower is made from.
+/// The leader's state from which messages to a follower are built.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Context<'a> {
     pub(super) log: &'a Log,
@@ -30,13 +30,13 @@
 
 #[derive(Debug)]
 pub(super) struct Progress {
-    /// Last place that the follower has synced.
+    /// Last index that the follower has synced.
     pub(super) matched: Index,
-    /// When the follower was last heard.
+    /// When the follower last answered.
     pub(super) heard_at: Option<Instant>,
-    /// Latest round that the follower answered.
+    /// Latest heartbeat round that the follower answered.
     pub(super) round: u64,
-    /// When that round was opened, which is before its messages left.
+    /// When that round was opened, which is before its messages were sent.
     pub(super) acked_at: Option<Instant>,
     next: Index,
     mode: Mode,
@@ -44,9 +44,9 @@
 
 #[derive(Debug)]
 enum Mode {
-    /// Looks for the place up to which the logs are equal, one empty message at a time.
+    /// Searches for the last matching index, one empty message at a time.
     Probe,
-    /// Sends entries ahead of their acknowledgement, up to a window of bytes.
+    /// Sends entries without waiting for acknowledgements, up to a window of bytes.
     Replicate(Inflight),
     /// Sends a snapshot, one chunk at a time.
     Snapshot(Transfer),
@@ -65,7 +65,7 @@
     offset: u64,
     resend_delay: Duration,
     resend_at: Instant,
-    /// Whether the chunk was sent again.
+    /// Whether the chunk was sent more than once.
     resent: bool,
 }
 
@@ -129,7 +129,7 @@
         Some(append(context, previous, entries))
     }
 
-    /// Notes an acknowledgement; returns whether it brought anything new.
+    /// Records an acknowledgement; returns whether `matched` advanced.
     pub(super) fn record_accepted(&mut self, matched: Index, now: Instant) -> bool {
         let advanced = matched > self.matched;
         self.matched = self.matched.max(matched);
@@ -146,11 +146,11 @@
         advanced
     }
 
-    /// Notes a rejection; returns whether another probe is worth sending at once.
+    /// Records a rejection; returns whether to send another probe at once.
     ///
-    /// A rejection of the very place that was acknowledged last means that the follower has lost
-    /// what it acknowledged, if nothing is on its way. It is then looked for again: a follower that
-    /// is believed to hold it would refuse every message from here on.
+    /// A rejection of the index that was acknowledged last, while nothing is in flight, means that
+    /// the follower has lost what it acknowledged. `matched` then moves back: a follower that is
+    /// wrongly believed to hold an entry would reject every message from here on.
     pub(super) fn record_rejected(&mut self, previous: Index, hint: Position, log: &Log) -> bool {
         let answers_last = previous + 1 == self.next;
         let is_current = match self.mode {
@@ -172,7 +172,7 @@
         true
     }
 
-    /// Notes how much of a snapshot has arrived and returns the next chunk.
+    /// Records how much of a snapshot has arrived and returns the next chunk.
     pub(super) fn next_chunk(
         &mut self,
         last: Index,
@@ -209,7 +209,8 @@
         self.mode = Mode::Replicate(inflight);
     }
 
-    /// Starts to send the snapshot, because the entries that are missing are gone.
+    /// Starts to send the snapshot because the log no longer holds the entries that the follower
+    /// lacks.
     fn start_snapshot(&mut self, context: &Context<'_>) -> Option<Body> {
         let snapshot = Arc::clone(context.snapshot?);
         let resend_delay = context.timing.election;
@@ -244,7 +245,7 @@
 }
 
 impl Transfer {
-    /// Returns the chunk at an offset and waits for its answer.
+    /// Returns the chunk at an offset and restarts the resend timer.
     fn chunk_at(&mut self, offset: u64, context: &Context<'_>) -> Body {
         self.offset = offset;
         self.resend_delay = context.timing.election;
@@ -253,19 +254,19 @@
         self.chunk(context)
     }
 
-    /// Tells whether an answer calls for another chunk.
+    /// Returns whether an answer calls for another chunk.
     ///
-    /// A doubled or late answer names a place that was passed. It counts only after the chunk was
-    /// sent again, as when the follower restarted and lost what it had; otherwise each doubled
-    /// answer would bring about a chunk, whose answer is doubled in turn, without end.
+    /// A duplicate or late answer names an offset that was passed. It counts only after the chunk
+    /// was sent again, as when the follower restarted and lost what it had. Otherwise each
+    /// duplicate answer would cause a chunk whose answer is duplicated in turn, without end.
     const fn needs_next_chunk(&self, received: u64) -> bool {
         received > self.offset || (self.resent && received < self.offset)
     }
 
-    /// Returns the same chunk again when it is overdue, else an empty message.
+    /// Returns the same chunk again when it is overdue, otherwise an empty message.
     ///
-    /// The wait doubles each time: a follower on a slow link that can't keep up would otherwise be
-    /// sent the same bytes faster than it takes them.
+    /// The wait doubles each time: a follower behind a slow link would otherwise be sent the same
+    /// bytes faster than it can take them.
     fn heartbeat(&mut self, context: &Context<'_>) -> Body {
         if context.now < self.resend_at {
             return append(context, self.snapshot.last, Vec::new());
--- a/crates/zinniastall-coord/src/replica/proposal.rs
+++ b/crates/zinniastall-coord/src/replica/proposal.rs
@@ -1,4 +1,4 @@
-//! What the embedder may ask of a leader: commands, changes of voters, handing over, reading.
+//! Requests of the embedder to a leader: commands, changes of voters, leadership transfer, reads.
 
 use std::time::Instant;
 
@@ -8,10 +8,10 @@
 use crate::log::Payload;
 use crate::voters::{Change, Voters};
 
-/// A point that a read must wait for.
+/// A point in the log that a linearizable read must wait for.
 ///
-/// Once [`Replica::passed`] says so, the embedder's state holds every command that was
-/// acknowledged before the barrier was made, by whichever leader.
+/// Once [`Replica::passed`] returns `true`, the embedder's state contains every command that was
+/// acknowledged before the barrier was created, by whichever leader.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Barrier {
     term: Term,
@@ -20,15 +20,15 @@
 }
 
 impl Replica {
-    /// Proposes a command and returns where it will stand if it is committed.
+    /// Proposes a command and returns its term and its index in the log.
     ///
-    /// It took effect if an entry of that term is handed out at that place, and never will if an
-    /// entry of another term is.
+    /// The command has taken effect once an entry of that term is handed out at that index; it
+    /// never will if an entry of another term is.
     ///
     /// # Errors
     ///
-    /// [`Refusal`] when this replica doesn't lead, hands over, or a bound is reached. Nothing was
-    /// appended then.
+    /// [`Refusal`] when this replica doesn't lead, is transferring leadership, or a limit is
+    /// reached. Nothing is appended in that case.
     pub fn propose(&mut self, command: Vec<u8>, now: Instant) -> Result<(Term, Index), Refusal> {
         let leader = self.require_leader()?;
         let (bytes, uncommitted_bytes) = (command.len(), leader.uncommitted_bytes);
@@ -49,16 +49,16 @@
         Ok((self.hard.term, index))
     }
 
-    /// Proposes a change of voters, one at a time.
+    /// Proposes a change of voters; only one may be in progress.
     ///
     /// A leader changes the set only after it has committed an entry of its own term and while no
-    /// other change is open. Otherwise two leaders could each change a set that the other doesn't
-    /// know of, and win majorities that share no replica.
+    /// other change is uncommitted. Otherwise two leaders could each change a set that the other
+    /// doesn't know of, and win majorities that share no replica.
     ///
     /// # Errors
     ///
-    /// [`Refusal`] when the change doesn't fit, a learner to be promoted is behind, or the set after
-    /// it would have no majority that answers. Nothing was appended then.
+    /// [`Refusal`] when the change doesn't fit the current set, the learner to be promoted is
+    /// behind, or the new set would have no reachable majority. Nothing is appended in that case.
     pub fn propose_voters(
         &mut self,
         change: &Change,
@@ -85,14 +85,14 @@
         Ok((self.hard.term, index))
     }
 
-    /// Hands leadership to the voter that holds most, and names it.
+    /// Transfers leadership to the reachable voter with the longest log and returns its id.
     ///
-    /// Proposals are refused until that voter has caught up and was told to campaign; if it doesn't
-    /// catch up within an election timeout, this replica goes on leading.
+    /// Proposals are refused until that voter has caught up and was told to campaign. If it doesn't
+    /// catch up within an election timeout, this replica continues to lead.
     ///
     /// # Errors
     ///
-    /// [`Refusal::NoSuccessor`] when no other voter answers.
+    /// [`Refusal::NoSuccessor`] when no other voter is reachable.
     pub fn transfer(&mut self, now: Instant) -> Result<Id, Refusal> {
         self.require_leader()?;
         let id = self.successor(now).ok_or(Refusal::NoSuccessor)?;
@@ -104,7 +104,7 @@
         Ok(id)
     }
 
-    /// Makes a barrier for a read that needs no clock, and asks the others to confirm it.
+    /// Creates a barrier for a read that doesn't rely on clocks, and asks the others to confirm it.
     ///
     /// # Errors
     ///
@@ -123,11 +123,12 @@
         })
     }
 
-    /// Tells whether a barrier has been confirmed by a majority and reached by what was applied.
+    /// Returns whether a majority has confirmed a barrier and the entries up to it are applied.
     ///
     /// # Errors
     ///
-    /// [`Refusal::NotLeader`] when the leader that made it leads no more: the read must start anew.
+    /// [`Refusal::NotLeader`] when the leader that created it no longer leads: the read must start
+    /// again.
     pub fn passed(&self, barrier: &Barrier) -> Result<bool, Refusal> {
         let State::Leader(leader) = &self.state else {
             return Err(self.not_leader());
@@ -141,17 +142,17 @@
         Ok(confirmed && self.applied >= barrier.index)
     }
 
-    /// Returns how many voters may be lost at once without stopping the group or losing a change, by
-    /// what they answered since a barrier was made.
+    /// Returns how many voters may be lost at once without stopping the group or losing a change,
+    /// judged by their answers since a barrier was created.
     ///
-    /// [`Status::failure_tolerance`](super::Status::failure_tolerance) counts voters that were heard within an election
-    /// timeout. One that was lost a moment ago is among them, and an operator who took another one
-    /// down on that word would stop the group. Zero here may mean that answers are still on their way:
-    /// ask again while there is time.
+    /// [`Status::failure_tolerance`](super::Status::failure_tolerance) counts voters that were
+    /// heard within an election timeout. A voter that was lost a moment ago is still counted, and
+    /// an operator who relied on that number to take another one down would stop the group. Zero
+    /// may also mean that answers are still in flight: ask again while there is time.
     ///
     /// # Errors
     ///
-    /// [`Refusal::NotLeader`] when the leader that made the barrier leads no more.
+    /// [`Refusal::NotLeader`] when the leader that created the barrier no longer leads.
     pub fn failure_tolerance_since(&self, barrier: &Barrier) -> Result<usize, Refusal> {
         let State::Leader(leader) = &self.state else {
             return Err(self.not_leader());
@@ -187,7 +188,8 @@
         }
     }
 
-    /// Checks that a learner would make the group safer as a voter, and not only larger.
+    /// Checks that a learner has caught up and answers, so that its promotion makes the group
+    /// safer.
     fn check_caught_up(&self, id: Id, now: Instant) -> Result<(), Refusal> {
         let progress = self.require_leader()?.peers.get(&id);
         let matched = progress.map_or(0, |progress| progress.matched);
@@ -219,7 +221,7 @@
         Ok(())
     }
 
-    /// Begins to send to members that are new in a set.
+    /// Starts to track the progress of members that are new in a set.
     fn track_members(&mut self, voters: &Voters) {
         let last = self.log.last().index;
         let id = self.id;
--- a/crates/zinniastall-coord/src/replica/quorum.rs
+++ b/crates/zinniastall-coord/src/replica/quorum.rs
@@ -1,4 +1,4 @@
-//! What a leader knows of its majority: commitment, quorum and lease.
+//! Majority decisions of a leader: commit index, quorum check and lease.
 
 use std::time::Instant;
 
@@ -10,11 +10,11 @@
 use crate::voters::Voters;
 
 impl Replica {
-    /// Returns the lease of a leader that may answer alone.
+    /// Returns the lease of a leader that may answer reads without asking the others.
     ///
-    /// A new leader has none before it has applied an entry of its own term: until then it doesn't
-    /// know which of its predecessors' entries were committed, and could answer without one that
-    /// an operator was told of.
+    /// A new leader has no lease before it has applied an entry of its own term: until then it
+    /// doesn't know which of its predecessors' entries are committed, and a read could miss one
+    /// that an operator was told of.
     pub fn lease(&self, now: Instant) -> Option<Lease> {
         let State::Leader(leader) = &self.state else {
             return None;
@@ -30,10 +30,10 @@
         lease.holds(now).then_some(lease)
     }
 
-    /// Tells whether a majority answered within an election timeout.
+    /// Returns whether a majority answered within an election timeout.
     ///
-    /// A leader on the small side of a partition would otherwise go on taking commands that it can
-    /// never commit, and its callers would wait instead of being sent to the other side.
+    /// Without this check a leader on the minority side of a partition would accept commands that
+    /// it can never commit, and its callers would wait instead of being sent to the other side.
     pub(super) fn has_quorum(&self, now: Instant) -> bool {
         let State::Leader(leader) = &self.state else {
             return false;
@@ -45,7 +45,7 @@
         now < heard + self.timing.election
     }
 
-    /// Returns the latest instant such that a majority acknowledged messages sent after it.
+    /// Returns the latest instant such that a majority has acknowledged messages sent after it.
     fn majority_acked(&self, leader: &Leader, now: Instant) -> Option<Instant> {
         self.majority(|id| {
             if id == self.id {
@@ -57,7 +57,7 @@
         .flatten()
     }
 
-    /// Returns the last place that a majority has synced, on a leader.
+    /// Returns the last index that a majority has synced, on a leader.
     pub(super) fn majority_matched(&self) -> Option<Index> {
         let State::Leader(leader) = &self.state else {
             return None;
@@ -71,7 +71,7 @@
         })
     }
 
-    /// Returns the latest round that a majority answered, on a leader.
+    /// Returns the latest heartbeat round that a majority has answered, on a leader.
     pub(super) fn majority_round(&self, leader: &Leader) -> Option<u64> {
         self.majority(|id| {
             if id == self.id {
@@ -105,7 +105,7 @@
         voters.voters.keys().filter(|id| answers(id)).count()
     }
 
-    /// Returns the voter that has most of the log among those that answer.
+    /// Returns the reachable voter that holds most of the log.
     pub(super) fn successor(&self, now: Instant) -> Option<Id> {
         let State::Leader(leader) = &self.state else {
             return None;
--- a/crates/zinniastall-coord/src/replica/ready.rs
+++ b/crates/zinniastall-coord/src/replica/ready.rs
@@ -1,4 +1,4 @@
-//! What the embedder has to store, send and apply.
+//! Work for the embedder: what to store, send and apply.
 
 use std::sync::Arc;
 
@@ -10,32 +10,32 @@
 use crate::log::{Entry, Payload};
 use crate::voters::Voters;
 
-/// What a replica must remember of elections.
+/// State that must survive a restart besides the log.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HardState {
     /// Latest term seen.
     pub term: Term,
-    /// Replica voted for in that term.
+    /// Replica that got this replica's vote in that term.
     pub vote: Option<Id>,
 }
 
-/// What the store gave back when the process started.
+/// State read from the store when the process starts.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Restored {
     /// Cluster that the data folder belongs to, if any.
     pub cluster: Option<Cluster>,
     /// Term and vote.
     pub hard: HardState,
-    /// Latest whole snapshot.
+    /// Latest complete snapshot.
     pub snapshot: Option<Snapshot>,
-    /// Entries behind the snapshot.
+    /// Entries after the snapshot.
     pub entries: Vec<Entry>,
 }
 
 impl Restored {
-    /// Creates the state with which one replica founds a cluster of its own.
+    /// Creates the initial state of a cluster that a single replica founds.
     ///
-    /// The embedder stores and syncs it before it builds the replica, and does so once in the life
+    /// The embedder stores and syncs it before it builds the replica. It does so once in the life
     /// of a cluster, on an operator's explicit order.
     pub fn founding(cluster: Cluster, id: Id, address: impl Into<String>) -> Self {
         let voters = Voters::founding(id, address);
@@ -55,35 +55,35 @@
     }
 }
 
-/// One batch of work for the embedder.
+/// A batch of work for the embedder.
 ///
 /// The order is: store `cluster`, `install`, `truncate_from`, `append` and `hard`, and sync them
 /// together; send `messages`; restore the state from `install`, then apply `committed` in order;
 /// then call [`Replica::synced`](super::Replica::synced) with `batch`. Messages that promise
 /// something which must survive a restart are held back until then and come with a later batch.
-/// Sending before the sync is permitted, since `messages` holds only what promises nothing new.
+/// `messages` holds only messages that promise nothing new, so they may be sent before the sync.
 #[derive(Debug, Default)]
 pub struct Ready {
-    /// Number to hand to [`Replica::synced`](super::Replica::synced).
+    /// Number to pass to [`Replica::synced`](super::Replica::synced).
     pub batch: u64,
-    /// Cluster that this replica has joined, to be recorded for good.
+    /// Cluster that this replica has joined, to be stored permanently.
     pub cluster: Option<Cluster>,
     /// Term and vote, if they changed.
     pub hard: Option<HardState>,
-    /// Snapshot that takes the place of the whole log.
+    /// Snapshot that replaces the whole log.
     pub install: Option<Arc<Snapshot>>,
-    /// First place to drop from the log before the append.
+    /// First index to remove from the log before `append`.
     pub truncate_from: Option<Index>,
     /// Entries to append.
     pub append: Vec<Entry>,
-    /// Entries to apply, each handed out once, in order, without gaps.
+    /// Entries to apply, each returned once, in order, without gaps.
     pub committed: Vec<Entry>,
     /// Messages to send now.
     pub messages: Vec<(Id, Message)>,
 }
 
 impl Ready {
-    /// Tells whether anything has to be stored and synced.
+    /// Returns whether anything has to be stored and synced.
     pub fn needs_sync(&self) -> bool {
         self.cluster.is_some()
             || self.hard.is_some()
--- a/crates/zinniastall-coord/src/replica/snapshot.rs
+++ b/crates/zinniastall-coord/src/replica/snapshot.rs
@@ -1,4 +1,4 @@
-//! Snapshots: the state as of one entry, in place of all entries before it.
+//! Snapshots: the state as of one entry, which replaces all entries up to it.
 
 use serde::{Deserialize, Serialize};
 
@@ -23,7 +23,8 @@
         self.data.len() as u64
     }
 
-    /// Cuts the part at an offset, shorter at the end and empty behind it.
+    /// Returns the chunk at an offset; it is shorter at the end of the snapshot and empty beyond
+    /// it.
     pub(super) fn chunk(&self, round: u64, offset: u64, bytes: usize) -> Chunk {
         let start = usize::try_from(offset)
             .unwrap_or(usize::MAX)
@@ -40,7 +41,7 @@
     }
 }
 
-/// A snapshot of which parts are still to come.
+/// A snapshot of which chunks are still missing.
 #[derive(Debug)]
 pub(super) struct Reassembly {
     total: u64,
@@ -48,7 +49,7 @@
 }
 
 impl Reassembly {
-    /// Begins with a first chunk; any other chunk begins nothing.
+    /// Starts with the first chunk; returns `None` for any other.
     pub(super) fn start(chunk: &Chunk) -> Option<Self> {
         (chunk.offset == 0).then(|| Self {
             total: chunk.total,
@@ -64,7 +65,7 @@
         self.snapshot.last == chunk.last && self.total == chunk.total
     }
 
-    /// Takes a chunk that continues what is there; doubled and early ones change nothing.
+    /// Appends the chunk that comes next; ignores duplicate and early ones.
     pub(super) fn append(&mut self, chunk: &Chunk) {
         let fits = self.received() + chunk.data.len() as u64 <= self.total;
         if chunk.offset == self.received() && fits {
--- a/crates/zinniastall-coord/src/replica/status.rs
+++ b/crates/zinniastall-coord/src/replica/status.rs
@@ -7,14 +7,14 @@
 use super::{Cluster, Id, Index, Term};
 use crate::voters::Voters;
 
-/// What a replica does at present.
+/// The role of a replica.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Role {
     /// Follows a leader or waits for one.
     Follower,
-    /// Asks whether a campaign would be granted.
+    /// Asks for pre-votes.
     PreCandidate,
-    /// Campaigns.
+    /// Asks for votes.
     Candidate,
     /// Leads.
     Leader,
@@ -23,9 +23,9 @@
 /// A leader's view of another member.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Peer {
-    /// Last entry that the member has synced.
+    /// Last index that the member has synced.
     pub matched: Index,
-    /// Time since the member was heard, if it ever was in this term.
+    /// Time since the member last answered, if it did in this term.
     pub silent: Option<Duration>,
     /// Whether it answered within the last election timeout.
     pub reachable: bool,
@@ -34,41 +34,44 @@
 /// A replica's view of itself and its group.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Status {
-    /// This replica.
+    /// Id of this replica.
     pub id: Id,
     /// Its cluster, unless it is fresh.
     pub cluster: Option<Cluster>,
-    /// What it does.
+    /// Its role.
     pub role: Role,
-    /// Its term.
+    /// Its current term.
     pub term: Term,
-    /// The leader it knows.
+    /// Leader that it knows.
     pub leader: Option<Id>,
-    /// Last entry known to be committed.
+    /// Last index known to be committed.
     pub commit: Index,
-    /// Last entry handed out to be applied.
+    /// Last index handed out to be applied.
     pub applied: Index,
-    /// Last entry of its log.
+    /// Last index of its log.
     pub last: Index,
     /// Latest set of voters in its log.
     pub voters: Voters,
-    /// Place of that set in the log; the set is in force for good once `commit` reaches it.
+    /// Index of that set in the log; the set is committed once `commit` reaches it.
     pub voters_index: Index,
     /// The other members, on a leader only.
     pub peers: IndexMap<Id, Peer>,
-    /// Whether this replica was told that it has been removed: its folder may be cleared.
+    /// Whether this replica was told that it has been removed, so that its data folder may be
+    /// deleted.
     pub removed: bool,
-    /// First instant at which a leader's lease no longer holds.
+    /// First instant at which the lease of a leader no longer holds.
     pub lease_until: Option<Instant>,
 }
 
 impl Status {
     /// Returns how many voters may be lost at once without stopping the group or losing a change.
     ///
-    /// Counts the voters that were heard within an election timeout and hold every committed entry, less
-    /// a majority; [`Replica::failure_tolerance_since`](super::Replica::failure_tolerance_since) asks anew. It is known
-    /// on a leader only, and zero while a change of voters isn't committed: an operator who repairs
-    /// a group waits until it is above zero before the next loss is safe.
+    /// Counts the voters that answered within an election timeout and hold every committed entry,
+    /// and subtracts a majority;
+    /// [`Replica::failure_tolerance_since`](super::Replica::failure_tolerance_since) asks them
+    /// again. It is known on a leader only, and zero while a change of voters isn't committed: an
+    /// operator who repairs a group waits until it is above zero before another replica may be
+    /// taken down.
     pub fn failure_tolerance(&self) -> usize {
         if self.role != Role::Leader || self.voters_index > self.commit {
             return 0;
--- a/crates/zinniastall-coord/src/replica/survey.rs
+++ b/crates/zinniastall-coord/src/replica/survey.rs
@@ -1,20 +1,22 @@
-//! What a majority holds, asked by a replica that knows no leader, at its start and whenever it is asked to.
+//! Survey: finds out without a leader whether this replica holds all committed entries.
 //!
-//! A replica that starts doesn't know which of its entries are committed: the next leader tells it, which
-//! takes an election and a commit, seven round trips of a group that has lost power. In that time every
-//! entry instance is without a configuration, though a majority may hold all that was acknowledged.
+//! A replica that starts doesn't know which of its entries are committed. The next leader tells it,
+//! but that takes an election and a commit: seven round trips in a group that has lost power.
+//! During that time every entry instance would lack a configuration, although a majority may hold
+//! everything that was acknowledged.
 //!
-//! So the replica asks the others for their last entry. Its own last entry is committed, and nothing
-//! behind it is, where the replica and those that answer are in the very term of that entry, a majority
-//! of voters holds it, and a majority holds nothing behind it:
+//! So the replica asks the others for their term and last entry. Its own last entry is committed,
+//! and nothing after it is, if this replica and those that answer are in the term of that entry, a
+//! majority of voters holds the entry, and a majority holds nothing after it:
 //!
-//! - no leader of a later term stands or has stood, since its majority would share a voter with the first
-//!   one, whose term would be later;
-//! - a later candidate needs the vote of one of the first majority, and gets it only if it holds the entry;
-//! - whatever was committed behind the entry would be held by one of the second majority.
+//! - There is and was no leader of a later term: its majority would share a voter with the first
+//!   majority, and that voter would be in the later term.
+//! - A later candidate needs the vote of a member of the first majority, and gets it only if it
+//!   holds the entry.
+//! - Whatever was committed after the entry would be held by a member of the second majority.
 //!
-//! An answer counts only for the survey that asked for it, so that it is younger than the begin of the survey:
-//! whatever was acknowledged before that is covered.
+//! An answer counts only for the survey that asked for it. It is therefore newer than the start of
+//! the survey, and everything acknowledged before that start is covered.
 
 use indexmap::IndexMap;
 
@@ -22,17 +24,17 @@
 use super::{Id, Replica, State, Term};
 use crate::log::Position;
 
-/// Number of a survey, random.
+/// Random number of a survey.
 pub(super) type Number = u64;
 
-/// Answers to one replica's question.
+/// A survey in progress and the answers so far.
 #[derive(Debug)]
 pub(super) struct Survey {
     number: Number,
     answers: IndexMap<Id, Answer>,
 }
 
-/// Where a voter stands.
+/// A voter's term and last entry.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 struct Answer {
     term: Term,
@@ -40,8 +42,9 @@
 }
 
 impl Default for Survey {
-    /// Creates a survey under a number of its own: the seed of election timeouts may be the same at each
-    /// start, and an answer to a survey before the last stop says nothing of what was committed since.
+    /// Creates a survey with a random number. It doesn't come from the seed of the election
+    /// timeouts, which may be the same at each start: an answer to a survey from before a restart
+    /// says nothing of what was committed since.
     fn default() -> Self {
         Self {
             number: rand::random(),
@@ -51,7 +54,7 @@
 }
 
 impl Replica {
-    /// Begins a survey, unless a leader is known or one is in progress; returns its number.
+    /// Begins a survey, unless a leader is known or a survey is in progress; returns its number.
     pub fn begin_survey(&mut self) -> Option<u64> {
         if self.survey.is_some() {
             return None;
@@ -60,19 +63,21 @@
         let number = survey.number;
         self.survey = Some(survey);
         self.poll_survey();
-        // The only voter knows at once.
+        // A single voter concludes the survey at once.
         let is_begun = self.survey.is_some() || self.surveyed == Some(number);
         is_begun.then_some(number)
     }
 
-    /// Returns the last survey that was answered: all that was acknowledged before it began is committed here.
+    /// Returns the number of the last concluded survey: everything acknowledged before it began is
+    /// committed here.
     pub const fn surveyed(&self) -> Option<u64> {
         self.surveyed
     }
 
-    /// Asks the other voters where they stand, until it is known or a leader says what is committed.
+    /// Asks the other voters until the survey is concluded or a leader announces what is committed.
     ///
-    /// Asked again at each tick: who starts later hasn't heard the first question.
+    /// The question is repeated at each tick, because a voter that starts later hasn't received the
+    /// first one.
     pub(super) fn poll_survey(&mut self) {
         if self.leader.is_some()
             || !matches!(self.state, State::Follower(_) | State::PreCandidate(_))
@@ -90,7 +95,7 @@
         self.conclude_survey();
     }
 
-    /// Tells another replica where this one stands, once that is synced.
+    /// Answers a survey with this replica's last entry, once that is synced.
     pub(super) fn on_survey(&mut self, from: Id, number: u64) {
         let last = self.log.last();
         self.send_synced(from, Body::SurveyAnswer { number, last });
@@ -107,7 +112,8 @@
         self.conclude_survey();
     }
 
-    /// Commits this replica's log where a majority holds it and a majority holds no more.
+    /// Commits this replica's log if a majority holds all of it and a majority holds nothing after
+    /// it.
     fn conclude_survey(&mut self) {
         let (term, last) = (self.hard.term, self.log.last());
         let is_synced = self.durable.synced_index() == last.index;
@@ -129,7 +135,7 @@
             .iter()
             .filter(|position| last.covers(position))
             .count();
-        // This replica itself belongs to both.
+        // This replica belongs to both majorities.
         if holding.min(not_ahead) + 1 >= voters.majority() {
             self.commit = self.commit.max(last.index);
             self.surveyed = Some(survey.number);
--- a/crates/zinniastall-coord/src/ticket/issuer.rs
+++ b/crates/zinniastall-coord/src/ticket/issuer.rs
@@ -1,15 +1,15 @@
-//! Makes and checks tickets.
+//! Issuing and checking of tickets.
 
 use std::time::Duration;
 
-/// Separates a ticket's fields; names of places and instances never contain it.
+/// Separator of a ticket's fields; names of regions, zones and instances never contain it.
 const SEPARATOR: char = '~';
-/// Fields of a ticket.
+/// Number of fields of a ticket.
 const FIELD_COUNT: usize = 7;
-/// Longest text that is looked at as a ticket, in bytes.
+/// Longest text that is parsed as a ticket, in bytes.
 const MAX_TICKET_BYTES: usize = 512;
 
-/// Who issued a ticket, as other instances find it.
+/// The issuer of a ticket, as other instances find it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Address {
     /// Region.
@@ -18,7 +18,7 @@
     pub zone: String,
     /// Instance.
     pub instance: String,
-    /// Run of the instance's process.
+    /// Incarnation of the instance's process.
     pub incarnation: u64,
 }
 
@@ -39,7 +39,7 @@
     }
 }
 
-/// What a ticket says; its text form is what travels.
+/// A parsed ticket.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Ticket {
     /// Who issued it.
@@ -48,21 +48,21 @@
     pub id: u64,
     /// When it expires, on the issuer's clock. Clocks of different instances are never compared.
     pub expiry: Duration,
-    /// Text that the authentication code covers; it names the ticket in a [`super::Registry`].
+    /// Text that the authentication code covers; it identifies the ticket in a [`super::Registry`].
     pub name: String,
     mac: String,
 }
 
-/// Why a ticket cannot be used here.
+/// Reason why a ticket can't be used here.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum Invalid {
     /// The text is not a ticket.
     #[error("not a ticket")]
     Malformed,
-    /// The authentication code does not fit: this issuer never made it.
+    /// The authentication code doesn't match: this issuer never created it.
     #[error("not made by this issuer")]
     Forged,
-    /// Another instance, or an earlier run of this one, issued it.
+    /// Another instance or an earlier run of this one issued it.
     #[error("issued by {} of {}/{}", .0.instance, .0.region, .0.zone)]
     OtherIssuer(Box<Address>),
     /// It has expired.
@@ -71,11 +71,11 @@
 }
 
 impl Ticket {
-    /// Reads a ticket without checking its authentication code.
+    /// Parses a ticket without checking its authentication code.
     ///
     /// # Errors
     ///
-    /// [`Invalid::Malformed`].
+    /// [`Invalid::Malformed`] when the text isn't a ticket.
     pub fn parse(text: &str) -> Result<Self, Invalid> {
         if text.len() > MAX_TICKET_BYTES {
             return Err(Invalid::Malformed);
@@ -98,7 +98,7 @@
     }
 }
 
-/// Makes and checks the tickets of one run of an instance.
+/// Issues and checks the tickets of one run of an instance.
 #[derive(Debug, Clone)]
 pub struct Issuer {
     address: Address,
@@ -107,7 +107,7 @@
 }
 
 impl Issuer {
-    /// Creates an issuer; the key must be random and made anew for each run of the process.
+    /// Creates an issuer; the key must be random and created anew for each run of the process.
     pub const fn new(address: Address, key: [u8; 32], validity: Duration) -> Self {
         Self {
             address,
@@ -121,7 +121,7 @@
         self.validity
     }
 
-    /// Makes a ticket; `now` is the time since the process started and `id` is random.
+    /// Issues a ticket; `now` is the time since the process started and `id` is random.
     pub fn issue(&self, now: Duration, id: u64) -> String {
         let Address {
             region,
@@ -143,17 +143,17 @@
         format!("{name}{SEPARATOR}{}", mac.to_hex())
     }
 
-    /// Checks that a ticket was made by this issuer and is valid.
+    /// Checks that a ticket was created by this issuer and hasn't expired.
     ///
     /// # Errors
     ///
-    /// See [`Invalid`].
+    /// [`Invalid`] names the reason.
     pub fn check(&self, text: &str, now: Duration) -> Result<Ticket, Invalid> {
         let ticket = Ticket::parse(text)?;
         if ticket.issuer != self.address {
             return Err(Invalid::OtherIssuer(Box::new(ticket.issuer)));
         }
-        // Comparing hashes of this type takes the same time wherever they differ.
+        // Hashes of this type are compared in constant time.
         let mac = blake3::Hash::from_hex(&ticket.mac).map_err(|_| Invalid::Malformed)?;
         if mac != self.mac(&ticket.name) {
             return Err(Invalid::Forged);
--- a/crates/zinniastall-coord/src/ticket/mod.rs
+++ b/crates/zinniastall-coord/src/ticket/mod.rs
@@ -1,13 +1,13 @@
-//! Tickets: work that may run at most once.
+//! Tickets for work that may run at most once.
 //!
-//! A caller who loses an answer cannot know whether its request ran. A ticket makes the resend
-//! safe. [`Issuer`] makes tickets without keeping any state: a ticket names its issuer and carries
-//! a message authentication code. The issuer alone may run a ticket's request, and it enters the
-//! ticket in its [`Registry`] before the first byte leaves for a target. A second arrival finds the
-//! mark and joins the first, or gets its recorded end.
+//! A caller that loses an answer can't know whether its request ran. A ticket makes a resend safe.
+//! [`Issuer`] creates tickets without keeping any state: a ticket names its issuer and carries a
+//! message authentication code. Only the issuer may run a ticket's request, and it records the
+//! ticket in its [`Registry`] before the first byte is sent to a target. A second arrival finds
+//! that record and joins the first run, or gets its recorded result.
 //!
-//! The key is made per run of the issuer's process. After a restart the marks are gone; the old
-//! tickets then fail with [`Invalid::OtherIssuer`] instead of running a second time.
+//! The key is created anew for each run of the issuer's process. A restart loses the registry; the
+//! old tickets then fail with [`Invalid::OtherIssuer`] instead of running a second time.
 //!
 //! # Example
 //!
--- a/crates/zinniastall-coord/src/ticket/registry.rs
+++ b/crates/zinniastall-coord/src/ticket/registry.rs
@@ -1,10 +1,10 @@
-//! The table of used tickets.
+//! The registry of used tickets.
 
 use std::time::Duration;
 
 use indexmap::IndexMap;
 
-/// What a ticket is used for; a second use must be the same.
+/// The use of a ticket; a second use must be the same.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Use {
     /// Who uses it.
@@ -18,28 +18,28 @@
 pub struct Entry<T> {
     usage: Use,
     until: Duration,
-    /// What the owner keeps with it, such as the answer.
+    /// What the owner keeps with the ticket, such as the answer.
     pub record: T,
 }
 
-/// What the table says to an arrival.
+/// Result of redeeming a ticket.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Redemption<T> {
-    /// The first use: the mark is set and the request may run.
+    /// The first use: the ticket is recorded and the request may run.
     First(T),
-    /// The same use again: it must not run.
+    /// The same use again: the request must not run again.
     Repeated(T),
-    /// The ticket was used for something else: it must not run.
+    /// The ticket was used for another request: this one must not run.
     Mismatch,
-    /// The table is full: the request must not run.
+    /// The registry is full: the request must not run.
     Full,
 }
 
-/// The table of used tickets, bounded by number.
+/// The used tickets, limited in number.
 ///
-/// A mark is kept until its ticket has expired, because an expired ticket is refused before this
-/// table is asked. Dropping one earlier would let a late resend run a second time; when the table is full it
-/// therefore refuses new work instead of forgetting old.
+/// An entry is kept until its ticket has expired, because an expired ticket is refused before the
+/// registry is asked. Removing one earlier would let a late resend run a second time, so a full
+/// registry refuses new work instead of evicting old entries.
 #[derive(Debug)]
 pub struct Registry<T> {
     entries: IndexMap<String, Entry<T>>,
@@ -47,7 +47,7 @@
 }
 
 impl<T: Clone> Registry<T> {
-    /// Creates a table that holds at most `limit` marks.
+    /// Creates a registry that holds at most `limit` tickets.
     pub fn new(limit: usize) -> Self {
         Self {
             entries: IndexMap::new(),
@@ -55,9 +55,10 @@
         }
     }
 
-    /// Marks a ticket as used; `make` creates the record of a first use.
+    /// Records a ticket as used; `make` creates the record of a first use.
     ///
-    /// `until` is when the ticket expires and `now` the present, both on this instance's clock.
+    /// `until` is when the ticket expires and `now` the current time, both on this instance's
+    /// clock.
     pub fn redeem(
         &mut self,
         name: &str,
@@ -89,27 +90,27 @@
         Redemption::First(record)
     }
 
-    /// Returns whether a ticket is marked.
+    /// Returns whether a ticket is recorded.
     pub fn contains(&self, name: &str) -> bool {
         self.entries.contains_key(name)
     }
 
-    /// Drops the marks of expired tickets.
+    /// Removes expired tickets.
     pub fn expire(&mut self, now: Duration) {
         self.entries.retain(|_, entry| entry.until > now);
     }
 
-    /// Returns the records, oldest mark first.
+    /// Returns the records, oldest first.
     pub fn records(&self) -> impl Iterator<Item = &T> {
         self.entries.values().map(|entry| &entry.record)
     }
 
-    /// Returns the number of marks.
+    /// Returns the number of tickets.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Returns whether there is no mark.
+    /// Returns whether no ticket is recorded.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
--- a/crates/zinniastall-coord/src/voters.rs
+++ b/crates/zinniastall-coord/src/voters.rs
@@ -1,9 +1,9 @@
-//! Who votes and who learns, and how that changes.
+//! Voters and learners of a group, and changes of them.
 //!
-//! The set changes by one replica at a time. Any majority of the set before and any majority of the
-//! set after such a change share a replica, so two leaders can't be chosen by the two sets at once.
-//! A new replica is admitted as a learner, which receives the log and counts for nothing, and is
-//! promoted once it has caught up.
+//! The set changes by one replica at a time. Any majority of the set before a change and any
+//! majority of the set after it share a replica, so the two sets can't elect two leaders at once. A
+//! new replica is admitted as a learner, which receives the log without counting towards
+//! majorities, and is promoted once it has caught up.
 
 use indexmap::IndexMap;
 use serde::{Deserialize, Serialize};
@@ -11,7 +11,7 @@
 
 use crate::replica::Id;
 
-/// Where a replica is reached, in the form in which the embedder dials it.
+/// Address of a replica, in the form in which the embedder dials it.
 pub type Address = String;
 
 /// The replicas of a group with their addresses.
@@ -19,21 +19,21 @@
 pub struct Voters {
     /// Replicas whose votes and acknowledgements count.
     pub voters: IndexMap<Id, Address>,
-    /// Replicas that receive the log without counting.
+    /// Replicas that receive the log but don't count.
     pub learners: IndexMap<Id, Address>,
 }
 
-/// One step from one set to the next.
+/// A change from one set to the next.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Change {
     /// Adds a learner.
     Admit {
         /// Replica to add.
         id: Id,
-        /// Where it is reached.
+        /// Address of the replica.
         address: Address,
     },
-    /// Makes a learner that has caught up a voter.
+    /// Makes a learner a voter.
     Promote {
         /// Learner to promote.
         id: Id,
@@ -47,24 +47,24 @@
     Move {
         /// Member that moved.
         id: Id,
-        /// Where it is reached now.
+        /// New address.
         address: Address,
     },
 }
 
-/// A change that doesn't fit the present set.
+/// Error of a change that doesn't fit the current set.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum Error {
-    /// The replica is a member already.
+    /// The replica is already a member.
     #[error("replica {0} is a member already")]
     Member(Id),
-    /// The replica is no member.
+    /// The replica isn't a member.
     #[error("replica {0} is no member")]
     Unknown(Id),
-    /// The replica is no learner.
+    /// The replica isn't a learner.
     #[error("replica {0} is no learner")]
     Learner(Id),
-    /// Without this replica nobody could vote.
+    /// The replica is the last voter.
     #[error("replica {0} is the last voter")]
     Last(Id),
 }
@@ -78,17 +78,17 @@
         }
     }
 
-    /// Returns the least number of voters that make a majority.
+    /// Returns the number of voters that make a majority.
     pub fn majority(&self) -> usize {
         self.voters.len() / 2 + 1
     }
 
-    /// Tells whether the replica votes.
+    /// Returns whether a replica is a voter.
     pub fn is_voter(&self, id: Id) -> bool {
         self.voters.contains_key(&id)
     }
 
-    /// Tells whether the replica votes or learns.
+    /// Returns whether a replica is a voter or a learner.
     pub fn is_member(&self, id: Id) -> bool {
         self.is_voter(id) || self.learners.contains_key(&id)
     }
@@ -98,7 +98,7 @@
         self.voters.keys().chain(self.learners.keys()).copied()
     }
 
-    /// Returns where a member is reached.
+    /// Returns the address of a member.
     pub fn address(&self, id: Id) -> Option<&Address> {
         self.voters.get(&id).or_else(|| self.learners.get(&id))
     }
@@ -107,7 +107,7 @@
     ///
     /// # Errors
     ///
-    /// [`Error`] when the change names a replica that is in the wrong place for it.
+    /// [`Error`] when the change doesn't fit this set.
     pub fn after(&self, change: &Change) -> Result<Self, Error> {
         let mut next = self.clone();
         match change {
