--- a/crates/zinniastall-coord/src/digest/overlay.rs
+++ b/crates/zinniastall-coord/src/digest/overlay.rs
@@ -64,7 +64,7 @@
     Everywhere,
     /// The region of the group that it is about.
     Region,
-    /// The other regions; in its own region the group keeps it to itself.
+    /// The other regions, for a fact that a group publishes on behalf of its whole region.
     OtherRegions,
 }
 
--- a/crates/zinniastall-coord/src/digest/table.rs
+++ b/crates/zinniastall-coord/src/digest/table.rs
@@ -20,7 +20,7 @@
     /// Who published it.
     #[serde(rename = "m")]
     pub maker: M,
-    /// Maker's run.
+    /// Incarnation of the maker.
     #[serde(rename = "i")]
     pub incarnation: u64,
     /// Number of the item within that run.
@@ -40,7 +40,7 @@
     /// Who makes the statement.
     #[serde(rename = "m")]
     pub maker: M,
-    /// Maker's run.
+    /// Incarnation of the maker.
     #[serde(rename = "i")]
     pub incarnation: u64,
     /// Number of its last item.
--- a/crates/zinniastall-coord/src/election.rs
+++ b/crates/zinniastall-coord/src/election.rs
@@ -58,7 +58,7 @@
     ///
     /// # Errors
     ///
-    /// [`Error`] names the first value that doesn't fit.
+    /// [`Error`](enum@Error) names the first value that doesn't fit.
     pub fn check(&self) -> Result<(), Error> {
         if self.heartbeat.is_zero() {
             return Err(Error::Heartbeat);
@@ -91,7 +91,7 @@
 /// State of a campaign.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Tally {
-    /// A majority granted its vote.
+    /// A majority granted their votes.
     Won,
     /// So many refused that no majority is left.
     Lost,
--- a/crates/zinniastall-coord/src/lib.rs
+++ b/crates/zinniastall-coord/src/lib.rs
@@ -7,16 +7,16 @@
 //!
 //! | module | gives |
 //! |---|---|
-//! | [`replica`] | one member of a replicated log: [`Replica`] |
+//! | [`replica`] | a replica of a replicated log: [`Replica`] |
 //! | [`log`] | entries and the in-memory log |
-//! | [`voters`] | who votes, who learns, and single-server changes |
-//! | [`election`] | timings and the counting of votes |
-//! | [`lease`] | the time during which a leader may answer alone |
-//! | [`membership`] | which peers are alive, by evidence in both directions |
-//! | [`digest`] | facts about groups, flooded, coalesced to a budget, aged out |
-//! | [`fence`] | numbers that only grow, and the gate that refuses lower ones |
-//! | [`command`] | recorded answers of commands, so that a resend never runs twice |
-//! | [`quarantine`] | requests that crash whoever runs them, and how suspicion is shared |
+//! | [`voters`] | voters and learners, and single-server changes of them |
+//! | [`election`] | election timing and vote counting |
+//! | [`lease`] | the time during which a leader may answer reads alone |
+//! | [`membership`] | failure detection, by evidence for both directions of a link |
+//! | [`digest`] | facts about groups, flooded within a budget and expired |
+//! | [`fence`] | fencing tokens, and the gate that refuses old ones |
+//! | [`command`] | deduplication of commands, so that a resend never runs twice |
+//! | [`quarantine`] | requests that crash the processes that run them, and shared suspicions |
 //! | [`ticket`] | authenticated tickets for work that runs at most once |
 
 pub mod command;
--- a/crates/zinniastall-coord/src/log.rs
+++ b/crates/zinniastall-coord/src/log.rs
@@ -8,7 +8,7 @@
 use crate::voters::Voters;
 
 /// Bytes counted for an entry in addition to those of its command.
-const ENTRY_OVERHEAD: usize = 32;
+const ENTRY_OVERHEAD_BYTES: usize = 32;
 
 /// An entry of the log.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -35,14 +35,14 @@
 impl Entry {
     /// Returns the approximate size of the entry in a message, in bytes.
     pub fn size(&self) -> usize {
-        ENTRY_OVERHEAD
+        ENTRY_OVERHEAD_BYTES
             + match &self.payload {
                 Payload::Noop => 0,
                 Payload::Voters(voters) => voters
                     .voters
                     .values()
                     .chain(voters.learners.values())
-                    .map(|address| address.len() + ENTRY_OVERHEAD)
+                    .map(|address| address.len() + ENTRY_OVERHEAD_BYTES)
                     .sum(),
                 Payload::Command(command) => command.len(),
             }
--- a/crates/zinniastall-coord/src/replica.rs
+++ b/crates/zinniastall-coord/src/replica.rs
@@ -42,7 +42,7 @@
 pub use self::snapshot::Snapshot;
 pub use self::status::{Peer, Role, Status};
 
-use self::durable::Durable;
+use self::durable::Tracker;
 use self::follower::Follower;
 use self::history::History;
 use self::leader::Leader;
@@ -77,7 +77,7 @@
     log: Log,
     history: History,
     snapshot: Option<Arc<Snapshot>>,
-    durable: Durable,
+    durable: Tracker,
     commit: Index,
     applied: Index,
     state: State,
--- a/crates/zinniastall-coord/src/replica/builder.rs
+++ b/crates/zinniastall-coord/src/replica/builder.rs
@@ -6,7 +6,7 @@
 use rand::SeedableRng;
 use rand::rngs::StdRng;
 
-use super::durable::Durable;
+use super::durable::Tracker;
 use super::history::History;
 use super::ready::{Ready, Restored};
 use super::survey::Survey;
@@ -105,7 +105,7 @@
     ///
     /// # Errors
     ///
-    /// [`Error`] when the timing can't keep a group safe.
+    /// [`Error`](enum@Error) when the timing can't keep a group safe.
     pub fn build(self, now: Instant) -> Result<Replica, Error> {
         self.timing.check()?;
         let mut rng = StdRng::seed_from_u64(self.seed);
@@ -144,7 +144,7 @@
             timing: self.timing,
             limits: self.limits,
             hard,
-            durable: Durable::new(log.last().index),
+            durable: Tracker::new(log.last().index),
             log,
             history,
             commit: base.index,
--- a/crates/zinniastall-coord/src/replica/durable.rs
+++ b/crates/zinniastall-coord/src/replica/durable.rs
@@ -11,7 +11,7 @@
 use super::{Id, Index};
 
 #[derive(Debug)]
-pub(super) struct Durable {
+pub(super) struct Tracker {
     synced_index: Index,
     open_batch: u64,
     batches: VecDeque<Batch>,
@@ -31,7 +31,7 @@
     message: Message,
 }
 
-impl Durable {
+impl Tracker {
     pub(super) const fn new(synced_index: Index) -> Self {
         Self {
             synced_index,
--- a/crates/zinniastall-coord/src/replica/leader.rs
+++ b/crates/zinniastall-coord/src/replica/leader.rs
@@ -22,7 +22,7 @@
     pub(super) peers: Peers,
     /// Bytes of entries that are not committed yet.
     pub(super) uncommitted_bytes: usize,
-    /// Target of a leadership transfer, and when the transfer is given up.
+    /// Successor of a leadership transfer in progress, and when the transfer is given up.
     pub(super) transfer: Option<(Id, Instant)>,
     /// Current heartbeat round.
     pub(super) round: u64,
--- a/crates/zinniastall-coord/src/voters.rs
+++ b/crates/zinniastall-coord/src/voters.rs
@@ -56,13 +56,13 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum Error {
     /// The replica is already a member.
-    #[error("replica {0} is a member already")]
+    #[error("replica {0} is already a member")]
     Member(Id),
     /// The replica isn't a member.
-    #[error("replica {0} is no member")]
+    #[error("replica {0} is not a member")]
     Unknown(Id),
     /// The replica isn't a learner.
-    #[error("replica {0} is no learner")]
+    #[error("replica {0} is not a learner")]
     Learner(Id),
     /// The replica is the last voter.
     #[error("replica {0} is the last voter")]
@@ -107,7 +107,7 @@
     ///
     /// # Errors
     ///
-    /// [`Error`] when the change doesn't fit this set.
+    /// [`Error`](enum@Error) when the change doesn't fit this set.
     pub fn after(&self, change: &Change) -> Result<Self, Error> {
         let mut next = self.clone();
         match change {
--- a/crates/zinniastall-coord/tests/digest.rs
+++ b/crates/zinniastall-coord/tests/digest.rs
@@ -1,4 +1,4 @@
-//! Digests: order, ageing, budgets, and flooding over the overlay.
+//! Digests: ordering, expiry, budgets, and flooding over the overlay.
 
 use std::time::{Duration, Instant};
 
@@ -33,7 +33,8 @@
         .map(|fresh| *fresh.value)
 }
 
-// A late fact arrives after a newer one. Believed, it would send requests to slots taken long ago.
+// A late fact arrives after a newer one. If it were applied, requests would be sent to slots that
+// were taken long ago.
 #[test]
 fn late_item_does_not_replace_a_newer_one() {
     let now = Instant::now();
@@ -44,7 +45,7 @@
     assert_eq!(value(&table, 1, now), Some(20));
 }
 
-// A zone is cut off: nothing more is heard of it. Its last digest says that it has free slots, and
+// A zone is cut off and nothing more is heard of it. Its last digest reports free slots, and
 // requests sent there would wait for a connection that never comes.
 #[test]
 fn silent_maker_ages_out() {
@@ -67,8 +68,8 @@
     assert_eq!(table.contents(), (vec![], vec![]));
 }
 
-// The zone's speaker is lost and another takes over with numbers of its own. Facts of the old one
-// must neither hold the new ones off nor come back by a slow way.
+// A zone's speaker is lost and another takes over with numbers of its own. Facts of the old speaker
+// must neither block the new ones nor return over a slow path.
 #[test]
 fn another_maker_takes_over() {
     let now = Instant::now();
@@ -80,8 +81,8 @@
     assert_eq!(value(&table, 1, later), Some(20));
 }
 
-// The budget is spent, so that a fact waits while its maker's renewal could go out. A receiver that
-// got the renewal alone would take the fact that it replaces for confirmed.
+// The budget is spent, so a fact waits while the renewal of its maker could be sent. A receiver
+// that got only the renewal would take the outdated fact for confirmed.
 #[test]
 fn renewal_waits_for_its_makers_items() {
     let now = Instant::now();
@@ -108,8 +109,8 @@
     assert!(outbox.is_empty());
 }
 
-// A link is slow and a fact changes three times before its turn. Queued, the old values would be
-// sent and the newest would come later and later.
+// A link is slow and a fact changes three times before its turn. If values were queued, outdated
+// ones would be sent and the newest would arrive later and later.
 #[test]
 fn outbox_sends_the_newest_only() {
     let now = Instant::now();
@@ -126,7 +127,7 @@
     assert_eq!(batch.items, [item(1, 7, 3, 0, 30)]);
 }
 
-// What can wait must not be sent when what can't wait has used the budget up.
+// Traffic that can wait must not be sent after urgent traffic has used up the budget.
 #[test]
 fn bucket_holds_back_after_a_burst() {
     let now = Instant::now();
@@ -138,7 +139,7 @@
     assert_eq!(bucket.available(now + Duration::from_mins(1)), 2_000);
 }
 
-/// Nodes of one zone that pass facts on to their successors.
+/// Nodes of one zone that forward facts to their successors.
 struct Zone {
     tables: Vec<Facts>,
     outboxes: IndexMap<(u32, u32), Outbox<u32, u32>>,
@@ -180,7 +181,7 @@
         }
     }
 
-    /// Sends one batch on every link; `lost` links lose their state and start anew.
+    /// Sends one batch on every link; `lost` links lose their outbox and start over.
     fn pass(&mut self, bytes: u64, lost: impl Fn(u32, u32) -> bool, now: Instant) -> usize {
         let mut in_flight = Vec::new();
         for ((from, to), outbox) in &mut self.outboxes {
@@ -204,8 +205,8 @@
     }
 }
 
-// Facts reach every instance of a zone in a few steps, and an instance sends each to two others at
-// most. If each sent to all, the cost of a node would grow with its zone.
+// Facts reach every instance of a zone in a few steps, and each instance sends a fact to at most
+// two others. If each sent it to all, the cost of a node would grow with its zone.
 #[test]
 fn facts_reach_a_whole_zone_at_two_messages_a_node() {
     for count in [1_u32, 2, 3, 9, 25, 60] {
@@ -241,8 +242,8 @@
     assert_eq!(overlay::counterpart::<&str>(0, &[]), None);
 }
 
-// Links break, budgets are short, values change all the time. No node may ever take an outdated
-// value for one that its maker still vouches for, and in the end all hold the newest.
+// Links break, budgets are short, and values change all the time. No node may take an outdated
+// value for one that its maker still confirms, and in the end all hold the newest.
 #[test]
 fn renewals_never_vouch_for_what_was_replaced() {
     let config = RunnerConfig {
@@ -258,7 +259,7 @@
         let start = Instant::now();
         let mut zone = Zone::new(9);
         let mut author = Author::new(0, 1);
-        // When a key's value stopped being the newest.
+        // When a value of a key stopped being the newest.
         let mut replaced: IndexMap<(u32, u32), Instant> = IndexMap::new();
         let mut now = start;
         let run = |zone: &mut Zone, author: &mut Author<u32, u32, u32>, bytes, lost, now| {
@@ -306,8 +307,9 @@
     )*};
 }
 
-// An instance of athens/a. Passed on by everybody to everybody, each fact would cross each link
-// between regions, and the cost of a speaker would grow with the square of the regions.
+// From the view of an instance of athens/a. If every instance forwarded to every other one, each
+// fact would cross each link between regions, and the cost of a speaker would grow with the square
+// of the number of regions.
 passing! {
     own_facts_go_to_the_region: about ("athens", "a"), from ("athens", "a"), to ("athens", "b") => true;
     own_facts_go_to_other_regions: about ("athens", "a"), from ("athens", "a"), to ("patras", "a") => true;
@@ -335,8 +337,9 @@
     )*};
 }
 
-// An instance of athens/a. A group's own facts would cost every region zones times models; what the
-// region sums up is of no use to the region itself, which knows its groups one by one.
+// From the view of an instance of athens/a. The facts of single groups would cost every region
+// zones times models. A region's summary is of no use within that region, which knows its groups
+// one by one.
 admitting! {
     summary_goes_to_other_regions: OtherRegions of ("athens", "a"), to ("patras", "a") => true;
     summary_goes_to_the_second_speaker: OtherRegions of ("athens", "a"), to ("athens", "a") => true;
--- a/crates/zinniastall-coord/tests/group/failures.rs
+++ b/crates/zinniastall-coord/tests/group/failures.rs
@@ -1,4 +1,4 @@
-//! One failure each, brought about at the moment at which it hurts.
+//! One failure per test, injected at the worst moment.
 
 use std::time::Duration;
 
@@ -11,7 +11,7 @@
 
 const SEED_COUNT: u64 = 40;
 
-/// Names a case and runs it on a whole group of a size, with several seeds.
+/// Defines a test that runs on a healthy group of a size, with several seeds.
 macro_rules! case {
     ($name:ident, $size:expr, |$net:ident| $body:block) => {
         #[test]
@@ -26,8 +26,9 @@
     };
 }
 
-// All replicas lose power at once and start again. Each holds all that was accepted, and entry instances wait
-// for one that knows it: with an election before that, callers are refused for most of a second more.
+// All replicas lose power at once and start again. Each holds everything that was accepted, and
+// entry instances wait for one that knows so: if that took an election, callers would be refused
+// for most of a second longer.
 case!(
     all_replicas_learn_what_is_committed_without_a_leader,
     3,
@@ -38,8 +39,9 @@
     }
 );
 
-// The same while operators change the configuration. The replicas end at different entries, some of which were
-// accepted and some not; one of them can tell, and entry instances listen to all.
+// The same while operators change the configuration. The replicas end at different entries, of
+// which some were accepted and some weren't. One replica can tell, and entry instances listen to
+// all of them.
 case!(
     one_replica_learns_what_is_committed_without_a_leader,
     5,
@@ -49,8 +51,8 @@
     }
 );
 
-// A group that has lost power is asked, before it has a leader, whether its configuration is the newest. Told only
-// by the next leader, instances would let nobody in for a second more.
+// A group that has lost power is asked, before it has a leader, whether its configuration is the
+// newest. If only the next leader could answer, instances would admit nobody for a second longer.
 case!(a_group_without_a_leader_confirms_what_it_holds, 3, |net| {
     net.operators_active = false;
     net.run(ELECTION);
@@ -67,8 +69,8 @@
     net.operators_active = true;
 });
 
-// A replica that is cut off hears of no leader, while the others elect one and commit. When its link with one of them
-// heals, it must not call its old state the newest.
+// A replica that is cut off hears of no leader, while the others elect one and commit. When its
+// link to one of them recovers, it must not take its old state for the newest.
 case!(a_replica_left_behind_confirms_nothing, 3, |net| {
     net.operators_active = false;
     let (left, _) = net.leader_and_followers();
@@ -93,9 +95,9 @@
     net.operators_active = true;
 });
 
-// A follower hears nobody for many election timeouts and campaigns in vain. When its link heals,
-// the leader must go on leading in its term; otherwise operators see their commands fail each time
-// a link comes back.
+// A follower hears nobody for many election timeouts and campaigns in vain. When its link recovers,
+// the leader must continue to lead in its term; otherwise operators would see commands fail each
+// time a link recovers.
 case!(a_returning_replica_does_not_depose_the_leader, 3, |net| {
     let (leader, others) = net.leader_and_followers();
     let term = net.leader_status().map(|status| status.term);
@@ -111,8 +113,8 @@
 });
 
 // A follower doesn't hear the leader and is about to campaign when the leader is cut off from all.
-// The other follower acknowledged a heartbeat a moment ago and the leader's lease counts on that;
-// if it votes now, two leaders answer operators at once.
+// The other follower acknowledged a heartbeat a moment ago, on which the leader's lease relies; if
+// it voted now, two leaders would answer operators at once.
 case!(a_vote_waits_until_the_lease_has_run_out, 3, |net| {
     let (leader, others) = net.leader_and_followers();
     block_heartbeats(&mut net, leader, others[0]);
@@ -121,8 +123,8 @@
     net.operators_active = true;
 });
 
-// The same, and the other follower restarts just then. It no longer knows that it heard the leader
-// and could vote at once, while the lease still counts on it.
+// The same, but the other follower restarts just then. It no longer knows that it heard the leader
+// and could vote at once, while the lease still relies on it.
 case!(
     a_restarted_follower_refuses_votes_while_a_lease_may_hold,
     3,
@@ -136,8 +138,8 @@
     }
 );
 
-// Acknowledgements take most of an election timeout on their way to the leader. A lease measured
-// from their arrival would outlast the time for which the followers refuse votes.
+// Acknowledgements take most of an election timeout to reach the leader. A lease measured from
+// their arrival would outlast the time for which the followers refuse votes.
 case!(late_acknowledgements_do_not_extend_the_lease, 3, |net| {
     let (leader, others) = net.leader_and_followers();
     for other in &others {
@@ -151,8 +153,8 @@
     net.link_delays.clear();
 });
 
-// The leader's clock runs slow and the followers' clocks run fast, each by as much as the margin
-// allows together. The lease must still end before the followers vote for another.
+// The leader's clock runs slow and the followers' clocks run fast, together by as much as the
+// margin permits. The lease must still end before the followers vote for another leader.
 case!(
     leases_do_not_overlap_when_clocks_differ_by_the_margin,
     3,
@@ -170,8 +172,8 @@
     }
 );
 
-// A silent partition isolates the leader. It must stop leading by itself, so that its callers are
-// sent to the other side instead of waiting for commands that can't be committed.
+// A silent partition isolates the leader. It must step down by itself, so that its callers are sent
+// to the other side instead of waiting for commands that can't be committed.
 case!(a_leader_without_a_majority_steps_down, 3, |net| {
     let (leader, _) = net.leader_and_followers();
     net.isolate(leader);
@@ -182,8 +184,8 @@
     );
 });
 
-// A link fails in one direction: the leader is heard and hears nobody. Its heartbeats must not keep
-// the others from choosing a leader that can commit, and it must not come between them later.
+// Links fail in one direction: the leader is heard but hears nobody. Its heartbeats must not keep
+// the others from electing a leader that can commit, and it must not disturb that leader later.
 case!(a_leader_that_hears_nobody_is_replaced, 3, |net| {
     let (leader, others) = net.leader_and_followers();
     net.cuts.extend(others.iter().map(|other| (*other, leader)));
@@ -197,9 +199,8 @@
     stay_cut(&mut net, leader);
 });
 
-/// Runs for long with a leader cut off, and checks that one successor leads during and after it.
-/// Takes the power off all replicas, and checks that so many of them know what was committed long before a
-/// leader can be elected.
+/// Takes the power off all replicas, and checks that `wanted` of them know what was committed long
+/// before a leader can be elected.
 fn assert_known_early(net: &mut Network, wanted: usize) {
     let goal = net.committed.len();
     net.blackout(ELECTION);
@@ -213,6 +214,7 @@
     net.operators_active = true;
 }
 
+/// Runs for long with a leader cut off, and checks that one successor leads during and after it.
 fn stay_cut(net: &mut Network, leader: usize) {
     net.run(ELECTION * 6);
     let successor = net.leader_status().map(|status| (status.id, status.term));
@@ -228,7 +230,7 @@
 }
 
 // The power fails everywhere at once, a moment after operators were told that their changes are
-// accepted. What was promised before it was synced would be gone on all disks.
+// accepted. Anything acknowledged before it was synced would be lost on all disks.
 case!(a_power_cut_everywhere_loses_nothing_accepted, 3, |net| {
     net.conditions.sync = 100;
     for _ in 0..5 {
@@ -239,9 +241,10 @@
     }
 });
 
-// The leader is frozen while others are elected and accept changes, and thaws. Asked for a read
-// before it has looked at its clock or its links, it must not answer from its old state.
-case!(a_thawed_leader_answers_nothing_stale, 3, |net| {
+// The leader is frozen while another one is elected and accepts changes, and then resumes. If it is
+// asked for a read before it has checked its clock or its links, it must not answer from its old
+// state.
+case!(a_resumed_leader_serves_no_stale_read, 3, |net| {
     let (leader, _) = net.leader_and_followers();
     net.freeze(leader, ELECTION * 6);
     net.run(ELECTION * 5);
@@ -258,9 +261,9 @@
     });
 });
 
-// A leader that is told to stop hands over, and its link fails right behind the message. The
-// successor is elected although the others heard the old leader a moment ago, so the old one must
-// have given its lease up.
+// A leader transfers its leadership, and its links fail right after the message. The successor is
+// elected although the others heard the old leader a moment ago, so the old leader must have given
+// up its lease.
 case!(a_leadership_transfer_ends_the_lease, 3, |net| {
     let (leader, others) = net.leader_and_followers();
     net.run_until("all is committed", |net| {
@@ -273,8 +276,8 @@
     net.operators_active = true;
 });
 
-// A disk is lost and replaced, and right after the repair another instance is lost for good. All
-// that was accepted must still be there, also what was accepted during the repair.
+// A disk is lost and replaced, and right after the repair another instance is lost for good.
+// Everything accepted must still be there, also what was accepted during the repair.
 case!(
     a_second_disk_loss_right_after_a_repair_is_survived,
     3,
@@ -287,9 +290,9 @@
     }
 );
 
-// A change is accepted by the leader and one follower; the other is cut off. Then the follower's
-// disk is lost and the leader is cut off in turn. If the empty disk could vote with the one that
-// missed the change, the two would go on without it, and it would have reverted.
+// A change is accepted by the leader and one follower while the other is cut off. Then the
+// follower's disk is lost and the leader is cut off in turn. If the empty disk could vote with the
+// replica that missed the change, the two would continue without it, and it would have reverted.
 case!(an_empty_disk_does_not_help_to_revert_a_change, 3, |net| {
     let (leader, others) = net.leader_and_followers();
     net.isolate(others[1]);
@@ -301,8 +304,9 @@
     assert_eq!(net.leader(), None);
 });
 
-// A replica is removed while it is away and returns. Nobody sends to it any more; its operator must
-// be able to see that it was removed, and it must stop asking for votes. Admitted again, it serves.
+// A replica is removed while it is away, and returns. Nobody sends to it any more; its operator
+// must be able to see that it was removed, and it must stop asking for votes. It works again once
+// it is readmitted.
 case!(a_replica_removed_while_away_is_told, 3, |net| {
     let (leader, others) = net.leader_and_followers();
     let id = net.nodes[others[0]].id;
@@ -324,7 +328,7 @@
     net.operators_active = true;
 });
 
-// The leader's own disk is lost. The instance comes back as another replica that nobody counts on
+// The leader's own disk is lost. The instance comes back as another replica that doesn't count
 // until it has caught up.
 case!(the_leaders_disk_is_lost, 5, |net| {
     let (leader, _) = net.leader_and_followers();
@@ -332,8 +336,8 @@
     net.run(ELECTION);
 });
 
-// A replica is away for hundreds of changes, and the others have dropped the entries it misses.
-// It has to come back by snapshot, whose chunks get lost and doubled on the way.
+// A replica is away for hundreds of changes, and the others have dropped the entries that it
+// misses. It has to catch up by snapshot, whose chunks get lost and duplicated on the way.
 case!(hundreds_of_missed_changes_come_by_snapshot, 3, |net| {
     let (leader, others) = net.leader_and_followers();
     net.crash(others[0], ELECTION * 20);
@@ -345,8 +349,8 @@
     net.run(ELECTION * 4);
 });
 
-// The leader is lost while it sends a snapshot, and its successor sends one of the same state, in
-// other bytes. A snapshot put together from both would be garbage that passes for the state.
+// The leader is lost while it sends a snapshot, and its successor sends one of the same state in
+// other bytes. A snapshot assembled from both would be corrupt but look like the state.
 case!(a_snapshot_comes_from_one_leader, 3, |net| {
     let (leader, others) = net.leader_and_followers();
     net.crash(others[0], ELECTION * 30);
@@ -367,8 +371,8 @@
     net.operators_active = true;
 });
 
-// The same on a link that doubles most messages. Each doubled answer must not bring about a chunk of
-// its own, whose answer is doubled again: the link would carry nothing else.
+// A snapshot is sent over a link that duplicates most messages. A duplicate answer must not cause a
+// chunk of its own, whose answer is duplicated again: the link would carry nothing else.
 case!(duplicate_answers_cause_no_message_storm, 3, |net| {
     let (leader, others) = net.leader_and_followers();
     net.crash(others[0], ELECTION * 20);
@@ -384,8 +388,8 @@
 });
 
 // A bit flips in the last record of a follower's log, which looks like the torn end of a write, and
-// the store cuts what had been acknowledged. The leader believes that the follower holds it; unless it
-// looks again, the follower refuses every heartbeat and never catches up.
+// the store truncates what had been acknowledged. The leader believes that the follower holds it;
+// unless it probes again, the follower rejects every heartbeat and never catches up.
 case!(
     a_follower_that_lost_the_end_of_its_log_catches_up,
     3,
@@ -406,16 +410,17 @@
     }
 );
 
-// The leader's disk is slower than the followers' disks, which make a majority without it. They
+// The leader's disk is slower than the followers' disks, which form a majority without it. They
 // apply a change before the leader does, and a read from the leader would miss it.
-case!(a_leader_with_a_slow_disk_answers_nothing_stale, 3, |net| {
+case!(a_leader_with_a_slow_disk_serves_no_stale_read, 3, |net| {
     let (leader, _) = net.leader_and_followers();
     net.disk_delays.insert(leader, Duration::from_millis(100));
     net.run(ELECTION * 2);
     net.disk_delays.clear();
 });
 
-/// Lets a follower that holds everything hear the leader no more until it is about to campaign.
+/// Cuts a follower that holds the whole log off from the leader's messages until it is about to
+/// campaign.
 fn block_heartbeats(net: &mut Network, leader: usize, follower: usize) {
     net.operators_active = false;
     net.run(ELECTION);
@@ -428,8 +433,8 @@
 }
 
 // The followers' disks are so busy that a sync takes several election timeouts. Commands wait, but
-// the leader can be heard all the time; were it deposed, the next one would fare no better, and
-// operators would be told again and again that nobody leads.
+// the leader can be heard all the time. If it were deposed, the next one would fare no better, and
+// operators would be told again and again that there is no leader.
 case!(slow_disks_do_not_depose_the_leader, 3, |net| {
     let (leader, others) = net.leader_and_followers();
     let term = net.leader_status().map(|status| status.term);
--- a/crates/zinniastall-coord/tests/group/invariants.rs
+++ b/crates/zinniastall-coord/tests/group/invariants.rs
@@ -1,4 +1,4 @@
-//! What is seen of the group, and the promises checked after each step.
+//! Observations of the group, and the invariants checked after each step.
 
 use std::time::Duration;
 
@@ -6,7 +6,7 @@
 
 use crate::network::Network;
 
-/// Surveys that are watched; most are given up.
+/// Most surveys that are watched at a time, since many are never answered.
 const MAX_WATCHED_SURVEYS: usize = 64;
 
 impl Network {
@@ -59,8 +59,8 @@
         self.surveys.drain(..surplus);
     }
 
-    /// Checks that a replica which takes entries for committed without a leader holds all that were
-    /// committed when it started.
+    /// Checks that a replica that learns without a leader what is committed holds everything that
+    /// was committed when it started.
     fn check_surveys(&mut self) {
         for place in 0..self.nodes.len() {
             let Some(status) = self.status(place) else {
@@ -77,7 +77,7 @@
         }
     }
 
-    /// Checks that disks which agree on one entry agree on all before it.
+    /// Checks that logs on disk that share an entry are equal up to it.
     pub(crate) fn check_logs(&self) {
         for (one, other) in self
             .nodes
@@ -128,7 +128,7 @@
         self.status(self.leader()?)
     }
 
-    /// Tells whether a message from a place is on its way.
+    /// Returns whether a message from a place is in flight.
     pub(crate) fn is_in_flight(&self, from: usize, is: impl Fn(&Body) -> bool) -> bool {
         let id = self.nodes[from].id;
         self.packets
@@ -136,7 +136,7 @@
             .any(|packet| packet.from == id && is(&packet.message.body))
     }
 
-    /// Returns the leader's place and those of the others.
+    /// Returns the place of the leader and those of the others.
     pub(crate) fn leader_and_followers(&self) -> (usize, Vec<usize>) {
         let leader = self.leader().expect("somebody leads");
         (
@@ -147,7 +147,7 @@
         )
     }
 
-    /// Runs until a condition holds, for at most a minute of the group's time.
+    /// Runs until a condition holds, for at most a minute of simulated time.
     pub(crate) fn run_until(&mut self, what: &str, condition: impl Fn(&Self) -> bool) {
         let end = self.time + Duration::from_mins(1);
         while !condition(self) {
@@ -156,7 +156,8 @@
         }
     }
 
-    /// Tells whether every place votes, all lost ids are removed, and a loss is safe.
+    /// Returns whether every replica votes, all lost ids are removed, and the group tolerates a
+    /// loss.
     pub(crate) fn is_healthy(&self) -> bool {
         let Some(status) = self.leader_status() else {
             return false;
--- a/crates/zinniastall-coord/tests/group/main.rs
+++ b/crates/zinniastall-coord/tests/group/main.rs
@@ -1,5 +1,5 @@
-//! Groups of replicas under lost, late, doubled and reordered messages, restarts, partitions and
-//! lost disks, with the promises checked after every step.
+//! Simulated groups of replicas with lost, late, duplicated and reordered messages, restarts,
+//! partitions and lost disks; the invariants are checked after every step.
 //!
 //! `ZINNIASTALL_RUNS` sets the number of random schedules, `ZINNIASTALL_SEED` their seed.
 
@@ -119,9 +119,9 @@
         .unwrap_or(default)
 }
 
-// Any of the faults may come at any moment, together or twice. If one schedule of them could make
-// the group lose, replace or reorder a committed entry, elect two leaders, or let two answer at
-// once, an operator would see a change that was accepted revert.
+// Faults may occur at any time, together or repeatedly. If one schedule of them made the group
+// lose, replace or reorder a committed entry, elect two leaders in a term or let two leaders answer
+// at once, an operator would see an accepted change revert.
 #[test]
 fn no_fault_schedule_breaks_an_invariant() {
     let seed = from_environment("ZINNIASTALL_SEED", DEFAULT_SEED);
--- a/crates/zinniastall-coord/tests/group/network.rs
+++ b/crates/zinniastall-coord/tests/group/network.rs
@@ -1,4 +1,4 @@
-//! A group on a network that loses, delays, doubles and reorders, and the checks after each step.
+//! A group on a simulated network that loses, delays, duplicates and reorders messages.
 
 use std::time::{Duration, Instant};
 
@@ -13,7 +13,7 @@
 
 pub(crate) const STEP: Duration = Duration::from_millis(5);
 
-/// How bad the network and the disks are.
+/// Fault rates and delays of the network and the disks; delays in milliseconds.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Conditions {
     pub(crate) loss: f64,
@@ -37,34 +37,35 @@
     pub(crate) message: Message,
 }
 
-/// Replicas by place; a lost disk puts a replica with another id at the same place.
+/// Replicas by place, which is their index in `nodes`. A replica that lost its disk comes back at
+/// the same place with another id.
 #[derive(Debug)]
 pub(crate) struct Network {
     pub(crate) time: Duration,
     pub(crate) nodes: Vec<Node>,
     pub(crate) conditions: Conditions,
-    /// Directions in which nothing passes, by place.
+    /// Directions in which nothing passes, as pairs of places.
     pub(crate) cuts: IndexSet<(usize, usize)>,
-    /// Directions in which everything takes longer, by place.
+    /// Additional delay by direction, as pairs of places.
     pub(crate) link_delays: IndexMap<(usize, usize), Duration>,
-    /// Places whose disk takes longer.
+    /// Additional sync time by place.
     pub(crate) disk_delays: IndexMap<usize, Duration>,
     /// Whether operators send commands and repair the group.
     pub(crate) operators_active: bool,
-    /// Every entry that was ever handed out as committed.
+    /// Every entry that was ever handed out as committed, by index.
     pub(crate) committed: IndexMap<u64, Entry>,
     pub(crate) leaders: IndexMap<Term, Id>,
     pub(crate) places: IndexMap<Id, usize>,
     pub(crate) packets: Vec<Packet>,
     pub(crate) reads: Vec<(usize, Barrier, usize)>,
-    /// Surveys by place, and how many entries were committed when they began.
+    /// Surveys in progress: place, number, and how many entries were committed when they began.
     pub(crate) surveys: Vec<(usize, u64, usize)>,
     rng: StdRng,
     pub(crate) sent: u32,
 }
 
 impl Network {
-    /// Founds a group at the first place; the others start fresh.
+    /// Founds a group at the first place; the other replicas start fresh.
     pub(crate) fn new(size: usize, conditions: Conditions, seed: u64) -> Self {
         let mut net = Self {
             time: Duration::ZERO,
@@ -92,7 +93,7 @@
         net
     }
 
-    /// Founds a group and runs it until every place votes.
+    /// Founds a group and runs it until every replica votes.
     pub(crate) fn healthy(size: usize, seed: u64) -> Self {
         let mut net = Self::new(size, RELIABLE, seed);
         net.run_until("the group is whole", Self::is_healthy);
@@ -109,7 +110,7 @@
         )
     }
 
-    /// Loses a disk if the group can bear it; returns whether it did.
+    /// Loses a disk if the group tolerates that; returns whether it did.
     pub(crate) fn wipe(&mut self, place: usize) -> bool {
         let Some(status) = self.leader_status() else {
             return false;
@@ -126,7 +127,7 @@
         true
     }
 
-    /// Loses a disk, whether the group can bear it or not.
+    /// Loses a disk, whether the group tolerates that or not.
     pub(crate) fn replace_disk(&mut self, place: usize) {
         self.nodes[place] = self.fresh(place);
     }
@@ -160,7 +161,7 @@
         self.check_invariants();
     }
 
-    /// Lets some replica ask anew what a majority holds.
+    /// Lets a random replica begin a survey.
     fn survey(&mut self) {
         let place = self.rng.random_range(0..self.nodes.len());
         if !self.nodes[place].is_up(self.time) {
@@ -238,7 +239,7 @@
         }
     }
 
-    /// Mends all links and disks.
+    /// Restores all links and disks.
     pub(crate) fn restore_links(&mut self) {
         self.cuts.clear();
         self.link_delays.clear();
--- a/crates/zinniastall-coord/tests/group/node.rs
+++ b/crates/zinniastall-coord/tests/group/node.rs
@@ -1,4 +1,5 @@
-//! A replica with a disk that forgets what wasn't synced, and a state that is its whole history.
+//! A replica with a simulated disk that loses what wasn't synced; its state is the list of all
+//! applied entries.
 
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
@@ -11,7 +12,7 @@
 pub(crate) const HEARTBEAT: Duration = Duration::from_millis(50);
 pub(crate) const ELECTION: Duration = Duration::from_millis(500);
 
-/// Small bounds, so that a few entries already need windows, chunks and compaction.
+/// Small limits, so that a few entries already exercise windows, chunks and compaction.
 const LIMITS: Limits = Limits {
     message: 300,
     window: 900,
@@ -27,11 +28,11 @@
     pub(crate) replica: Option<Replica>,
     pub(crate) disk: Restored,
     pub(crate) applied: Vec<Entry>,
-    /// What was known when it started, for the check of what it learns without a leader.
+    /// What was known when it started, to check what it learns without a leader.
     pub(crate) start: Start,
-    /// Until when the node is down or frozen, in true time.
+    /// Until when the node is down or frozen, in simulated time.
     pub(crate) away_until: Duration,
-    /// Rate of its clock.
+    /// Rate of its clock relative to simulated time.
     rate: f64,
     epoch: Instant,
     unsynced: VecDeque<(Duration, Ready)>,
@@ -42,7 +43,7 @@
 pub(crate) struct Start {
     /// Entries that were committed by then.
     pub(crate) committed: usize,
-    /// What the replica itself knew to be committed.
+    /// Last index that the replica itself knew to be committed.
     pub(crate) known: u64,
     /// Whether it has known a leader since.
     pub(crate) led: bool,
@@ -63,7 +64,7 @@
         }
     }
 
-    /// Returns the node's clock at a true time.
+    /// Returns the node's clock at a simulated time.
     pub(crate) fn clock(&self, time: Duration) -> Instant {
         self.epoch + time.mul_f64(self.rate)
     }
@@ -81,7 +82,7 @@
         self.replica.is_some() && time >= self.away_until
     }
 
-    /// Loses all that wasn't synced.
+    /// Stops the replica and loses what wasn't synced.
     pub(crate) fn crash(&mut self, until: Duration) {
         self.replica = None;
         self.unsynced.clear();
@@ -106,7 +107,7 @@
         self.replica = builder.seed(seed).build(self.clock(time)).ok();
     }
 
-    /// Empties the replica; what it wants stored is synced `delay` later.
+    /// Drains the replica; what it stores is synced `delay` later.
     pub(crate) fn drain(&mut self, time: Duration, delay: Duration) -> Vec<(Id, Message)> {
         let mut messages = Vec::new();
         let Some(replica) = &mut self.replica else {
@@ -128,7 +129,7 @@
         messages
     }
 
-    /// Syncs what is due.
+    /// Syncs the batches that are due.
     pub(crate) fn sync(&mut self, time: Duration) {
         while let Some((_, ready)) = self.unsynced.pop_front_if(|(due, _)| *due <= time) {
             store(&mut self.disk, &ready);
@@ -139,7 +140,7 @@
         }
     }
 
-    /// Stores a snapshot of all that was applied.
+    /// Stores a snapshot of the applied entries.
     pub(crate) fn compact(&mut self) {
         let Some(replica) = &mut self.replica else {
             return;
@@ -166,7 +167,8 @@
     }
 }
 
-/// Writes the same state in other bytes for each replica, as embedders may that hash at random.
+/// Encodes the same state in different bytes for each replica, as embedders may whose hash order is
+/// random.
 fn format(applied: &[Entry], id: Id) -> Vec<u8> {
     let mask = id.to_le_bytes()[0];
     let mut data = vec![mask];
--- a/crates/zinniastall-coord/tests/group/operators.rs
+++ b/crates/zinniastall-coord/tests/group/operators.rs
@@ -1,11 +1,11 @@
-//! What operators do to the group while it is tested.
+//! Simulated operators of the group.
 
 use zinniastall_coord::voters::Change;
 
 use crate::network::Network;
 
 impl Network {
-    /// Does what operators do: sends commands, reads, and repairs the group after a lost disk.
+    /// Acts as the operators: sends commands, reads, and repairs the group after a lost disk.
     pub(crate) fn operate(&mut self) {
         let Some(place) = self.leader() else { return };
         self.sent += 1;
--- a/crates/zinniastall-coord/tests/membership.rs
+++ b/crates/zinniastall-coord/tests/membership.rs
@@ -1,4 +1,4 @@
-//! Membership under loss, delay, doubling, reordering, freezes and one-way cuts.
+//! Membership under loss, delay, duplication, reordering, freezes and one-way cuts.
 
 use std::time::{Duration, Instant};
 
@@ -16,7 +16,7 @@
     Duration::from_millis(count)
 }
 
-/// What the links do to heartbeats.
+/// Faults of the links; delays in milliseconds.
 #[derive(Debug, Clone, Copy)]
 struct Conditions {
     loss: f64,
@@ -30,7 +30,7 @@
     delay: (0, 5),
 };
 
-/// How often heartbeats go out, in periods, and the bounds that fit.
+/// Heartbeat interval in periods, and the bounds that fit it.
 #[derive(Debug, Clone, Copy)]
 struct Pace {
     periods: u64,
@@ -54,7 +54,7 @@
     },
 };
 
-/// Rosters and the heartbeats under way between them.
+/// Rosters and the heartbeats in flight between them.
 struct Net {
     random: StdRng,
     start: Instant,
@@ -100,7 +100,7 @@
             self.now += millis(50);
             self.deliver();
             for node in 0..NODES {
-                // The nodes' periods are out of step with each other.
+                // The nodes' periods have different phases.
                 let phase = (self.now.as_millis() + 130 * node as u128) % 500;
                 if phase < 50 && !self.frozen.contains(&node) {
                     let now = self.at();
@@ -159,12 +159,12 @@
         }
     }
 
-    /// Tells whether `a` counts `b` as alive.
+    /// Returns whether `a` counts `b` as alive.
     fn alive(&self, a: usize, b: usize) -> bool {
         self.rosters[a].is_alive(&b, self.at())
     }
 
-    /// Cuts both directions between two nodes and returns when both ends have seen it.
+    /// Cuts both directions between two nodes and returns how long both take to detect it.
     fn time_to_detect_cut(&mut self) -> Duration {
         let cut_at = self.now;
         self.cut.extend([(0, 1), (1, 0)]);
@@ -200,8 +200,8 @@
     )*};
 }
 
-// A link that is slow, loses or reorders isn't a dead peer. If it were taken for one, callers would
-// be sent to and fro and every change would be told to everybody.
+// A link that is slow, loses or reorders messages isn't a dead peer. If it were taken for one,
+// callers would be sent to and fro and every change would be flooded to all instances.
 steady! {
     calm_link_does_not_flap: RELIABLE, SAME_REGION;
     slow_link_does_not_flap: Conditions { delay: (300, 700), ..RELIABLE }, SAME_REGION;
@@ -215,8 +215,8 @@
     doubling_and_reordering_link_between_regions_does_not_flap: Conditions { duplication: 0.5, delay: (0, 900), ..RELIABLE }, OTHER_REGION;
 }
 
-// One direction of a link is cut. The instance that still hears would go on sending requests to a
-// peer that never gets them; callers would see them time out.
+// One direction of a link is cut. The instance that still hears its peer would continue to send it
+// requests that never arrive; callers would see them time out.
 #[test]
 fn one_way_cut_is_seen_at_both_ends() {
     let mut net = Net::new(RELIABLE, 1);
@@ -234,10 +234,10 @@
     assert!(net.all_alive());
 }
 
-// An instance is frozen for a minute and thawed. All heartbeats of that minute wait in its sockets,
-// so to itself everybody looks alive, whoever died meanwhile.
+// An instance is frozen for a minute and resumes. All heartbeats of that minute wait in its
+// sockets, so every peer looks alive to it, even one that has died meanwhile.
 #[test]
-fn thawed_instance_believes_nothing_old() {
+fn resumed_instance_discards_old_evidence() {
     let mut net = Net::new(RELIABLE, 2);
     net.run(Duration::from_secs(20));
     net.frozen.push(0);
@@ -261,8 +261,8 @@
     );
 }
 
-// An instance restarts with its clock set back, so that its run has a lower number than the one
-// its peers remember. They drop all that it says, and it never serves again.
+// An instance restarts with its clock set back, so its incarnation is lower than the one that its
+// peers remember. They would drop all its messages, and it would never serve again.
 #[test]
 fn restarted_instance_with_earlier_clock_comes_back() {
     let start = Instant::now();
@@ -285,7 +285,7 @@
 }
 
 // A late frame of a former run arrives after the new run was seen, or after the instance was
-// forgotten. Believed, it would bring a dead process and its address back.
+// forgotten. If it were accepted, a dead process and its address would come back.
 #[test]
 fn late_frame_of_a_former_run_is_refused() {
     let start = Instant::now();
@@ -303,8 +303,8 @@
     assert_eq!(roster.hear(&1, beat(8, 2), start), Heard::NewRun);
 }
 
-// At the target size 3,700 instances a day are restarted or replaced. Each that left something
-// behind would make every process grow for ever.
+// At the target size 3,700 instances a day are restarted or replaced. If each left state behind,
+// every process would grow forever.
 #[test]
 fn replaced_instances_leave_no_residue() {
     let start = Instant::now();
@@ -347,8 +347,8 @@
     ]
 }
 
-// Cuts, freezes and bad links come in any order and overlap. Whatever happened, a cut or a freeze
-// that lasts is seen by both ends, and once all is well everybody sees everybody again.
+// Cuts, freezes and bad links occur in any order and overlap. A cut or a freeze that lasts must be
+// detected at both ends, and once all is well every node must see every other one again.
 #[test]
 fn random_faults_are_seen_and_healed() {
     let config = RunnerConfig {
--- a/crates/zinniastall-coord/tests/parts.rs
+++ b/crates/zinniastall-coord/tests/parts.rs
@@ -1,4 +1,4 @@
-//! The smaller parts: fences, leases, timings, and the table of commands.
+//! Fencing tokens, leases, election timing, and the table of commands.
 
 use std::time::{Duration, Instant};
 
@@ -7,7 +7,7 @@
 use zinniastall_coord::fence::{Fence, Gate, Overflow, Stale};
 use zinniastall_coord::lease::Lease;
 
-/// Names a case.
+/// Defines a test.
 macro_rules! case {
     ($name:ident, $body:block) => {
         #[test]
@@ -17,7 +17,7 @@
     };
 }
 
-// A frozen leader thaws and sends an order that it composed before a newer leader sent its own. A
+// A frozen leader resumes and sends an order that it prepared before a newer leader sent its own. A
 // target that ran it would undo the newer order.
 case!(a_gate_refuses_what_is_older, {
     let fence = |term, sequence| Fence::new(term, sequence).unwrap();
@@ -80,8 +80,8 @@
     );
 });
 
-// An operator's answer is lost and the script sends the command again. It gets the first answer; a
-// script that reuses an id for something else is told so instead of getting a stranger's answer.
+// An operator's answer is lost and the script sends the command again: it gets the first answer. A
+// script that reuses an id for another command is told so instead of getting an unrelated answer.
 case!(a_resend_gets_the_recorded_answer, {
     let mut table = Table::new(10, 100);
     assert_eq!(table.look_up("ann", "1", &digest(b"a")), Outcome::New);
@@ -95,7 +95,7 @@
     assert_eq!(table.look_up("bob", "1", &digest(b"a")), Outcome::New);
 });
 
-// One operator's scripts send without end. The table stays within its bounds, and another
+// One operator's scripts send commands without end. The table stays within its limits, and another
 // operator's last command is still recognised.
 case!(the_table_is_bounded_oldest_first, {
     let mut table = Table::new(3, 5);
--- a/crates/zinniastall-coord/tests/quarantine.rs
+++ b/crates/zinniastall-coord/tests/quarantine.rs
@@ -1,4 +1,5 @@
-//! Suspicion of requests that crash whoever runs them: who is quarantined, who is cleared, and that tables agree.
+//! Suspicion of requests that crash the processes that run them: which are quarantined, which are
+//! cleared, and whether tables converge.
 
 use std::time::{Duration, Instant};
 
@@ -17,9 +18,9 @@
 /// What happens to a request, in order.
 #[derive(Debug, Clone, Copy)]
 enum Event {
-    /// A run crashes under a copy that was sent before the request was suspected.
+    /// A run crashes with a copy that was sent before the request was suspected.
     First(Run),
-    /// A run crashes under a copy that was sent when it was suspected.
+    /// A run crashes with a copy that was sent while the request was suspected.
     Later(Run),
     Finish,
 }
@@ -49,11 +50,13 @@
 
 crashes! {
     one_crash_after_the_other_quarantines: [First(1), Later(2), Later(3)] => 3;
-    /// A popular request, of which copies run everywhere, turned away because many targets crash at once.
+    /// Guards against refusing a popular request, of which copies run everywhere, because many
+    /// targets crash at once.
     copies_that_run_when_many_crash_count_once: [First(1), First(2), First(3), First(4)] => 1;
     a_crash_that_is_told_twice_counts_once: [First(1), Later(2), Later(2)] => 2;
     a_run_that_is_the_first_and_a_later_one_counts_once: [First(1), Later(1)] => 1;
-    /// A request that rode on crashed targets and went well turned away with the next crash.
+    /// Guards against refusing a request that ran on crashed targets, finished later, and meets
+    /// another crash.
     a_finish_clears: [First(1), Later(2), Finish, First(3)] => 1;
     a_finish_ends_a_quarantine: [First(1), Later(2), Later(3), Finish] => 0;
     more_crashes_change_nothing: [First(1), Later(2), Later(3), Later(4), Later(5)] => 3;
@@ -66,7 +69,8 @@
     assert!(table.is_empty());
 }
 
-/// A report of a crash before a finish, late, that suspects the request again.
+/// Guards against a late report of crashes from before a finish that makes the request a suspect
+/// again.
 #[test]
 fn what_was_known_before_a_finish_counts_no_more() {
     let (mut one, mut other, now) = (table(), table(), Instant::now());
@@ -80,7 +84,8 @@
     assert_eq!(other.crashes(KEY), 0);
 }
 
-/// An attacker with a million bodies pushes the quarantined request out of the table.
+/// Guards against an attacker that pushes a quarantined request out of the table with a million
+/// different bodies.
 #[test]
 fn a_full_table_forgets_those_with_the_fewest_crashes() {
     let (mut table, start) = (Table::new(1_000), Instant::now());
@@ -105,7 +110,7 @@
     ]
 }
 
-/// A suspicion as an instance may come to it.
+/// A suspicion as events on one instance may produce it.
 fn suspicion() -> impl Strategy<Value = Suspicion> {
     proptest::collection::vec(event(), 0..8).prop_map(|events| {
         let (mut table, now) = (table(), Instant::now());
@@ -124,7 +129,7 @@
     table.suspicion(KEY).cloned()
 }
 
-/// A message between two of the tables, delivered once or twice, or lost.
+/// A message to one of the tables: which one, to which table, and how often it is delivered.
 type Delivery = (usize, usize, u8);
 
 proptest! {
@@ -141,7 +146,8 @@
         prop_assert_eq!(merged(&[&a, &a]), merged(&[&a]));
     }
 
-    /// Instances that know different things for good, because messages were lost, doubled or late.
+    /// Guards against instances that disagree forever because messages were lost, duplicated or
+    /// late.
     #[test]
     fn tables_agree_once_all_have_heard_of_all(
         events in proptest::collection::vec((0..4_usize, event()), 0..20),
--- a/crates/zinniastall-coord/tests/replica.rs
+++ b/crates/zinniastall-coord/tests/replica.rs
@@ -1,4 +1,4 @@
-//! One replica, message by message.
+//! A single replica, message by message.
 
 use std::time::{Duration, Instant};
 
@@ -20,7 +20,7 @@
     lag: 0,
 };
 
-/// A replica with id 1 whose every batch is synced at once, and the round it is in.
+/// A replica with id 1 that syncs every batch at once, and its current heartbeat round.
 struct Harness {
     replica: Replica,
     now: Instant,
@@ -46,7 +46,8 @@
         }
     }
 
-    /// Restores a member of three with one entry of an earlier term, and lets the second elect it.
+    /// Restores a member of a group of three with one entry of an earlier term, and lets replica 2
+    /// elect it.
     fn elected() -> Self {
         let ids = [1, 2, 3];
         let voters: IndexMap<u64, String> = ids.map(|id| (id, id.to_string())).into();
@@ -107,7 +108,7 @@
         self.drain();
     }
 
-    /// Lets the second acknowledge the log up to a place.
+    /// Lets replica 2 acknowledge the log up to an index.
     fn acknowledge(&mut self, matched: u64) {
         let outcome = Outcome::Accepted { matched };
         self.hear(
@@ -155,7 +156,7 @@
     }
 }
 
-/// Names a case and gives it a bench.
+/// Defines a test on a harness.
 macro_rules! case {
     ($name:ident, $harness:expr, |$held:ident| $body:block) => {
         #[test]
@@ -189,8 +190,9 @@
     }
 );
 
-// A disk was lost and the instance came back with another id. If it campaigned, or took what was
-// meant for the id before it, it would act for a replica whose votes and entries it has forgotten.
+// A disk was lost and the instance came back with another id. If it campaigned, or processed
+// messages for its previous id, it would act for a replica whose votes and entries it has
+// forgotten.
 case!(a_fresh_replica_does_nothing_by_itself, fresh(), |harness| {
     harness.wait(Duration::from_mins(1));
     let body = Body::Append(Append {
@@ -219,7 +221,7 @@
 });
 
 // A majority holds an entry of an earlier term, but a replica with a later entry could still be
-// elected and replace it. An operator told "accepted" now would see the change vanish.
+// elected and replace it. An operator who was told "accepted" now would see the change vanish.
 case!(
     an_earlier_terms_entry_commits_with_one_of_this_term,
     Harness::elected(),
@@ -233,7 +235,7 @@
     }
 );
 
-// Two changes of voters at once, or one before the leader knows what is committed, can give two
+// Two changes of voters at once, or one before the leader knows what is committed, could give two
 // leaders majorities that share no replica.
 case!(voters_change_one_at_a_time, Harness::elected(), |harness| {
     let admit = Change::Admit {
@@ -254,7 +256,8 @@
 });
 
 // An operator promotes a replica that hasn't caught up, or removes one without which no majority
-// answers. Either would leave the group unable to bear the next loss, or any command at all.
+// answers. Either would leave the group unable to survive the next loss, or to commit any command
+// at all.
 case!(
     changes_that_would_stop_the_group_are_refused,
     Harness::elected(),
@@ -332,7 +335,7 @@
     }
 );
 
-// Reads come by the thousand while a heartbeat is on its way over a slow link. The answer to it must
+// Thousands of reads arrive while a heartbeat is in flight over a slow link. The answer to it must
 // still count, or a busy leader that everybody follows would lose its quorum.
 case!(
     thousands_of_reads_do_not_cost_the_quorum,
@@ -351,8 +354,8 @@
     }
 );
 
-// Both others answered a moment ago, and one of them is lost now. Who asks whether another one may
-// be taken down must be told no, although the lost one was heard within the election timeout.
+// Both others answered a moment ago, and one of them is lost now. Whoever asks whether another one
+// may be taken down must be told no, although the lost one was heard within the election timeout.
 case!(
     failure_tolerance_since_counts_later_answers_only,
     Harness::elected(),
--- a/crates/zinniastall-coord/tests/start.rs
+++ b/crates/zinniastall-coord/tests/start.rs
@@ -1,4 +1,4 @@
-//! How soon a group has a leader after all of its replicas stopped at once.
+//! Time to the first leader after all replicas of a group stopped at once.
 
 use std::time::{Duration, Instant};
 
@@ -11,7 +11,7 @@
 const HEARTBEAT: Duration = Duration::from_millis(150);
 const ELECTION: Duration = Duration::from_millis(700);
 
-/// Returns the time that the only voter of a group takes to lead after its start.
+/// Returns how long the only voter of a group takes to lead after its start.
 fn time_to_lead(seed: u64, leases: bool) -> Duration {
     let start = Instant::now();
     let builder = Replica::builder(1, Timing::new(HEARTBEAT, ELECTION))
@@ -35,9 +35,9 @@
     now - start
 }
 
-/// All replicas lose power and start again together. With leases each has to wait until a lease that
-/// it may have granted right before has run out; where no leases are used, that wait would be time in
-/// which nobody can change or read the configuration, and starting instances get none.
+/// All replicas lose power and start again together. With leases each must wait until a lease that
+/// it may have granted right before has run out. Without leases that wait would only be time in
+/// which nobody can change or read the configuration and starting instances get none.
 #[test]
 fn without_leases_a_group_leads_soon_after_its_start() {
     for seed in 1..40 {
--- a/crates/zinniastall-coord/tests/ticket.rs
+++ b/crates/zinniastall-coord/tests/ticket.rs
@@ -39,11 +39,12 @@
 
 rejected! {
     expired: |ticket| (issuer(1, 1), ticket, VALIDITY) => Invalid::Expired,
-    // A restarted issuer has lost its marks. Taking its old tickets would run billed work
-    // twice.
+    // A restarted issuer has lost its registry. If it accepted its old tickets, billed work would
+    // run twice.
     issued_by_earlier_run: |ticket| (issuer(2, 2), ticket, Duration::ZERO) => Invalid::OtherIssuer(_),
     other_key: |ticket| (issuer(1, 2), ticket, Duration::ZERO) => Invalid::Forged,
-    // A caller who stretches the expiry could run its request after the mark is gone.
+    // A caller that extends the expiry could run its request after the registry has dropped the
+    // ticket.
     stretched: |ticket| (issuer(1, 1), ticket.replace("~ea60~", "~ffffff~"), Duration::ZERO)
         => Invalid::Forged,
     not_a_ticket: |_| (issuer(1, 1), "a~b".into(), Duration::ZERO) => Invalid::Malformed,
@@ -61,8 +62,8 @@
     assert_eq!(mark(usage("b", 1)), Redemption::Mismatch);
 }
 
-// A burst of tickets fills the table. Forgetting the oldest mark to make room would let its resend
-// run a second time, so new work is refused until marks have expired.
+// A burst of tickets fills the registry. Evicting the oldest entry would let its resend run a
+// second time, so new work is refused until entries have expired.
 #[test]
 fn full_table_refuses_instead_of_forgetting() {
     let mut registry = Registry::new(1);
@@ -89,8 +90,8 @@
         prop_assert!(issuer(1, 1).check(&text, Duration::ZERO).is_err());
     }
 
-    /// Arrivals of a few tickets at any times, checked and then marked as an issuer does: each
-    /// ticket runs at most once, however small the table is.
+    /// A few tickets arrive at any times and are checked and then redeemed, as an issuer does. Each
+    /// ticket runs at most once, however small the registry is.
     #[test]
     fn each_ticket_runs_at_most_once(
         arrivals in prop::collection::vec((0_u64..6, 0_u64..200), 0..60),
