--- a/crates/zinniastall-gateway/src/clock.rs
+++ b/crates/zinniastall-gateway/src/clock.rs
@@ -1,18 +1,20 @@
-//! A clock that goes on while the machine is suspended.
+//! A clock that keeps running while the machine is suspended.
 
 use std::time::Duration;
 
 use nix::time::{ClockId, clock_gettime};
 
-/// Time since the machine started, suspended time included. The steady clock of [`std::time::Instant`] stands
-/// still while a machine is suspended, so that what is measured by it can be older than it looks.
+/// Time since the machine started, including time spent suspended.
+///
+/// [`std::time::Instant`] stops while a machine is suspended, so a duration that it measures can be
+/// shorter than the real one.
 pub type Moment = Duration;
 
-/// Returns the present moment.
+/// Returns the current moment.
 ///
 /// # Panics
 ///
-/// Panics where the kernel has no such clock; all Linux kernels since 2.6.39 have it.
+/// Panics if the kernel has no `CLOCK_BOOTTIME`; Linux has had it since 2.6.39.
 pub fn now() -> Moment {
     let time = clock_gettime(ClockId::CLOCK_BOOTTIME);
     time.expect("the kernel has CLOCK_BOOTTIME").into()
--- a/crates/zinniastall-gateway/src/cluster_state.rs
+++ b/crates/zinniastall-gateway/src/cluster_state.rs
@@ -1,8 +1,8 @@
-//! Merges what control replicas say into one view.
+//! Merges the messages of the control replicas into one view.
 //!
-//! Replicas say what they heard themselves, and any of them may be cut off, restarted or behind. The
-//! rules are: the highest revision wins and never goes back within a run; of two reports of a target
-//! the one that replaces the other; an instance is alive while any linked replica says so.
+//! Each replica tells what it heard itself, and any of them may be cut off, restarted or behind. So
+//! the highest revision wins and never goes back within a run; of two reports of a target, the one
+//! that replaces the other wins; and an instance is alive while any linked replica lists it.
 
 use std::{
     sync::Arc,
@@ -23,20 +23,21 @@
     view::{Target, View},
 };
 
-/// Address of a control replica's links.
+/// Link address of a control replica.
 pub type Replica = String;
 
-/// Time for which a replica's list of instances outlives its link or the subscription to it. Without it, a link
-/// that breaks and opens again would take all of them out of the directory for a moment.
+/// Time for which a replica's list of instances remains valid after its link or subscription ended.
+/// Otherwise a link that breaks and reopens would briefly remove all its instances from the
+/// directory.
 const LIST_TTL: Duration = Duration::from_secs(3);
-/// Time after which a target that reports no more is forgotten. Long before that it is used only when
-/// it answers; until then it may be cut off from the replicas and not from here.
+/// Time after which a target without new reports is forgotten. Long before that, it is used only if
+/// it answers; until then it may be cut off from the replicas but not from this instance.
 const REPORT_TTL: Duration = Duration::from_secs(25);
-/// Time after the end of an evacuation within which a report may still speak of the time before: what
-/// passes on the way from a target over a replica to here.
+/// Time after the end of an evacuation within which a report may still describe the time before it:
+/// a bound on the delay from a target through a replica to this instance.
 const MAX_REPORT_DELAY: Duration = Duration::from_millis(400);
 
-/// What this instance knows of the rest of the system.
+/// Everything that this instance has learned of the system.
 #[derive(Debug)]
 pub struct State {
     instance: id::Instance,
@@ -44,7 +45,7 @@
     configuration: Option<Arc<Configuration>>,
     targets: IndexMap<id::Target, KnownTarget>,
     lists: IndexMap<Replica, InstanceList>,
-    /// Those that are alive, and how many lists that rests on.
+    /// Instances that are alive, and the number of lists that they were merged from.
     instances: Option<(usize, Arc<Instances>)>,
     reopened: IndexMap<id::Zone, Instant>,
     loads: Arc<Loads>,
@@ -56,11 +57,11 @@
     heard_at: Instant,
 }
 
-/// The instances that one replica is linked with.
+/// Instances that one replica is linked to.
 #[derive(Debug, Default)]
 struct InstanceList {
     instances: IndexMap<id::Instance, Presence>,
-    /// Whether the replica is asked for it, so that it tells changes.
+    /// Whether the replica is subscribed to and therefore sends changes.
     is_subscribed: bool,
     ended_at: Option<Instant>,
 }
@@ -73,7 +74,7 @@
 }
 
 impl State {
-    /// Creates the knowledge of an instance that has heard nothing yet.
+    /// Creates the state of an instance that has received nothing yet.
     pub fn new(instance: id::Instance, place: Place) -> Self {
         Self {
             instance,
@@ -97,7 +98,7 @@
         self.configuration.clone()
     }
 
-    /// Takes a configuration, unless it is no newer than the one in force.
+    /// Replaces the configuration if the given one is newer; returns whether it is.
     pub fn apply_configuration(&mut self, configuration: Configuration, now: Instant) -> bool {
         if self.configuration.is_some() && configuration.revision <= self.revision() {
             return false;
@@ -107,8 +108,7 @@
         true
     }
 
-    /// Takes reports of targets; returns those that change what is believed of a target, beyond that it
-    /// is still there.
+    /// Merges reports of targets; returns those that change more than the time of the last report.
     pub fn apply_reports(&mut self, reports: Vec<Report>, now: Instant) -> Vec<Report> {
         let news = reports
             .into_iter()
@@ -134,7 +134,7 @@
         news
     }
 
-    /// Marks targets gone that an earlier run left behind at the address of a new one.
+    /// Marks as gone the targets that earlier runs left behind at the address of a new target.
     fn retire_predecessors(&mut self, report: &Report) {
         for known in self.targets.values_mut() {
             let other = &mut known.report;
@@ -145,8 +145,8 @@
         }
     }
 
-    /// Notes that a replica is asked which instances there are. Until it has told, its list doesn't stand for
-    /// others': it is empty.
+    /// Records that a replica was subscribed to. Until its list arrives, it counts as an empty list
+    /// that has ended, so that it doesn't displace the lists of other replicas.
     pub fn subscribe(&mut self, replica: &str, now: Instant) {
         let unheard = || InstanceList {
             ended_at: Some(now),
@@ -156,10 +156,10 @@
         list.or_insert_with(unheard).is_subscribed = true;
     }
 
-    /// Takes a replica's list of the instances that are alive, or what has changed of it.
+    /// Applies a replica's list of the instances that are alive, or changes to it.
     ///
-    /// One that was on its way when the replica was asked no more is dropped: no change would ever correct it, and
-    /// instances that were starting by it would count as starting for good.
+    /// Messages that arrive after the subscription ended are dropped. No later change would correct
+    /// them, so an instance that was starting at that time would count as starting forever.
     pub fn apply_instances(&mut self, replica: &str, changes: hub::Instances) {
         let Some(list) = self
             .lists
@@ -181,13 +181,14 @@
         self.instances = None;
     }
 
-    /// Takes a replica's word on the load of regions. All replicas are told the same by the same instances, so
-    /// the last word is as good as any.
+    /// Replaces the load of the regions. All replicas get the same information from the same
+    /// instances, so the last message is as good as any.
     pub fn apply_loads(&mut self, loads: Vec<RegionLoad>) {
         self.loads = Arc::new(loads.into_iter().collect());
     }
 
-    /// Notes that a replica says no more of instances: its link broke, or others are asked now.
+    /// Records that a replica sends no more changes, because its link broke or others are
+    /// subscribed to.
     pub fn unsubscribe(&mut self, replica: &str, now: Instant) {
         if let Some(list) = self.lists.get_mut(replica) {
             list.is_subscribed = false;
@@ -195,7 +196,7 @@
         }
     }
 
-    /// Makes the view of what is known now, and forgets what is too old.
+    /// Builds the view of the current state, and forgets targets whose reports are too old.
     pub fn view(&mut self, now: Instant) -> View {
         self.targets
             .retain(|_, known| now.saturating_duration_since(known.heard_at) < REPORT_TTL);
@@ -231,8 +232,10 @@
         Some(reported.max(presumed)).filter(|until| *until > now)
     }
 
-    /// Returns until when a target of a zone that was taken back is to be treated as cold: until it
-    /// says since then that it is not, or for as long as a start takes.
+    /// Returns the time until which a target of a reopened zone is treated as cold.
+    ///
+    /// After an evacuation a target may have become cold without having reported it yet, so it is
+    /// presumed cold until it reports otherwise or the duration of a cold start has passed.
     fn presumed_cold_until(&self, known: &KnownTarget) -> Option<Instant> {
         let reopened = *self.reopened.get(&known.report.place.zone)?;
         if known.heard_at > reopened + MAX_REPORT_DELAY {
@@ -254,8 +257,8 @@
         }
     }
 
-    /// Returns the instances that are alive, made anew only where that may have changed: a list was heard, or
-    /// another number of lists counts than before.
+    /// Returns the instances that are alive. The lists are merged anew only if one of them changed
+    /// or the number of valid lists did.
     fn instances(&mut self, now: Instant) -> Arc<Instances> {
         let current_lists = self.current_lists(now).count();
         let held = self.instances.take();
@@ -265,21 +268,22 @@
         instances
     }
 
-    /// Returns the lists that count.
+    /// Returns the lists that are valid.
     ///
-    /// Where no replica is linked, all are as they were: this instance is the one that is cut off.
+    /// If no replica is linked, this instance is the one that is cut off, and all lists remain
+    /// valid.
     fn current_lists(&self, now: Instant) -> impl Iterator<Item = &InstanceList> {
         let linked = self.lists.values().any(|list| list.ended_at.is_none());
         let lists = self.lists.values();
         lists.filter(move |list| !linked || list.is_fresh(now))
     }
 
-    /// Returns the instances that any replica lists.
+    /// Returns the instances in any valid list.
     fn alive(&self, now: Instant) -> Instances {
         let mut alive: IndexMap<&id::Instance, &Presence> = IndexMap::new();
         for (name, presence) in self.current_lists(now).flat_map(|list| &list.instances) {
             let newer = |held: &&Presence| {
-                // Of two lists on one run, the one that knows of its end is the later.
+                // Of two entries for the same run, the one that is no longer ready is the later.
                 let same = presence.incarnation == held.incarnation;
                 presence.incarnation > held.incarnation || (same && !presence.ready)
             };
--- a/crates/zinniastall-gateway/src/config_fetch.rs
+++ b/crates/zinniastall-gateway/src/config_fetch.rs
@@ -1,8 +1,8 @@
-//! Which control replica is asked for the configuration.
+//! Selects the control replica from which the configuration is fetched.
 //!
-//! A table of hundreds of routes takes a good part of a second on a small instance's link, and what callers send
-//! waits behind it. So one replica is asked at a time, and another one only when it has not answered in time
-//! or its link is gone.
+//! A table of hundreds of routes occupies a small instance's link for a good part of a second and
+//! delays callers' traffic. So one replica is asked at a time, and the next one only when it has
+//! not answered in time or its link is gone.
 //!
 //! # Example
 //!
@@ -23,19 +23,19 @@
 /// Time that a replica has to send the configuration before another one is asked.
 pub const TIMEOUT: Duration = Duration::from_secs(1);
 
-/// The fetch in progress, if there is one.
+/// The fetch in progress, if any.
 #[derive(Debug, Default)]
 pub struct Fetch {
     asked: Option<(Replica, Instant)>,
 }
 
 impl Fetch {
-    /// Takes the turn for a replica, which is to be asked now.
+    /// Starts a fetch from a replica.
     ///
     /// # Errors
     ///
-    /// The time at which to try again, while another fetch is in progress. The replica that was asked last
-    /// comes after all others.
+    /// Returns the time of the next try while another fetch is in progress. The replica that was
+    /// asked last has to wait twice as long as the others, so that they come first.
     pub fn begin(&mut self, replica: &str, now: Instant) -> Result<(), Instant> {
         if let Some((asked, since)) = &self.asked {
             let turns = if asked == replica { 2 } else { 1 };
@@ -48,7 +48,7 @@
         Ok(())
     }
 
-    /// Notes that a replica's link is gone; tells whether a fetch ended with it.
+    /// Records that a replica's link is gone; returns whether that ended the fetch in progress.
     pub fn abandon(&mut self, replica: &str) -> bool {
         let is_asked = self
             .asked
@@ -60,7 +60,7 @@
         is_asked
     }
 
-    /// Notes that a configuration has come.
+    /// Records that a configuration has arrived.
     pub fn finish(&mut self) {
         self.asked = None;
     }
--- a/crates/zinniastall-gateway/src/daemon.rs
+++ b/crates/zinniastall-gateway/src/daemon.rs
@@ -1,4 +1,4 @@
-//! Starts the parts of a gateway instance.
+//! Starts and stops the parts of a gateway instance.
 
 use std::{
     net::{SocketAddr, TcpListener as Listener},
@@ -33,47 +33,47 @@
     view::{Drain, Shared, View},
 };
 
-/// Time between two rounds of housekeeping on the traffic thread.
+/// Interval of the traffic thread's housekeeping.
 const HOUSEKEEPING_INTERVAL: Duration = Duration::from_millis(250);
-/// Time between two looks at whether nothing is in progress any more.
+/// Interval at which a drain checks whether connections are still open.
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// What a gateway instance starts from.
+/// Settings of a gateway instance.
 #[derive(Debug, Clone)]
 pub struct Settings {
-    /// Name of the instance; it survives restarts.
+    /// Name of the instance, which is kept across restarts.
     pub instance: id::Instance,
-    /// Number of this run.
+    /// Incarnation of this run.
     pub incarnation: id::Incarnation,
-    /// Where it runs.
+    /// Place in which it runs.
     pub place: Place,
-    /// Address for callers.
+    /// Address that callers connect to.
     pub callers: SocketAddr,
-    /// Address for instances that pass requests on.
+    /// Address that other instances forward requests to.
     pub forward: SocketAddr,
-    /// Links of control replicas.
+    /// Addresses of the first control replicas to contact.
     pub seeds: Vec<Replica>,
-    /// Names of header fields.
+    /// Header field names of the deployment.
     pub names: Names,
-    /// Times and weights of the deployment.
+    /// Timings and limits of the deployment.
     pub policy: Policy,
 }
 
 /// A running gateway instance.
 #[derive(Debug)]
 pub struct Gateway {
-    /// What it knows of the rest of the system.
+    /// State shared between the threads.
     pub state: Shared,
     /// Links to control replicas.
     pub uplinks: Rc<Uplinks>,
-    /// Counters and histograms.
+    /// Counters, gauges and histograms.
     pub metrics: Metrics,
-    /// Address for callers, as it was bound.
+    /// Bound address that callers connect to.
     pub callers: SocketAddr,
     drain: Option<oneshot::Sender<DrainOrder>>,
 }
 
-/// What the traffic thread tells the control thread.
+/// Load that the traffic thread reports to the control thread.
 #[derive(Debug, Default)]
 struct SharedLoad {
     load: Mutex<Vec<Load>>,
@@ -84,7 +84,7 @@
     ///
     /// # Errors
     ///
-    /// Fails when an address cannot be bound.
+    /// Fails if an address cannot be bound.
     pub fn start(settings: &Settings) -> std::io::Result<Self> {
         let view = View::new(settings.instance.clone(), settings.place.clone());
         let state = Shared::new(view).with_lease(Lease::new(settings.policy.lease));
@@ -125,8 +125,10 @@
         })
     }
 
-    /// Takes no more requests: says so to all, waits until callers have had time to turn elsewhere and
-    /// none is in progress, `longest` at most.
+    /// Stops accepting requests and waits until those in progress have ended.
+    ///
+    /// The drain is announced first. Connections are accepted for `min_wait` more, so that callers
+    /// have time to switch to other instances; the drain ends after `max_wait` at the latest.
     pub async fn drain(&mut self, min_wait: Duration, max_wait: Duration) {
         let since = Instant::now();
         let end = since + max_wait;
@@ -196,7 +198,7 @@
     })
 }
 
-/// Tells the traffic thread to end.
+/// Tells the traffic thread to drain.
 #[derive(Debug)]
 struct DrainOrder {
     min_wait: Duration,
@@ -204,7 +206,7 @@
     done: oneshot::Sender<()>,
 }
 
-/// Serves callers and instances on the traffic thread until it is told to end.
+/// Serves callers and other instances on the traffic thread until it is told to drain.
 async fn run(
     traffic: Rc<Traffic>,
     listeners: [Listener; 2],
@@ -214,7 +216,10 @@
 ) {
     let [callers, forward] = listeners.map(TcpListener::from_std);
     let (Ok(callers), Ok(forward)) = (callers, forward) else {
-        tracing::error!(event = "failed", error = "a listener cannot be registered");
+        tracing::error!(
+            event = "failed",
+            error = "cannot register a listener with the runtime"
+        );
         actix::System::current().stop_with_code(1);
         return;
     };
@@ -263,9 +268,11 @@
     }
 }
 
-/// Ends in order. Connections are taken for as long as callers may not know of the end, and those that
-/// were taken are served to theirs: a process that stopped right after a look at its counts would cut
-/// the request that came between.
+/// Accepts connections until callers have learned of the drain, then waits until the open ones
+/// close.
+///
+/// Connections that were accepted are served to their end. Exiting as soon as the counts read zero
+/// would cut off a request that arrives between the reading and the exit.
 async fn finish(traffic: &Traffic, accepting: [JoinHandle<()>; 2], order: DrainOrder) {
     let since = Instant::now();
     let connections = &traffic.connections;
@@ -281,6 +288,6 @@
     }
     let (requests, open) = (connections.requests(), connections.open());
     tracing::info!(event = "drained", requests, connections = open);
-    // Whoever gave the order may have gone.
+    // The receiver may be gone.
     let _ = order.done.send(());
 }
--- a/crates/zinniastall-gateway/src/freshness.rs
+++ b/crates/zinniastall-gateway/src/freshness.rs
@@ -1,14 +1,14 @@
 //! How long the configuration in force may be relied on.
 //!
-//! A key that was taken away must not open anything a while later, also at an instance that nobody can reach.
-//! So an instance asks the control group, twice a second, which revision it has reached, and notes the moment
-//! at which it asked. When a replica answers with the word of a majority, no change that was accepted before
-//! that moment is missing here, as soon as that revision is in force. From that moment on the configuration
-//! may be relied on for the length of a [`Lease`]: whatever narrows it is accepted after the moment, and has
-//! its own bound from then on.
+//! A revoked key must stop working within a bounded time, even at an instance that is cut off. So
+//! an instance asks the control group twice a second which revision the group has reached, and
+//! remembers when it asked. A replica answers on behalf of a majority; once the revision in the
+//! answer is in force here, no change accepted before the question is missing. From the moment of
+//! the question the configuration may be relied on for the duration of a [`Lease`]. A change that
+//! restricts access and is accepted later gets its own bound from its own time of acceptance.
 //!
-//! Only the instance's own clock counts, one that goes on while the machine is suspended. However late an
-//! answer comes, it is worth no more than the moment of its question.
+//! Only the instance's own clock is used, one that keeps running while the machine is suspended. A
+//! late answer confirms nothing beyond the moment of its question.
 //!
 //! # Example
 //!
@@ -37,19 +37,19 @@
 
 use crate::clock::Moment;
 
-/// Revisions that are waited for at most; the oldest is dropped.
+/// Maximum number of confirmed revisions that are not in force yet; the oldest is dropped.
 const MAX_AWAITED_REVISIONS: usize = 8;
 
-/// Up to when the configuration in force is known to have been the newest.
+/// Tracks until when the configuration in force is known to have been the newest.
 #[derive(Debug, Default)]
 pub struct Freshness {
     confirmed: Option<Moment>,
-    /// Moments by the revision that has to be in force for them.
+    /// Time of the last question, by the revision that has to be in force for it to count.
     awaited: IndexMap<id::Revision, Moment>,
 }
 
 impl Freshness {
-    /// Takes the group's word that it had reached a revision at a moment.
+    /// Records that the group had reached a revision when it was asked.
     pub fn record_answer(&mut self, asked: Moment, reached: id::Revision, held: id::Revision) {
         let moment = self.awaited.entry(reached).or_default();
         *moment = asked.max(*moment);
@@ -59,7 +59,7 @@
         self.set_current(held);
     }
 
-    /// Notes which revision is in force.
+    /// Sets the revision in force.
     pub fn set_current(&mut self, held: id::Revision) {
         self.awaited.retain(|reached, moment| {
             let is_held = *reached <= held;
@@ -79,24 +79,25 @@
 /// Whether a configuration may be relied on.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Trust {
-    /// It may.
+    /// Confirmed within the lease.
     Fresh,
-    /// It has not been confirmed yet since this instance started.
+    /// Not confirmed since this instance started.
     Unconfirmed,
-    /// Its last confirmation is too old.
+    /// Confirmed too long ago.
     Stale,
 }
 
-/// The time up to which the configuration may be relied on; clones share it.
+/// Lease on the configuration; clones share it.
 #[derive(Debug, Clone)]
 pub struct Lease {
     length: Option<Duration>,
-    /// End in milliseconds since the machine started; 0 before the first confirmation.
+    /// Expiry in milliseconds since the machine started; 0 before the first confirmation.
     end_ms: Arc<AtomicU64>,
 }
 
 impl Lease {
-    /// Creates a lease of a length; without one every configuration is relied on for good.
+    /// Creates a lease with a duration; without one, every configuration may be relied on
+    /// indefinitely.
     pub fn new(length: Option<Duration>) -> Self {
         Self {
             length,
@@ -104,13 +105,14 @@
         }
     }
 
-    /// Tells whether confirmations are needed at all.
+    /// Returns whether confirmations are required.
     pub const fn is_needed(&self) -> bool {
         self.length.is_some()
     }
 
-    /// Extends the lease from a moment at which the configuration in force was the newest. To be called once the
-    /// request path sees that configuration.
+    /// Extends the lease from a moment at which the configuration in force was the newest.
+    ///
+    /// Must only be called once the request path sees that configuration.
     pub fn extend(&self, confirmed: Moment) {
         let Some(length) = self.length else {
             return;
@@ -120,7 +122,7 @@
         self.end_ms.fetch_max(end, Ordering::SeqCst);
     }
 
-    /// Tells whether a configuration that is read after this call may be relied on at a moment.
+    /// Returns whether a configuration that is read after this call may be relied on at a moment.
     pub fn trust(&self, now: Moment) -> Trust {
         if self.length.is_none() {
             return Trust::Fresh;
--- a/crates/zinniastall-gateway/src/headers.rs
+++ b/crates/zinniastall-gateway/src/headers.rs
@@ -1,48 +1,52 @@
-//! Names of the header fields with which callers, the gateway and targets speak.
+//! Names of the header fields exchanged between callers, the gateway and targets.
 //!
-//! A deployment's adapter gives its own names; the decisions behind them stay the same.
+//! A deployment's adapter supplies its own names.
 
 use http::HeaderName;
 
-/// Field that says after which event a stream is to go on, as browsers' event sources send it.
+/// Id of the last event that the caller received; a stream resumes after it. Browsers' event
+/// sources send this field.
 pub const LAST_EVENT_ID: HeaderName = HeaderName::from_static("last-event-id");
-/// Field between instances: the sender's configuration revision. Its presence marks a request that
-/// was passed on, which the receiver serves itself or not at all.
+/// Field between instances: the sender's configuration revision.
+///
+/// Its presence marks a forwarded request, which the receiver either serves itself or rejects.
 pub const REVISION: HeaderName = HeaderName::from_static("zs-revision");
-/// Field between instances: how a request ended that the receiver didn't get a target's answer to.
+/// Field between instances: the outcome of a forwarded request when there is no target's answer to
+/// pass on.
 pub const OUTCOME: HeaderName = HeaderName::from_static("zs-outcome");
-/// Field between instances: time after which a request that wasn't run may be sent again, in
+/// Field between instances: delay after which a request that was not run may be retried, in
 /// milliseconds.
 pub const RETRY_MS: HeaderName = HeaderName::from_static("zs-retry-after-ms");
-/// Field between instances: the client account as which a request was identified.
+/// Field between instances: the client account that a request was authenticated as.
 pub const ACCOUNT: HeaderName = HeaderName::from_static("zs-account");
-/// Field between instances: what is known of a request that is suspected of crashing targets, as JSON.
+/// Field between instances: the suspicion against a request that may crash targets, as JSON.
 pub const SUSPICION: HeaderName = HeaderName::from_static("zs-suspicion");
-/// Prefix of the fields between instances; those that a caller sends are dropped.
+/// Prefix of the fields between instances; fields with this prefix are removed from callers'
+/// requests.
 pub const INTERNAL_PREFIX: &str = "zs-";
 
-/// Names of header fields.
+/// Header field names of a deployment.
 #[derive(Debug, Clone)]
 pub struct Names {
     /// Id of a request; targets echo it.
     pub request_id: HeaderName,
-    /// Time that is left for a request, in milliseconds.
+    /// Time left until a request's deadline, in milliseconds.
     pub deadline_ms: HeaderName,
-    /// Target for which a request is meant; another one refuses it.
+    /// Target that a request is addressed to; any other target refuses it.
     pub expected_target: HeaderName,
-    /// Mark of an answer whose request has not run.
+    /// Marks a response to a request that was not run.
     pub not_run: HeaderName,
-    /// Beginnings that a request shares with others, `id:tokens` by commas, in order.
+    /// Prompt prefixes that a request shares with others, in order, as comma-separated `id:tokens`.
     pub prompt_parts: HeaderName,
-    /// Tokens of a request's prompt and the most of its answer, with a comma between.
+    /// Prompt tokens and maximum answer tokens of a request, separated by a comma.
     pub tokens: HeaderName,
-    /// Urgency towards a target, from 0 for the most urgent to 9.
+    /// Priority of a request at a target, from 0 (most urgent) to 9.
     pub priority: HeaderName,
-    /// Client account of a request, for targets.
+    /// Client account of a request, sent to targets.
     pub account: HeaderName,
-    /// Address of a target from which another one copies parts of a prompt that it lacks.
+    /// Address of a target from which the receiving target copies the prompt parts that it lacks.
     pub fetch_from: HeaderName,
-    /// Fields that only the gateway may set towards targets; those that a caller sends are dropped.
+    /// Fields that only the gateway may send to targets; they are removed from callers' requests.
     pub reserved: Vec<HeaderName>,
 }
 
--- a/crates/zinniastall-gateway/src/index.rs
+++ b/crates/zinniastall-gateway/src/index.rs
@@ -1,8 +1,8 @@
-//! Targets, instances and loads in the groups in which the request path asks for them.
+//! Targets, instances and loads, indexed the way the request path looks them up.
 //!
-//! A request is placed among the targets of its service in one region, a dozen or so. Looked for among all targets,
-//! instances and loads of the system, they would take most of a small instance's time; the example `place_cost`
-//! measures that.
+//! A request is placed among the dozen or so targets of its service in one region. Scanning all
+//! targets, instances and loads of the system for them would take most of a small instance's time;
+//! the example `place_cost` measures this.
 
 use indexmap::IndexMap;
 use zinniastall_model::{
@@ -12,11 +12,11 @@
 
 use crate::view::Target;
 
-/// Places in a list, by region.
+/// Positions in a list, by region.
 #[derive(Debug, Clone, Default)]
 struct ByRegion(IndexMap<id::Region, Vec<usize>>);
 
-/// Targets that take requests.
+/// Targets that accept requests.
 #[derive(Debug, Clone, Default)]
 pub struct Targets {
     named: IndexMap<id::Target, Target>,
@@ -30,16 +30,16 @@
     regions: ByRegion,
 }
 
-/// Requests that all instances of a region have at targets of a service.
+/// Load that all instances of a region place on the targets of a service.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Total {
-    /// Requests.
+    /// Requests in flight.
     pub in_flight: u32,
-    /// Expected time to read the prompts of those whose answers have not begun, in microseconds.
+    /// Expected time to read the prompts of requests without a first byte yet, in microseconds.
     pub reading_us: u64,
 }
 
-/// Load of all instances of each region.
+/// Load by service and region.
 #[derive(Debug, Clone, Default)]
 pub struct Loads(IndexMap<id::Service, IndexMap<id::Region, Total>>);
 
@@ -71,7 +71,7 @@
         positions.iter().map(|position| &self.named[*position])
     }
 
-    /// Returns the regions in which a service has targets.
+    /// Returns the regions that have targets of a service.
     pub fn regions(&self, service: &str) -> impl Iterator<Item = &id::Region> {
         let regions = self.services.get(service).into_iter();
         regions.flat_map(|regions| regions.0.keys())
@@ -105,7 +105,7 @@
         positions.map(|position| &self.named[*position])
     }
 
-    /// Returns the instances of a region that take requests.
+    /// Returns the instances of a region that accept requests.
     pub fn ready_in(&self, region: &str) -> impl Iterator<Item = &Presence> {
         self.in_region(region).filter(|presence| presence.ready)
     }
@@ -123,7 +123,7 @@
 }
 
 impl Loads {
-    /// Returns the load of a service in a region.
+    /// Returns the load on a service from the instances of a region.
     pub fn of(&self, service: &str, region: &str) -> Total {
         let regions = self.0.get(service);
         let sum = regions.and_then(|regions| regions.get(region));
--- a/crates/zinniastall-gateway/src/lib.rs
+++ b/crates/zinniastall-gateway/src/lib.rs
@@ -1,9 +1,10 @@
-//! Gateway instance: routes by host and path prefix, from callers to targets, across regions.
+//! Gateway instance: routes requests by host and path prefix, from callers to targets, across
+//! regions.
 //!
-//! One thread, the control arbiter, owns what the instance knows: [`uplink`] keeps links to the
-//! control replicas, [`cluster_state`] merges what they say and [`view`] publishes it as one immutable
-//! value. The traffic thread runs the [`path`] of requests over that value. What it decides stands in
-//! [`decide`], as functions without I/O.
+//! One thread, the control arbiter, owns the instance's knowledge of the system: [`uplink`] keeps
+//! links to the control replicas, [`cluster_state`] merges their messages, and [`view`] publishes
+//! the result as one immutable value. The traffic thread serves requests with the [`path`] module,
+//! which reads that value. Its decisions are pure functions in [`decide`].
 
 pub mod clock;
 pub mod cluster_state;
--- a/crates/zinniastall-gateway/src/locate.rs
+++ b/crates/zinniastall-gateway/src/locate.rs
@@ -1,4 +1,4 @@
-//! Tells callers which instances to use.
+//! Tells callers which instances to connect to.
 
 use std::time::Duration;
 
@@ -6,30 +6,30 @@
 
 use crate::view::View;
 
-/// Most addresses of one answer.
+/// Maximum number of addresses in a listing.
 const MAX_ADDRESSES: usize = 64;
-/// Instances that a zone needs for its callers to be sent to it alone; a single one would take them
-/// all down with it.
+/// Ready instances that a zone needs for its callers to be sent to that zone alone; a single
+/// instance would take all of them down with it.
 const MIN_ZONE_INSTANCES: usize = 3;
-/// Time for which an answer holds. Callers of an instance that stops come back for another answer
-/// after that at the latest.
+/// Time for which a listing is valid. It bounds how long callers keep using an instance that stops.
 const LISTING_TTL: Duration = Duration::from_secs(2);
 
-/// Where a caller should connect.
+/// Addresses that a caller should connect to.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Listing {
-    /// Addresses, all equally good.
+    /// Addresses of the instances, in no order of preference.
     pub addresses: Vec<String>,
-    /// Time for which they hold.
+    /// Time for which the listing is valid.
     pub valid: Duration,
 }
 
-/// Lists instances for a caller of a host in a region and zone; none while no routes are known.
+/// Lists instances for callers of a host in a region and zone; the listing is empty while no routes
+/// are known.
 ///
-/// Those of the caller's own region come first: its requests may enter there whatever their homes
-/// are. If none is ready, the regions come next in which most routes of the host may run, and among
-/// equals all. An instance of the caller's region that drains still serves, and comes before a region
-/// that some routes may not enter.
+/// Ready instances of the caller's own region come first, whatever the homes of the routes: any
+/// request may enter there. If there are none, ready instances of the regions in which all routes
+/// of the host may run follow, then draining instances of the caller's region, which still serve,
+/// and last the ready instances of the regions that permit the most routes.
 pub fn list(view: &View, host: &str, region: &str, zone: &str) -> Listing {
     let Some(table) = view.table() else {
         return Listing::of(Vec::new());
@@ -82,7 +82,7 @@
     fitting.copied().collect()
 }
 
-/// Tells whether a route of a host is bound to homes.
+/// Returns whether a route of a host is restricted to home regions.
 fn is_bound(route: &Route, host: &str) -> bool {
     route.host.eq_ignore_ascii_case(host) && !route.homes.is_empty()
 }
--- a/crates/zinniastall-gateway/src/metrics.rs
+++ b/crates/zinniastall-gateway/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Counters and histograms of a gateway instance.
+//! Counters, gauges and histograms of a gateway instance.
 
 use std::sync::{
     Arc, Mutex, PoisonError,
@@ -11,47 +11,47 @@
 
 use crate::request_log::End;
 
-/// Routes that have figures of their own; further ones are counted together. Operators add hundreds
-/// of routes, and each costs some kilobytes in every instance.
+/// Routes with a label of their own; all others share [`OTHER_LABEL`]. Operators add hundreds of
+/// routes, and each label costs some kilobytes on every instance.
 const MAX_ROUTE_LABELS: usize = 64;
-/// Client accounts that have figures of their own; further ones are counted together.
+/// Client accounts with a label of their own; all others share [`OTHER_LABEL`].
 const MAX_ACCOUNT_LABELS: usize = 64;
-/// Name under which further routes and accounts are counted.
+/// Label shared by the routes and accounts beyond the limits.
 const OTHER_LABEL: &str = "other";
 
-/// Which requests a figure is about.
+/// Labels of finished requests.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
 struct RequestLabels {
     route: String,
     outcome: &'static str,
 }
 
-/// A route.
+/// Labels of the latencies of a route.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
 struct RouteLabels {
     route: String,
 }
 
-/// Units of a client account's quota.
+/// Labels of the units charged to a client account's quota.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
 struct UnitLabels {
     account: String,
     outcome: &'static str,
 }
 
-/// What becomes of requests that are suspected of crashing targets.
+/// Labels of events of requests that are suspected of crashing targets.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
 struct SuspectLabels {
     event: &'static str,
 }
 
-/// How attempts end.
+/// Labels of finished attempts.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
 struct AttemptLabels {
     outcome: &'static str,
 }
 
-/// Figures of one instance; clones count into the same.
+/// Metrics of one instance; clones share them.
 #[derive(Debug, Clone)]
 pub struct Metrics {
     page: Page,
@@ -79,7 +79,7 @@
 }
 
 impl Metrics {
-    /// Creates figures that are all zero.
+    /// Creates metrics that are all zero.
     pub fn new() -> Self {
         let mut page = Builder::new("zinniastall_gateway");
         Self {
@@ -111,7 +111,7 @@
         }
     }
 
-    /// Counts a request that has ended.
+    /// Counts a finished request.
     pub fn count_request(&self, route: &str, end: &End<'_>) {
         let route = bounded_label(&self.routes, route, MAX_ROUTE_LABELS);
         self.request_count.fetch_add(1, Ordering::Relaxed);
@@ -134,14 +134,14 @@
             .inc();
     }
 
-    /// Counts an attempt that has ended.
+    /// Counts a finished attempt.
     pub fn count_attempt(&self, outcome: &'static str) {
         self.attempts
             .get_or_create(&AttemptLabels { outcome })
             .inc();
     }
 
-    /// Counts units of a client account's quota that a request was let in or refused for.
+    /// Counts units of a client account's quota for which a request was admitted or refused.
     pub fn count_units(&self, account: &str, units: u64, admitted: bool) {
         let unit_labels = UnitLabels {
             account: bounded_label(&self.accounts, account, MAX_ACCOUNT_LABELS),
@@ -150,43 +150,43 @@
         self.units.get_or_create(&unit_labels).inc_by(units);
     }
 
-    /// Counts what becomes of a request that is suspected of crashing targets: `crashed`, `cleared`, `quarantined` or
-    /// `rejected`.
+    /// Counts an event of a request that is suspected of crashing targets: `crashed`, `cleared`,
+    /// `quarantined` or `rejected`.
     pub fn count_suspect(&self, event: &'static str) {
         self.suspects.get_or_create(&SuspectLabels { event }).inc();
     }
 
-    /// Sets how many requests are quarantined.
+    /// Sets the number of quarantined requests.
     pub fn set_quarantined(&self, requests: usize) {
         self.quarantined.set(requests as u64);
     }
 
-    /// Sets what is known at present.
+    /// Sets the revision in force and the numbers of ready targets and instances.
     pub fn set_known(&self, revision: u64, targets: usize, instances: usize) {
         self.revision.set(revision);
         self.targets.set(targets as u64);
         self.instances.set(instances as u64);
     }
 
-    /// Sets the connections that are open.
+    /// Sets the number of open connections.
     pub fn set_connections(&self, connections: usize) {
         self.connections.set(connections as u64);
     }
 
-    /// Returns the requests counted so far.
+    /// Returns the number of requests counted so far.
     pub fn request_count(&self) -> u64 {
         self.request_count.load(Ordering::Relaxed)
     }
 
-    /// Writes all figures as text.
+    /// Encodes all metrics as text.
     pub fn text(&self) -> String {
         self.page.text()
     }
 }
 
-/// Returns a name, or [`OTHER_LABEL`] where `most` others have figures of their own already.
+/// Returns the name, or [`OTHER_LABEL`] if `max` other names have a label already.
 fn bounded_label(names: &Mutex<IndexSet<String>>, name: &str, max: usize) -> String {
-    // A panic while a name was added leaves the set as usable as before.
+    // A panic during an insertion leaves the set valid, so a poisoned lock is no error.
     let mut names = names.lock().unwrap_or_else(PoisonError::into_inner);
     if names.contains(name) {
         return name.to_owned();
--- a/crates/zinniastall-gateway/src/neighbours.rs
+++ b/crates/zinniastall-gateway/src/neighbours.rs
@@ -1,13 +1,16 @@
-//! What the other instances of this region have in progress at each target, told by datagram.
+//! Exchange of datagrams between the instances of the system: requests in flight at each target,
+//! use of quotas, and requests suspected of crashing targets.
 //!
-//! Instances that share targets place by what they know of each other's requests. Over the control
-//! replicas that is half a second old and a sum; in a burst all of them then turn to the same target.
-//! A datagram ten times a second says it by target.
+//! Instances that share targets have to know each other's requests when they place their own. By
+//! way of the control replicas that information is a sum over all targets and half a second old, so
+//! in a burst all instances would choose the same target. Load reports by target, sent ten times a
+//! second, prevent this.
 //!
-//! In a small region each instance sends its load report to all others. In a large one that would grow with
-//! the square, so reports go to two collectors of the zone ([`collector`]), and the first of them that is
-//! alive returns the sum over the region. Each instance sends and gets as many datagrams in a region of
-//! hundreds as in one of ten.
+//! In a small region each instance sends its load report to all others. In a large region the
+//! traffic would grow with the square of the number of instances, so reports go to two collectors
+//! in the zone ([`collector`]), and the first live one returns the sum over the region. Each
+//! instance thus sends and receives as many datagrams in a region of hundreds as in a region of
+//! ten.
 
 pub mod claims;
 pub mod collector;
@@ -42,26 +45,27 @@
     view::{Shared, View},
 };
 
-/// Time between two reports while requests are in progress.
+/// Interval of load reports while requests are in flight.
 pub const REPORT_INTERVAL: Duration = Duration::from_millis(100);
-/// Age at which a report counts no more: several datagrams were lost, or its sender is gone.
+/// Age at which a load report expires: several datagrams were lost, or its sender is gone.
 const REPORT_TTL: Duration = Duration::from_millis(600);
-/// Age at which a sum over the region counts no more. It is longer, since without any sum all instances would
-/// turn to the same target: in it an instance learns that both collectors are gone, and who takes their place.
+/// Age at which a region's sum expires. Without any sum all instances would choose the same target,
+/// so this is long enough to learn that both collectors are gone and which instances replace them.
 const SUM_TTL: Duration = Duration::from_secs(3);
-/// Time for which news of suspects is gathered: all connections to a target that crashes break within it.
+/// Time for which news of suspects is collected. All connections to a target that crashes break
+/// within this time.
 const SUSPECT_BATCH_DELAY: Duration = Duration::from_millis(10);
-/// Silence of the first collector after which the second one takes its place.
+/// Silence of the first collector after which the second one takes over.
 const TAKEOVER_TIMEOUT: Duration = Duration::from_millis(300);
-/// Own reports that are remembered, to be taken off the sums that contain them.
+/// Own load reports that are kept, to be subtracted from the sums that include them.
 const MAX_OWN_REPORTS: usize = 16;
 
-/// Requests at one target.
+/// Load of one target.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Load {
-    /// Requests.
+    /// Requests in flight.
     pub in_flight: u32,
-    /// Expected time to read the prompts of those whose answers have not begun, in microseconds.
+    /// Expected time to read the prompts of requests whose answers have not begun, in microseconds.
     pub reading_us: u64,
 }
 
@@ -79,34 +83,35 @@
 /// Loads by target.
 pub type Loads = IndexMap<Key, Load>;
 
-/// A datagram and the instances to which it goes.
+/// A datagram and its recipients.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Outgoing {
-    /// Names of the instances.
+    /// Names of the receiving instances.
     pub to: Vec<id::Instance>,
-    /// What they are sent.
+    /// The datagram.
     pub datagram: Datagram,
 }
 
-/// A sum over the region.
+/// Sum of the loads of all instances of the region.
 #[derive(Debug)]
 struct RegionSum {
     round: Round,
-    /// Own report that it contains; 0 for none.
+    /// Round of the own report that the sum includes; 0 for none.
     included: Round,
     since: Instant,
     loads: Loads,
 }
 
-/// What the neighbours reported last, and what is due to them.
+/// Loads that the neighbours reported, and the state of this instance's own reports.
 #[derive(Debug, Default)]
 pub struct Neighbours {
-    /// Reports of single instances: of all of a small region, or of the zone for which this one collects.
+    /// Reports of single instances: of all instances in a small region, and otherwise of the zone
+    /// that this instance collects for.
     reports: Reports<id::Instance>,
-    /// Sums of the region's other zones, for a collector.
+    /// Sums of the region's other zones, if this instance is a collector.
     zones: Reports<id::Zone>,
     sum: Option<RegionSum>,
-    /// When a collector's sum last came.
+    /// When the last sum from a collector arrived.
     last_sum_at: Option<Instant>,
     own: IndexMap<Round, Loads>,
     round: Round,
@@ -115,7 +120,7 @@
 }
 
 impl Neighbours {
-    /// Returns what the neighbours have at a target.
+    /// Returns the load of all neighbours at a target.
     pub fn load_at(&self, target: &str, now: Instant) -> Load {
         let key = key(target);
         let fresh = |sum: &&RegionSum| now.saturating_duration_since(sum.since) < SUM_TTL;
@@ -132,7 +137,7 @@
         }
     }
 
-    /// Takes a datagram in.
+    /// Merges a load datagram; ignores other datagrams.
     pub fn receive(&mut self, datagram: Datagram, now: Instant) {
         match datagram {
             Datagram::Report { instance, part } => self.reports.receive(instance, &part, now),
@@ -158,9 +163,10 @@
         self.last_sum_at = Some(now);
     }
 
-    /// Returns what is to be sent in this round, in which this instance has some load.
+    /// Starts a round with the current load of this instance; returns the datagrams to send.
     ///
-    /// Nothing is sent while no request is in progress, but for one empty report when the last one ends.
+    /// Nothing is sent while no requests are in flight, except for one empty report after the last
+    /// one ends.
     pub fn round(&mut self, roster: &Roster, own: Loads, now: Instant) -> Vec<Outgoing> {
         self.round = self.round.wrapping_add(1).max(1);
         let is_busy = !own.is_empty();
@@ -196,7 +202,8 @@
         parts(self.round, own).into_iter().map(report).collect()
     }
 
-    /// Sums what the zone has, tells it to the collectors of other zones, and the region's sum to the zone.
+    /// Sums the reports of the zone; returns the zone's sum for the collectors of other zones and
+    /// the region's sum for the instances of this zone.
     fn collect(&mut self, roster: &Roster, now: Instant) -> Vec<Outgoing> {
         self.reports.expire(now, REPORT_TTL);
         self.zones.expire(now, REPORT_TTL);
@@ -208,7 +215,7 @@
         let zone = self.reports.sum();
         let mut region = zone.clone();
         add(&mut region, &self.zones.sum());
-        // When the last request of the region ends, that is told once.
+        // An empty sum is sent once, when the last request in the region has ended.
         let was_busy = std::mem::replace(&mut self.was_region_busy, !region.is_empty());
         if region.is_empty() && !was_busy {
             return Vec::new();
@@ -253,27 +260,27 @@
     }
 }
 
-/// What an instance tells the others, and hears from them.
+/// State that the exchange with other instances reads and updates.
 #[derive(Debug)]
 pub struct Context {
-    /// What the request path knows of the rest of the system.
+    /// State shared between the threads.
     pub state: Shared,
-    /// Requests at targets.
+    /// Requests in flight at targets.
     pub tracker: Rc<RefCell<Tracker>>,
-    /// The neighbours' requests at targets.
+    /// Loads that the neighbours reported.
     pub neighbours: Rc<RefCell<Neighbours>>,
-    /// What they have sent to targets within the last moments.
+    /// Recent claims of targets.
     pub claims: Rc<Claims>,
     /// Use of client accounts' quotas.
     pub quotas: Rc<RefCell<Quotas>>,
-    /// Requests that are suspected of crashing targets.
+    /// Requests suspected of crashing targets.
     pub suspects: Rc<RefCell<Suspects>>,
-    /// Says that the others have to be told of a suspect.
+    /// Notified when there is news of suspects to send.
     pub news: Rc<Notify>,
 }
 
 impl Context {
-    /// Takes what another instance knows of suspects.
+    /// Merges suspicions that another instance sent.
     fn receive_suspects(&self, roster: &Roster, part: &suspicions::Part, for_all: bool) {
         let mut suspects = self.suspects.borrow_mut();
         let now = Instant::now();
@@ -285,7 +292,7 @@
         }
     }
 
-    /// Returns what is to be sent of the use of quotas in this round; nothing where no account has one.
+    /// Returns the quota datagrams to send in this round; none if no account has a quota.
     fn usage(&self, exchange: &mut Exchange, roster: &Roster, now: Instant) -> Vec<Outgoing> {
         let view = self.state.view();
         let accounts = view.table().and_then(|table| table.accounts.as_ref());
@@ -331,7 +338,7 @@
     }
 }
 
-/// Tells the others and hears them, for ever.
+/// Exchanges datagrams with the other instances; never returns.
 pub async fn run(socket: Rc<UdpSocket>, context: Context) {
     let Context {
         state,
@@ -355,7 +362,7 @@
         tokio::select! {
             received = socket.recv_from(&mut buffer) => {
                 let Ok((length, sender)) = received else { continue };
-                // Whatever is not a neighbour's datagram is dropped; the next one comes soon.
+                // Malformed datagrams are dropped; the next valid one follows soon.
                 let Ok(datagram) = Datagram::decode(&buffer[..length]) else { continue };
                 let now = Instant::now();
                 match datagram {
@@ -368,7 +375,9 @@
                         let load = Load { in_flight, reading_us };
                         claims.receive_answer(number, load);
                     }
-                    Datagram::Used { .. } | Datagram::ZoneUsed { .. } | Datagram::AllUsed { .. } => {
+                    Datagram::Used { .. }
+                    | Datagram::ZoneUsed { .. }
+                    | Datagram::AllUsed { .. } => {
                         if exchange.receive(datagram, now) {
                             let totals = exchange.totals().clone();
                             quotas.borrow_mut().hear(totals, now);
@@ -378,7 +387,8 @@
                         context.receive_suspects(&roster, &part, for_all);
                     }
                     Datagram::SuspectSum { digest, is_answer } => {
-                        let answers = suspicions::answers(&roster, &suspects.borrow(), digest, is_answer);
+                        let answers =
+                            suspicions::answers(&roster, &suspects.borrow(), digest, is_answer);
                         for answer in answers {
                             send(&socket, &answer, [sender]).await;
                         }
@@ -389,7 +399,9 @@
             () = news.notified(), if suspects_due.is_none() => {
                 suspects_due = Some(time::Instant::now() + SUSPECT_BATCH_DELAY);
             }
-            () = time::sleep_until(suspects_due.unwrap_or_else(time::Instant::now)), if suspects_due.is_some() => {
+            () = time::sleep_until(suspects_due.unwrap_or_else(time::Instant::now)),
+                if suspects_due.is_some() =>
+            {
                 suspects_due = None;
                 let outgoing = suspicions::news(&roster, &mut suspects.borrow_mut());
                 send_all(&socket, &state.view(), outgoing).await;
@@ -399,7 +411,9 @@
                 let view = state.view();
                 let own = tracker.borrow().by_target();
                 let own = own.into_iter().map(|(target, load)| (key(&target), load));
-                if roster.instance().is_empty() || !Arc::ptr_eq(&known_view.instances, &view.instances) {
+                if roster.instance().is_empty()
+                    || !Arc::ptr_eq(&known_view.instances, &view.instances)
+                {
                     roster = Roster::new(&view);
                     known_view = Arc::clone(&view);
                 }
@@ -437,7 +451,7 @@
         }
     };
     for address in addresses {
-        // A lost datagram is replaced by the next one.
+        // A lost datagram is superseded by the next one.
         let _ = socket.send_to(&bytes, address).await;
     }
 }
--- a/crates/zinniastall-gateway/src/neighbours/claims.rs
+++ b/crates/zinniastall-gateway/src/neighbours/claims.rs
@@ -1,14 +1,17 @@
-//! Claims: an instance of a large region asks, before it sends a request to a target, what the others have sent
-//! there within the last moments.
+//! Claims of targets in large regions.
 //!
-//! Sums of load reports are some 150 ms old in a region of a hundred instances. In that time dozens of long
-//! prompts are placed, and those that see the same free target all go there; streams that run at it then stand
-//! still while it reads one prompt after the other. So each target has a coordinator, the instance that
-//! rendezvous hashing picks, which counts the claims of the last moments. Its answer takes a round trip inside
-//! the region, and what it counts fades by itself: nothing has to be given back, handed over or kept.
+//! Before an instance sends a request to a target, it asks the target's coordinator what the other
+//! instances have sent there in the last moments.
 //!
-//! A coordinator that is gone, frozen or believed to be another one costs some milliseconds or an undercount,
-//! never a request: who gets no answer places by the sums alone.
+//! In a region of a hundred instances the sums of load reports are about 150 ms old. In that time
+//! dozens of long prompts are placed, all of them at the target that looks idle, and the streams
+//! running there stall while it reads one prompt after the other. So each target has a coordinator,
+//! chosen by rendezvous hashing, which counts recent claims. Its answer takes one round trip within
+//! the region. Claims expire by themselves, so nothing has to be released, handed over or stored.
+//!
+//! If the coordinator is gone or frozen, or instances disagree on which one it is, the cost is a
+//! few milliseconds or an undercount, but never a request: without an answer, an instance places by
+//! the sums alone.
 
 use std::{
     cell::{Cell, RefCell},
@@ -28,23 +31,25 @@
 };
 use crate::{decide::warm, view::View};
 
-/// Time for which a claim counts at its coordinator: until sums contain the request mostly.
+/// Time for which a claim counts at the coordinator. By then most sums include the request.
 const CLAIM_TTL: Duration = Duration::from_millis(150);
-/// Longest wait for a coordinator's answer: a few round trips between zones of a region.
+/// Timeout for a coordinator's answer: a few round trips between the zones of a region.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(12);
-/// Time for which a coordinator that gave no answer isn't asked again.
+/// Time for which a coordinator that did not answer isn't asked again.
 const SILENT_BACKOFF: Duration = Duration::from_millis(500);
-/// Claims of one target that are remembered; a target gets a few hundred requests a second at most.
+/// Maximum number of claims remembered for one target; a target gets at most a few hundred requests
+/// a second.
 const MAX_CLAIMS_PER_TARGET: usize = 256;
 
-/// Claims of the last moments, as the coordinator of their targets counts them.
+/// Recent claims of the targets that this instance coordinates.
 #[derive(Debug, Default)]
 pub struct History {
     claims: IndexMap<Key, VecDeque<(Instant, u64)>>,
 }
 
 impl History {
-    /// Notes a claim of one request; returns what was claimed of the target in the moments before.
+    /// Records a claim for one request; returns the load claimed of the target in the moments
+    /// before.
     pub fn claim(&mut self, target: Key, reading_us: u64, now: Instant) -> Load {
         let is_live = |since: Instant| now.saturating_duration_since(since) < CLAIM_TTL;
         let claims = self.claims.entry(target).or_default();
@@ -69,7 +74,7 @@
     }
 }
 
-/// Claims of this instance that wait for their coordinators' answers, and those that it coordinates.
+/// Claims of this instance that await answers, and claims that it coordinates.
 #[derive(Debug, Default)]
 pub struct Claims {
     socket: RefCell<Option<Rc<UdpSocket>>>,
@@ -80,13 +85,13 @@
 }
 
 impl Claims {
-    /// Sets the socket over which coordinators are asked; without one no claims are made.
+    /// Sets the socket used to ask coordinators; without one no claims are made.
     pub fn set_socket(&self, socket: Rc<UdpSocket>) {
         self.socket.replace(Some(socket));
     }
 
-    /// Claims a target for a request; returns what others claimed of it in the moments before, or nothing where
-    /// nobody can tell.
+    /// Claims a target for a request; returns the load that others claimed in the moments before,
+    /// or `None` if no coordinator answers.
     pub async fn claim(&self, view: &View, target: &str, reading_us: u64) -> Option<Load> {
         let socket = self.socket.borrow().clone()?;
         let names = view.instances.ready_in(&view.place.region);
@@ -127,7 +132,7 @@
         let bytes = claim.encode().ok()?;
         let (answer, answered) = oneshot::channel();
         self.pending.borrow_mut().insert(number, answer);
-        // A claim that can't be sent is like one that isn't answered.
+        // A claim that can't be sent is handled like one without an answer.
         let _ = socket.send_to(&bytes, address).await;
         let answered = time::timeout(ANSWER_TIMEOUT, answered).await;
         self.pending.borrow_mut().swap_remove(&number);
@@ -141,7 +146,7 @@
             .is_some_and(|until| *until > Instant::now())
     }
 
-    /// Takes another instance's claim in; returns the answer.
+    /// Records another instance's claim; returns the answer.
     pub fn receive_claim(
         &self,
         number: u32,
@@ -158,21 +163,21 @@
         }
     }
 
-    /// Takes a coordinator's answer in.
+    /// Completes the claim that a coordinator has answered.
     pub fn receive_answer(&self, number: u32, load: Load) {
         if let Some(pending) = self.pending.borrow_mut().swap_remove(&number) {
-            // Who asked may have given up in this moment.
+            // The receiver may have given up at this moment.
             let _ = pending.send(load);
         }
     }
 
-    /// Forgets what is too old.
+    /// Forgets expired claims and backoffs.
     pub fn expire(&self, now: Instant) {
         self.history.borrow_mut().expire(now);
         self.silent_until
             .borrow_mut()
             .retain(|_, until| *until > now);
-        // A request whose caller has left waits no more.
+        // A request whose caller has left no longer awaits its answer.
         let mut pending = self.pending.borrow_mut();
         pending.retain(|_, answer| !answer.is_closed());
     }
--- a/crates/zinniastall-gateway/src/neighbours/collector.rs
+++ b/crates/zinniastall-gateway/src/neighbours/collector.rs
@@ -1,26 +1,27 @@
-//! Who collects load reports in a large region.
+//! Selects the instances that collect load reports in a large region.
 //!
-//! Every instance works it out alike from the list of instances, by rendezvous hashing, so that no word between
-//! them is needed. While lists differ, two instances may both take themselves for the first collector:
-//! either's sum is right, and instances take whichever came last.
+//! Every instance derives the collectors from the list of instances by rendezvous hashing, without
+//! communication. While lists differ, two instances may both act as the first collector; the sums
+//! of both are correct, and instances use whichever arrived last.
 
 use indexmap::{IndexMap, IndexSet};
 use zinniastall_model::{id, place::Place, presence::Presence};
 
 use crate::{decide::warm::weight, view::View};
 
-/// Neighbours up to which each instance reports to all others: reports to all grow with the square.
+/// Maximum number of neighbours for which each instance reports to all others; that traffic grows
+/// with the square of the number.
 const MAX_DIRECT_NEIGHBOURS: usize = 8;
-/// Collectors of a zone: one that works, and one that takes over when it falls silent.
+/// Collectors in a zone: an active one, and one that takes over when the first falls silent.
 const COLLECTORS_PER_ZONE: usize = 2;
 
-/// Tells whether the region has so few instances that each reports to all others.
+/// Returns whether the region is small enough for each instance to report to all others.
 pub fn is_small(view: &View) -> bool {
     let mut near = view.instances.in_region(&view.place.region);
     near.nth(MAX_DIRECT_NEIGHBOURS + 1).is_none()
 }
 
-/// The instances of this region, as far as reports are concerned.
+/// Members of the system and their roles in the exchange of reports, as seen from this instance.
 #[derive(Debug, Clone, Default)]
 pub struct Roster {
     instance: id::Instance,
@@ -35,7 +36,7 @@
 }
 
 impl Roster {
-    /// Works out who reports to whom.
+    /// Derives the roles from a view.
     pub fn new(view: &View) -> Self {
         let near: Vec<&Presence> = view.instances.in_region(&view.place.region).collect();
         let is_other = |held: &&&Presence| held.instance != view.instance;
@@ -68,32 +69,32 @@
         roster
     }
 
-    /// Returns this instance.
+    /// Returns the name of this instance.
     pub const fn instance(&self) -> &id::Instance {
         &self.instance
     }
 
-    /// Returns its zone.
+    /// Returns the zone of this instance.
     pub const fn zone(&self) -> &id::Zone {
         &self.zone
     }
 
-    /// Tells whether each instance reports to all others.
+    /// Returns whether each instance reports to all others of the region.
     pub const fn is_small(&self) -> bool {
         self.neighbours.len() <= MAX_DIRECT_NEIGHBOURS
     }
 
-    /// Tells whether this instance is a collector of its zone.
+    /// Returns whether this instance is a collector of its zone.
     pub fn is_collector(&self) -> bool {
         self.own_collectors.contains(&self.instance)
     }
 
-    /// Tells whether it is the first one.
+    /// Returns whether this instance is the first collector of its zone.
     pub fn is_first_collector(&self) -> bool {
         self.own_collectors.first() == Some(&self.instance)
     }
 
-    /// Returns the instances to which this one reports its load.
+    /// Returns the recipients of this instance's load reports.
     pub fn report_recipients(&self) -> Vec<id::Instance> {
         if self.is_small() {
             return self.neighbours.clone();
@@ -101,7 +102,7 @@
         self.peer_collectors()
     }
 
-    /// Returns the collectors of its zone but for itself.
+    /// Returns the collectors of this zone, without this instance.
     pub fn peer_collectors(&self) -> Vec<id::Instance> {
         let collectors = self.own_collectors.iter();
         let others = collectors.filter(|name| **name != self.instance);
@@ -113,44 +114,44 @@
         &self.region_collectors
     }
 
-    /// Returns the collectors of the zones of other regions.
+    /// Returns the collectors of all zones of other regions.
     pub fn remote_collectors(&self) -> &[id::Instance] {
         &self.remote_collectors
     }
 
-    /// Tells whether an instance is alive.
+    /// Returns whether an instance is alive.
     pub fn contains(&self, instance: &str) -> bool {
         self.instances.contains(instance)
     }
 
-    /// Returns how many instances are alive, in all regions.
+    /// Returns the number of live instances in all regions.
     pub fn len(&self) -> usize {
         self.instances.len()
     }
 
-    /// Tells whether no instance is known.
+    /// Returns whether no live instance is known.
     pub fn is_empty(&self) -> bool {
         self.instances.is_empty()
     }
 
-    /// Tells whether a zone has instances that are alive.
+    /// Returns whether a zone has live instances.
     pub fn contains_zone(&self, zone: &str) -> bool {
         self.zones.contains(zone)
     }
 
-    /// Returns how many zones have instances that are alive.
+    /// Returns the number of zones that have live instances.
     pub fn zones(&self) -> usize {
         self.zones.len()
     }
 
-    /// Returns the other instances of the zone.
+    /// Returns the other instances of this zone.
     pub fn zone_members(&self) -> &[id::Instance] {
         &self.zone_members
     }
 }
 
-/// Returns the collectors of a zone, the first one first. One that drains is about to end, and collects only
-/// where no other one is left.
+/// Returns the collectors of a zone, the first collector first. A draining instance is about to
+/// end, so it collects only if no other is left.
 fn collectors(mut members: Vec<&Presence>, zone: &str) -> Vec<id::Instance> {
     members.sort_by_cached_key(|held| (held.ready, weight(zone, &held.instance)));
     let first = members.into_iter().rev().take(COLLECTORS_PER_ZONE);
--- a/crates/zinniastall-gateway/src/neighbours/datagram.rs
+++ b/crates/zinniastall-gateway/src/neighbours/datagram.rs
@@ -1,4 +1,4 @@
-//! The datagrams between instances of a region.
+//! Datagrams that instances exchange.
 
 use std::io;
 
@@ -8,128 +8,130 @@
 use super::{Load, Loads, suspicions, usage};
 use crate::decide::warm;
 
-/// Longest datagram, in bytes; one that is longer would be cut into packets and lost with any of them.
+/// Maximum length of a datagram, in bytes. A longer one would be fragmented, and lost with any of
+/// its fragments.
 pub const MAX_DATAGRAM_BYTES: usize = 1_400;
-/// Targets of one datagram: each takes 16 bytes at most.
+/// Maximum number of targets in one datagram; each takes at most 16 bytes.
 const MAX_TARGETS_PER_DATAGRAM: usize = 75;
 
-/// Number of a round of one instance; the same in all parts that are sent at once.
+/// Number of a sender's round, the same in all parts that it sends at once.
 pub type Round = u32;
 
-/// A target, as datagrams name it: a hash of its name. Where two of a region's targets share one, each counts
-/// for the other's load as well, until one of them ends.
+/// Hash of a target's name, which identifies the target in datagrams. If two targets of a region
+/// have the same hash, each also counts the other's load until one of them ends.
 pub type Key = u32;
 
-/// Loads at some targets: target, requests, reading time in milliseconds.
+/// Loads of some targets.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Part {
-    /// Turn of the sender.
+    /// Round of the sender.
     #[serde(rename = "t")]
     pub round: Round,
     #[serde(rename = "l")]
     loads: Vec<(Key, u32, u32)>,
 }
 
-/// A datagram.
+/// A datagram between instances.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum Datagram {
-    /// What one instance has in progress.
+    /// Load of one instance.
     #[serde(rename = "i")]
     Report {
-        /// Instance.
+        /// Reporting instance.
         #[serde(rename = "n")]
         instance: id::Instance,
-        /// Its loads.
+        /// Load by target.
         #[serde(rename = "p")]
         part: Part,
     },
-    /// What the instances of one zone have, from one of its collectors to those of other zones.
+    /// Sum of a zone, from its collector to the collectors of the region's other zones.
     #[serde(rename = "z")]
     Zone {
-        /// Zone.
+        /// Zone of the sum.
         #[serde(rename = "n")]
         zone: id::Zone,
-        /// Sum of its instances' loads.
+        /// Sum of the loads of the zone's instances.
         #[serde(rename = "p")]
         part: Part,
     },
-    /// What all instances of the region have, from a collector to an instance of its zone.
+    /// Sum of the region, from a collector to an instance of its zone.
     #[serde(rename = "r")]
     Region {
-        /// Turn of the receiver's report that the sum contains; 0 for none.
+        /// Round of the receiver's report that the sum includes; 0 for none.
         #[serde(rename = "n")]
         included: Round,
-        /// Sum of all instances' loads.
+        /// Sum of the loads of all instances of the region.
         #[serde(rename = "p")]
         part: Part,
     },
-    /// What one instance uses of client accounts' quotas, to the collectors of its zone.
+    /// Quota use of one instance, to the collectors of its zone.
     #[serde(rename = "u")]
     Used {
-        /// Instance.
+        /// Reporting instance.
         #[serde(rename = "n")]
         instance: id::Instance,
-        /// Its use.
+        /// Use by account.
         #[serde(rename = "p")]
         part: usage::Part,
     },
-    /// What the instances of one zone use, from one of its collectors to those of all other zones.
+    /// Quota use of a zone, from its collector to the collectors of all other zones.
     #[serde(rename = "v")]
     ZoneUsed {
-        /// Zone.
+        /// Zone of the sum.
         #[serde(rename = "n")]
         zone: id::Zone,
-        /// Sum of its instances' use.
+        /// Sum of the use of the zone's instances.
         #[serde(rename = "p")]
         part: usage::Part,
     },
-    /// What all instances use, from a collector to the instances of its zone.
+    /// Quota use of the whole system, from a collector to the instances of its zone.
     #[serde(rename = "w")]
     AllUsed {
-        /// Sum over all instances.
+        /// Sum of the use of all instances.
         #[serde(rename = "p")]
         part: usage::Part,
     },
-    /// What is known of requests that crash targets.
+    /// Suspicions against requests that may crash targets.
     #[serde(rename = "s")]
     Suspects {
-        /// Whether a collector that gets it passes it on to all zones, or to its own alone.
+        /// Whether a collector passes the suspicions on to all zones or only to its own.
         #[serde(rename = "a")]
         for_all: bool,
         /// Some suspicions.
         #[serde(rename = "p")]
         part: suspicions::Part,
     },
-    /// A digest of all strong suspicions, to be compared.
+    /// Digest of all strong suspicions, for comparison.
     #[serde(rename = "d")]
     SuspectSum {
-        /// Digest.
+        /// Digest of the sender.
         #[serde(rename = "n")]
         digest: u64,
-        /// Whether it answers another one.
+        /// Whether the datagram answers another digest.
         #[serde(rename = "b")]
         is_answer: bool,
     },
-    /// An instance is about to send a request to a target; to the target's coordinator.
+    /// Announces to a target's coordinator that an instance is about to send a request to the
+    /// target.
     #[serde(rename = "c")]
     Claim {
-        /// Number of the claim at its sender.
+        /// Number of the claim, chosen by the sender.
         #[serde(rename = "n")]
         number: u32,
-        /// Target.
+        /// Claimed target.
         #[serde(rename = "k")]
         target: Key,
         /// Expected time to read the prompt, in milliseconds.
         #[serde(rename = "r")]
         reading_ms: u32,
     },
-    /// What was claimed of a target in the moments before a claim; the coordinator's answer.
+    /// A coordinator's answer: what was claimed of the target in the moments before.
     #[serde(rename = "a")]
     Claimed {
-        /// Number of the claim.
+        /// Number of the claim that is answered.
         #[serde(rename = "n")]
         number: u32,
-        /// Requests.
+        /// Number of requests claimed.
         #[serde(rename = "f")]
         in_flight: u32,
         /// Expected time to read their prompts, in milliseconds.
@@ -138,14 +140,14 @@
     },
 }
 
-/// Why a datagram can't be sent.
+/// Why a datagram can't be encoded.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// It can't be encoded.
-    #[error("it can't be encoded")]
+    /// The encoding failed.
+    #[error("datagram cannot be encoded")]
     Encode(#[from] ciborium::ser::Error<io::Error>),
-    /// It is longer than [`MAX_DATAGRAM_BYTES`].
-    #[error("{0} bytes are too many")]
+    /// The encoded datagram is longer than [`MAX_DATAGRAM_BYTES`].
+    #[error("datagram of {0} bytes is too long")]
     Long(usize),
 }
 
@@ -154,7 +156,7 @@
     ///
     /// # Errors
     ///
-    /// [`Error`] says why it can't be sent.
+    /// Fails if the encoding fails or is too long; see [`Error`].
     pub fn encode(&self) -> Result<Vec<u8>, Error> {
         let mut bytes = Vec::new();
         ciborium::into_writer(self, &mut bytes)?;
@@ -168,14 +170,14 @@
     ///
     /// # Errors
     ///
-    /// Fails when the bytes are not one.
+    /// Fails if the bytes are not a valid datagram.
     pub fn decode(bytes: &[u8]) -> Result<Self, ciborium::de::Error<io::Error>> {
         ciborium::from_reader(bytes)
     }
 }
 
 impl Part {
-    /// Returns the loads.
+    /// Returns the loads by target.
     pub fn loads(&self) -> impl Iterator<Item = (Key, Load)> {
         let loads = self.loads.iter();
         loads.map(|(target, in_flight, reading_ms)| {
@@ -188,7 +190,8 @@
     }
 }
 
-/// Cuts loads into parts that fit into a datagram each; one empty part where there are none.
+/// Splits loads into parts that each fit into a datagram; returns one empty part if there are no
+/// loads.
 pub fn parts(round: Round, loads: &Loads) -> Vec<Part> {
     let entry = |(target, load): (&Key, &Load)| {
         let reading_ms = u32::try_from(load.reading_us / 1_000).unwrap_or(u32::MAX);
@@ -205,7 +208,7 @@
     entries.chunks(MAX_TARGETS_PER_DATAGRAM).map(part).collect()
 }
 
-/// Returns the key of a target.
+/// Returns the key that identifies a target in datagrams.
 pub fn key(target: &str) -> Key {
     #[expect(
         clippy::cast_possible_truncation,
--- a/crates/zinniastall-gateway/src/neighbours/reports.rs
+++ b/crates/zinniastall-gateway/src/neighbours/reports.rs
@@ -1,4 +1,4 @@
-//! Last reports by sender, and their sum.
+//! Last load report of each sender, and their sum.
 
 use std::{
     hash::Hash,
@@ -12,7 +12,7 @@
     datagram::{Key, Part, Round},
 };
 
-/// Last reports by sender.
+/// Last load report of each sender.
 #[derive(Debug)]
 pub(super) struct Reports<S> {
     by_sender: IndexMap<S, Report>,
@@ -34,7 +34,7 @@
 }
 
 impl<S: Hash + Eq + Clone> Reports<S> {
-    /// Takes a report, or a part of it; a part of another turn replaces what was reported before.
+    /// Merges a report or a part of it. A part of another round replaces the previous report.
     pub(super) fn receive(&mut self, sender: S, part: &Part, now: Instant) {
         let new = || Report {
             round: part.round,
@@ -49,7 +49,7 @@
         held.loads.extend(part.loads());
     }
 
-    /// Notes a whole report.
+    /// Replaces a sender's report by a complete one.
     pub(super) fn insert(&mut self, sender: &S, round: Round, loads: Loads, now: Instant) {
         let report = Report {
             round,
@@ -59,18 +59,18 @@
         self.by_sender.insert(sender.clone(), report);
     }
 
-    /// Returns the turn of a sender's last report; 0 for none.
+    /// Returns the round of a sender's last report; 0 for none.
     pub(super) fn round(&self, sender: &S) -> Round {
         self.by_sender.get(sender).map_or(0, |held| held.round)
     }
 
-    /// Forgets reports that are too old.
+    /// Removes reports older than `ttl`.
     pub(super) fn expire(&mut self, now: Instant, ttl: Duration) {
         let is_fresh = |held: &Report| now.saturating_duration_since(held.received_at) < ttl;
         self.by_sender.retain(|_, held| is_fresh(held));
     }
 
-    /// Returns the sum at one target over all reports that are not too old.
+    /// Returns the load of one target, summed over the reports younger than `ttl`.
     pub(super) fn load_at(&self, target: Key, now: Instant, ttl: Duration) -> Load {
         let is_fresh = |held: &&Report| now.saturating_duration_since(held.received_at) < ttl;
         let fresh = self.by_sender.values().filter(is_fresh);
--- a/crates/zinniastall-gateway/src/neighbours/suspicions.rs
+++ b/crates/zinniastall-gateway/src/neighbours/suspicions.rs
@@ -1,9 +1,10 @@
-//! What all instances know of requests that crash targets, told by datagram.
+//! Exchange of suspicions against requests that crash targets.
 //!
-//! News goes at once from an instance to the collectors of its availability zone, from those to the collectors of all
-//! other zones, and from each collector to the instances of its own. Only suspected requests travel. What is lost,
-//! and what an instance missed that starts, was suspended or cut off, comes with a comparison of digests once a
-//! second: with a collector of the own zone, and from collector to collector.
+//! News is sent at once: from an instance to the collectors of its availability zone, from those to
+//! the collectors of all other zones, and from each collector to the instances of its zone. Only
+//! suspected requests are sent. Digests are compared once a second, by each instance with a
+//! collector of its zone and among the collectors. That makes up for lost datagrams, and for what
+//! an instance missed while it was down, suspended or cut off.
 
 use std::time::Instant;
 
@@ -14,25 +15,25 @@
 use super::{Outgoing, collector::Roster, datagram::Datagram};
 use crate::suspects::{Change, Scope, Suspects};
 
-/// Suspicions of one datagram: each takes 70 bytes at most.
+/// Maximum number of suspicions in one datagram; each takes at most 70 bytes.
 const MAX_ENTRIES_PER_DATAGRAM: usize = 18;
-/// Rounds between two comparisons.
+/// Rounds from one comparison of digests to the next.
 const COMPARISON_ROUNDS: u32 = 10;
-/// Datagrams with which a difference is answered at most; the next comparison brings more.
+/// Maximum number of datagrams that answer a differing digest; the next comparison brings more.
 const MAX_ANSWERS: usize = 8;
 
-/// Some suspicions.
+/// Some of the suspicions of an instance.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Part(Vec<(Fingerprint, Suspicion)>);
 
-/// Who is told what, and when.
+/// Schedule of the comparisons of digests.
 #[derive(Debug, Default)]
 pub struct Exchange {
     round: u32,
 }
 
 impl Exchange {
-    /// Returns what is to be sent to compare what is known, in a round.
+    /// Starts a round; returns the digest to send if a comparison is due.
     pub fn round(&mut self, roster: &Roster, suspects: &Suspects) -> Option<Outgoing> {
         let round = self.round;
         let others = if roster.is_collector() {
@@ -58,9 +59,9 @@
     }
 }
 
-/// Takes what another instance knows; returns the requests that are quarantined from now on.
+/// Merges suspicions from another instance; returns the requests that became quarantined.
 ///
-/// News goes on to the instances of the zone where this instance is a collector, and to all where the sender has left
+/// A collector passes news on to the instances of its zone, or to all instances if the sender left
 /// that to it (`for_all`).
 pub fn receive(
     roster: &Roster,
@@ -80,7 +81,7 @@
     quarantined
 }
 
-/// Returns the news of an instance.
+/// Returns the news of this instance to send.
 pub fn news(roster: &Roster, suspects: &mut Suspects) -> Vec<Outgoing> {
     let (global, local): (Vec<_>, Vec<_>) = suspects
         .news()
@@ -101,7 +102,7 @@
     outgoing
 }
 
-/// Returns the answers to another instance's digest.
+/// Returns the answers to another instance's digest; none if the digests are equal.
 pub fn answers(
     roster: &Roster,
     suspects: &Suspects,
@@ -124,7 +125,7 @@
     answers
 }
 
-/// Returns the other collectors, of this zone and all others.
+/// Returns the other collectors, of this zone and of all others.
 fn peer_collectors(roster: &Roster) -> Vec<id::Instance> {
     let beside = roster.peer_collectors().into_iter();
     let others = roster.region_collectors().iter();
--- a/crates/zinniastall-gateway/src/neighbours/usage.rs
+++ b/crates/zinniastall-gateway/src/neighbours/usage.rs
@@ -1,11 +1,13 @@
-//! What all instances together use of client accounts' quotas, told by datagram.
+//! Exchange of the instances' use of client accounts' quotas.
 //!
-//! Each instance reports its own use to the collectors of its availability zone. The first of them that is alive
-//! tells the zone's sum to the collectors of all other zones, and the sum over all zones to the instances of its
-//! own. So each instance sends and gets as many datagrams in a system of hundreds as in one of ten.
+//! Each instance reports its use to the collectors of its availability zone. The first live
+//! collector sends the zone's sum to the collectors of all other zones, and the sum over all zones
+//! to the instances of its own. Each instance thus sends and receives as many datagrams in a system
+//! of hundreds of instances as in a system of ten.
 //!
-//! An instance or zone that falls silent may go on without hearing from here. Until it can't have a configuration
-//! any more that is relied on, what it may use at most is reserved for it; see [`crate::decide::quota`].
+//! An instance or zone that falls silent may keep running without hearing from the others. Until
+//! its configuration can no longer be relied on, the most that it may use is reserved for it; see
+//! [`crate::decide::quota`].
 
 use std::time::{Duration, Instant};
 
@@ -20,58 +22,60 @@
 };
 use crate::decide::quota::{Key, Total, Totals, Usage, Usages};
 
-/// Age at which a report counts as that of a silent instance or zone.
+/// Age of the last report at which an instance or zone counts as silent.
 const SILENCE_TIMEOUT: Duration = Duration::from_millis(600);
-/// Silence within which an instance that is listed no more has ended: its links broke, and were not merely cut,
-/// since replicas take longer to notice that.
+/// Longest silence of an instance whose disappearance from the list means that it ended. Replicas
+/// take longer than this to notice a link that was cut, so a shorter silence shows that the link
+/// was closed.
 const SHUTDOWN_SILENCE: Duration = Duration::from_millis(2_300);
-/// Silence after which an instance that is listed no more is forgotten: its configuration is relied on no more.
+/// Silence after which an unlisted instance is forgotten; its configuration can't be relied on any
+/// longer.
 const RESERVATION_TTL: Duration = Duration::from_secs(5);
-/// Rounds between two reports to other regions.
+/// Rounds from one report to other regions to the next.
 const REMOTE_REPORT_ROUNDS: u32 = 2;
-/// Accounts of one datagram: each takes 42 bytes at most.
+/// Maximum number of accounts in one datagram; each takes at most 42 bytes.
 const MAX_ACCOUNTS_PER_DATAGRAM: usize = 30;
 
-/// Use of one account.
+/// Use of one account: account, units asked for, used, reserved, and used within the last window.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 struct Entry(Key, u64, u64, u64, Option<u64>);
 
-/// Use of some accounts: account, asked, used, reserved, used within the last window.
+/// Use of some accounts.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Part {
-    /// Turn of the sender.
+    /// Round of the sender.
     #[serde(rename = "t")]
     pub round: Round,
-    /// Which part of the turn's it is, and how many there are.
+    /// Index of this part in its round, and number of parts in the round.
     #[serde(rename = "p")]
     position: (usize, usize),
     #[serde(rename = "u")]
     usages: Vec<Entry>,
 }
 
-/// What a collector needs to know of accounts beside their use.
+/// Information on accounts that a collector needs besides their use.
 pub trait Accounts {
-    /// Returns the rate of an account's quota, in units a second, where it has one.
+    /// Returns the rate of an account's quota in units per second, if it has a quota.
     fn rate(&self, account: Key) -> Option<u64>;
 
-    /// Returns what was used of it within the last window, where all of it is known.
+    /// Returns the units used within the last window, if all of them are known.
     fn past(&self, account: Key) -> Option<u64>;
 }
 
-/// Reports by sender, and what follows from them for this instance.
+/// Last report of each sender, and the totals derived from them.
 #[derive(Debug, Default)]
 pub struct Exchange {
     instances: IndexMap<id::Instance, Report>,
     zones: IndexMap<id::Zone, Report>,
     round: Round,
     totals: Totals,
-    /// Totals of a turn of which some parts are still to come.
+    /// Totals of a round of which some parts are still missing.
     partial: PartialTotals,
-    /// When a collector's totals last came.
+    /// When the last totals from a collector arrived.
     last_totals_at: Option<Instant>,
 }
 
-/// Parts of a collector's totals that have come so far.
+/// Parts of a collector's totals that have arrived so far.
 #[derive(Debug, Default)]
 struct PartialTotals {
     round: Round,
@@ -84,12 +88,12 @@
     round: Round,
     received_at: Instant,
     usages: Usages,
-    /// What all were let in for when the report came.
+    /// Use of the whole system when the report arrived.
     system_usages: Usages,
 }
 
 impl Exchange {
-    /// Takes a datagram in; tells whether it has brought new totals.
+    /// Merges a datagram; returns whether it completed new totals.
     pub fn receive(&mut self, datagram: Datagram, now: Instant) -> bool {
         match datagram {
             Datagram::Used { instance, part } => {
@@ -114,13 +118,13 @@
         }
     }
 
-    /// Returns the totals that were heard or worked out last.
+    /// Returns the totals that were received or computed last.
     pub const fn totals(&self) -> &Totals {
         &self.totals
     }
 
-    /// Returns what is to be sent in this round, in which this instance has some use. A collector works out the
-    /// totals in it.
+    /// Starts a round with the current use of this instance; returns the datagrams to send. A
+    /// collector also computes the totals.
     pub fn round(
         &mut self,
         roster: &Roster,
@@ -179,8 +183,8 @@
         outgoing
     }
 
-    /// Returns what the silent among some senders may use: what they used last, and their share of what all
-    /// together left of the rate then.
+    /// Returns the units reserved for silent senders: what each of them used last, plus its share
+    /// of what the whole system left of the rate at that time.
     fn reserved_for<S>(
         &self,
         reports: &IndexMap<S, Report>,
@@ -245,8 +249,8 @@
 }
 
 impl PartialTotals {
-    /// Takes a part in; returns the totals once all parts of its turn are here. A turn of which a part is lost is
-    /// left out: the accounts in it would seem to use nothing.
+    /// Adds a part; returns the totals once all parts of the round have arrived. A round with a
+    /// lost part is skipped, because the accounts in that part would seem unused.
     fn add(&mut self, part: &Part) -> Option<Totals> {
         if self.round != part.round {
             *self = Self {
@@ -269,7 +273,7 @@
 }
 
 impl Part {
-    /// Returns what was asked for and let in.
+    /// Returns the units asked for and used, by account.
     fn usages(&self) -> impl Iterator<Item = (Key, Usage)> {
         self.totals().map(|(key, total)| (key, total.usage))
     }
@@ -313,7 +317,7 @@
     held.usages.extend(part.usages());
 }
 
-/// Forgets senders that have ended, or can't use anything any more.
+/// Forgets senders that have ended or whose configuration can't be relied on any longer.
 fn expire<S>(reports: &mut IndexMap<S, Report>, is_listed: impl Fn(&S) -> bool, now: Instant) {
     reports.retain(|sender, report| {
         let silence = now.saturating_duration_since(report.received_at);
@@ -321,7 +325,7 @@
     });
 }
 
-/// Returns the sum over the senders that are heard.
+/// Returns the sum over the senders that are not silent.
 fn sum<S>(reports: &IndexMap<S, Report>, now: Instant) -> Usages {
     let mut sum = Usages::default();
     let fresh = reports.values().filter(|report| report.is_fresh(now));
@@ -351,7 +355,8 @@
     totals.map(|(key, total)| (*key, total.usage)).collect()
 }
 
-/// Cuts usages into parts that fit into a datagram each; one empty part where there are none.
+/// Splits usages into parts that each fit into a datagram; returns one empty part if there are
+/// none.
 fn parts(round: Round, usages: &Usages) -> Vec<Part> {
     let entry = |(key, usage): (&Key, &Usage)| Entry(*key, usage.asked, usage.used, 0, None);
     let entries: Vec<_> = usages.iter().map(entry).collect();
--- a/crates/zinniastall-gateway/src/policy.rs
+++ b/crates/zinniastall-gateway/src/policy.rs
@@ -1,28 +1,28 @@
-//! Times and weights of a deployment.
+//! Timings and limits of a deployment.
 
 use std::time::Duration;
 
 use crate::decide::{budget::Bound, quota, reading::Rates};
 
-/// Times and weights by which the request path decides.
+/// Timings and limits that the request path decides by.
 #[derive(Debug, Clone, Copy)]
 pub struct Policy {
-    /// Bound on requests that are sent a second time.
+    /// Limit on retries.
     pub retry_budget: Bound,
-    /// How fast engines are expected to read prompts.
+    /// Rates at which engines are expected to read prompts.
     pub rates: Rates,
-    /// Time that a plain service takes for a request, until it has been measured.
+    /// Service time assumed for a plain service until one has been observed.
     pub default_service_time: Duration,
-    /// Time to another region and back.
+    /// Round-trip time to another region.
     pub region_round_trip: Duration,
-    /// How client accounts' quotas are measured.
+    /// Window and limits by which client accounts' quotas are enforced.
     pub quota: quota::Bound,
-    /// Time after its confirmation for which a configuration says whose keys are valid; `None` for good.
+    /// Time for which a configuration may be relied on after its confirmation; `None` for no limit.
     pub lease: Option<Duration>,
 }
 
 impl Default for Policy {
-    /// What engines of the usual size do, and regions of one continent.
+    /// Returns values for engines of the usual size and for regions of one continent.
     fn default() -> Self {
         Self {
             retry_budget: Bound::default(),
--- a/crates/zinniastall-gateway/src/request_log.rs
+++ b/crates/zinniastall-gateway/src/request_log.rs
@@ -1,8 +1,8 @@
-//! Log lines on requests, bounded: what fails is kept before what goes well.
+//! Rate-limited log lines about requests, with separate limits for successes and failures.
 //!
-//! One line for each decision lets an engineer follow a request by its id. Under load that would cost
-//! more than the requests, so each kind has a rate of its own; lines beyond it are counted and the
-//! count is told.
+//! One line for each decision lets an engineer follow a request by its id. Under load that would
+//! cost more than the requests themselves, so lines beyond a limit are left out and counted, and
+//! the count is logged.
 
 use std::{
     cell::RefCell,
@@ -19,48 +19,48 @@
     },
 };
 
-/// Lines a second on requests that go well. A line costs some ten microseconds; this is half a percent
-/// of a core.
+/// Lines per [`WINDOW`] about requests that succeed. A line costs about ten microseconds, so this
+/// is well under one percent of a core.
 const MAX_SUCCESS_LINES: u32 = 60;
-/// Lines a second on requests that fail, are refused or are tried again.
+/// Lines per [`WINDOW`] about requests that fail, are refused or are retried.
 const MAX_FAILURE_LINES: u32 = 300;
-/// Time over which lines are counted.
+/// Period over which lines are counted.
 const WINDOW: Duration = Duration::from_secs(1);
 
-/// What a placing was decided on.
+/// Estimates that a placement was based on.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Basis {
-    /// Expected wait there.
+    /// Expected wait at the chosen place.
     pub wait: Duration,
     /// Expected time to read the prompt there.
     pub prefill: Duration,
-    /// Requests at the target, of all instances as far as they are known.
+    /// Requests in flight at the target, from all instances as far as known.
     pub in_flight: u32,
     /// Age of the target's last report.
     pub report_age: Duration,
-    /// Places that were weighed.
+    /// Number of candidates considered.
     pub candidates: usize,
 }
 
 /// How a request ended.
 #[derive(Debug, Clone, Copy)]
 pub struct End<'a> {
-    /// What its caller may rely on.
+    /// Outcome that the caller may rely on.
     pub outcome: &'static str,
-    /// Why.
+    /// Reason for the outcome.
     pub reason: &'a str,
-    /// Status that the caller saw; 0 for none.
+    /// Status that the caller received; 0 for none.
     pub status: u16,
     /// Time until the answer began.
     pub first_byte: Option<Duration>,
     /// Longest time between two pieces of the answer.
     pub longest_gap: Duration,
-    /// Time until it ended.
+    /// Time from arrival to the end.
     pub duration: Duration,
 }
 
 impl End<'_> {
-    /// Creates the end of a request that was refused before any time was spent on it.
+    /// Creates the end of a request that was refused immediately.
     pub const fn untimed(outcome: &'static str) -> Self {
         Self {
             outcome,
@@ -72,7 +72,7 @@
         }
     }
 
-    /// Tells whether the caller got what it asked for, in the time that its route promises.
+    /// Returns whether the caller got its answer within the limits of the route.
     fn is_success(&self, route: &Route) -> bool {
         let objective = Duration::from_millis(route.objective_ms);
         let gap = Duration::from_millis(route.gap_ms);
@@ -84,14 +84,14 @@
     }
 }
 
-/// Writes log lines on requests.
+/// Writes rate-limited log lines about requests.
 #[derive(Debug, Default)]
 pub struct Log {
     successes: RefCell<Window>,
     failures: RefCell<Window>,
 }
 
-/// Lines in the present window.
+/// Lines in the current window.
 #[derive(Debug, Default)]
 struct Window {
     since: Option<Instant>,
@@ -100,7 +100,8 @@
 }
 
 impl Window {
-    /// Tells whether a line may be written; logs what the window before left out.
+    /// Returns whether a line may be written; logs the number of lines left out in the previous
+    /// window.
     fn admit(&mut self, limit: u32, kind: &'static str) -> bool {
         let now = Instant::now();
         if self.since.is_none_or(|since| since + WINDOW <= now) {
@@ -122,7 +123,7 @@
 }
 
 impl Log {
-    /// Notes where a request goes and why.
+    /// Logs where a request is sent and the estimates behind the decision.
     pub fn placed(&self, job: &Job, place: &Place, basis: Basis, attempt: u32) {
         let is_first = attempt == 0;
         if !self.admits(is_first) {
@@ -146,7 +147,7 @@
         );
     }
 
-    /// Notes that a request is beyond its account's quota.
+    /// Logs that a request exceeds its account's quota.
     pub fn exceeded(&self, job: &Job, charge: Charge, excess: Excess) {
         if !self.admits(false) {
             return;
@@ -167,16 +168,16 @@
         );
     }
 
-    /// Notes how an attempt ended, unless it went well.
+    /// Logs how an attempt ended, unless it succeeded.
     pub fn attempted(&self, job: &Job, place: &Place, ended: &Ended) {
         let why = match ended {
             Ended::Delivered => return,
             Ended::NotSent(why) | Ended::Unknown(why) | Ended::Broken(why) | Ended::Torn(why) => {
                 why.as_str()
             }
-            Ended::NotRun(_) => "the target refused it",
+            Ended::NotRun(_) => "the target refused the request",
             Ended::Failing(answer) => answer.status.as_str(),
-            Ended::Gone(_) => "nobody takes the answer",
+            Ended::Gone(_) => "the caller is gone",
         };
         if !self.admits(false) {
             return;
@@ -192,8 +193,10 @@
         );
     }
 
-    /// Notes that a target ended while it had a request; `flights` are the requests that it had, of all instances
-    /// as far as they are known, and `crashes` those that count against this one by now.
+    /// Logs that a target crashed with a request in flight.
+    ///
+    /// `in_flight` is the number of requests at the target, from all instances as far as known, and
+    /// `crashes` the number of crashes counted against this request so far.
     pub fn crashed(&self, job: &Job, target: &str, in_flight: u32, crashes: usize) {
         if !self.admits(false) {
             return;
@@ -210,7 +213,7 @@
         );
     }
 
-    /// Notes that a request is not run any more, or was not run because of that.
+    /// Logs that a request is quarantined, or was rejected because it is.
     pub fn quarantined(&self, job: &Job, event: &'static str) {
         if !self.admits(false) {
             return;
@@ -224,7 +227,7 @@
         );
     }
 
-    /// Notes that a request is suspected no more.
+    /// Logs that a request is no longer suspected.
     pub fn cleared(&self, job: &Job) {
         if self.admits(false) {
             let fingerprint = job.fingerprint();
@@ -232,7 +235,7 @@
         }
     }
 
-    /// Notes that no place would answer a request in time.
+    /// Logs that no place was expected to answer a request in time.
     pub fn given_up(&self, job: &Job, basis: Basis, after: Duration) {
         if !self.admits(false) {
             return;
@@ -252,7 +255,7 @@
         );
     }
 
-    /// Notes that a request is kept because no target takes one now.
+    /// Logs that a request waits because no target accepts it now.
     pub fn kept(&self, job: &Job, what: &'static str) {
         if self.admits(false) {
             let took_ms = millis(job.arrived.elapsed());
@@ -266,7 +269,7 @@
         }
     }
 
-    /// Notes how a request ended.
+    /// Logs how a request ended.
     pub fn ended(&self, job: &Job, end: &End<'_>) {
         if !self.admits(end.is_success(job.route())) {
             return;
@@ -287,7 +290,7 @@
         );
     }
 
-    /// Notes that a request was refused before it was judged.
+    /// Logs that a request was refused before it was matched to a route.
     pub fn refused(&self, id: &str, reason: &str) {
         if self.admits(false) {
             tracing::info!(event = "request-refused", id, reason);
--- a/crates/zinniastall-gateway/src/suspects.rs
+++ b/crates/zinniastall-gateway/src/suspects.rs
@@ -1,4 +1,5 @@
-//! Requests that are suspected of crashing targets: what this instance knows of them, and has to tell the others.
+//! Requests suspected of crashing targets: what this instance knows of them, and what it still has
+//! to tell the others.
 
 use std::{sync::Arc, time::Instant};
 
@@ -12,47 +13,48 @@
 
 use crate::decide::warm;
 
-/// Requests that are remembered: a quarter of a megabyte. A crash makes one suspect for each slot of its target.
+/// Maximum number of suspects, which take about a quarter of a megabyte. A crash adds one suspect
+/// for each request in flight at its target.
 const MAX_SUSPECTS: usize = 2_048;
-/// Times that news is sent: single datagrams are lost.
+/// Number of times that each piece of news is sent, because single datagrams get lost.
 const SENDS_PER_NEWS: u8 = 2;
 
 /// Suspected requests.
 #[derive(Debug)]
 pub struct Suspects {
     table: quarantine::Table<Fingerprint>,
-    /// What the others have to be told.
+    /// News that the others have not been told yet.
     pending: IndexMap<Fingerprint, Pending>,
-    /// Strong suspects that this instance has at a target.
+    /// Strong suspects that this instance has in flight at a target.
     probed: IndexSet<Fingerprint>,
-    /// What the control group held last.
+    /// List of the control group that was reconciled last.
     last_reconciled: Arc<Vec<Suspect>>,
 }
 
-/// News that is to be sent.
+/// News that is still to be sent.
 #[derive(Debug, Clone, Copy)]
 struct Pending {
     scope: Scope,
     sends_left: u8,
 }
 
-/// Whom news still has to reach.
+/// Instances that still have to be told of a piece of news.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Scope {
     /// All instances.
     All,
-    /// The other instances of this one's zone: a collector of another zone tells the rest.
+    /// The other instances of this one's zone; collectors of other zones tell the rest.
     Zone,
 }
 
-/// What became of a request with what was learned of it.
+/// Effect of new information on a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Change {
-    /// Nothing that was not known.
+    /// Nothing new.
     None,
-    /// Some more crashes, or fewer because it was cleared.
+    /// The number of crashes changed, or the request was cleared.
     Known,
-    /// It is quarantined from now on.
+    /// The request became quarantined.
     Quarantined,
 }
 
@@ -68,28 +70,29 @@
 }
 
 impl Suspects {
-    /// Tells whether no request was ever suspected.
+    /// Returns whether there are no suspects.
     pub fn is_empty(&self) -> bool {
         self.table.is_empty()
     }
 
-    /// Returns the crashes that count against a request.
+    /// Returns the number of crashes counted against a request.
     pub fn crashes(&self, request: Fingerprint) -> usize {
         self.table.crashes(request)
     }
 
-    /// Returns how many requests are quarantined.
+    /// Returns the number of quarantined requests.
     pub fn quarantined(&self) -> usize {
         self.table.quarantined()
     }
 
-    /// Returns what is known against a request.
+    /// Returns the suspicion against a request, if any.
     pub fn suspicion(&self, request: Fingerprint) -> Option<&Suspicion> {
         self.table.suspicion(request)
     }
 
-    /// Notes that a run of a target crashed under a request; `was_suspect` tells whether that was suspected when it
-    /// was sent.
+    /// Records that a run of a target crashed with a request in flight.
+    ///
+    /// `was_suspect` says whether the request was suspected already when it was sent.
     pub fn record_crash(
         &mut self,
         request: Fingerprint,
@@ -105,7 +108,7 @@
         self.change_since(request, before)
     }
 
-    /// Notes that a request finished; tells whether that clears it.
+    /// Records that a request finished; returns whether that clears it.
     pub fn record_finish(&mut self, request: Fingerprint, now: Instant) -> bool {
         let is_cleared = self.table.finish(request, now);
         if is_cleared {
@@ -114,8 +117,10 @@
         is_cleared
     }
 
-    /// Takes what another instance knows. News is passed on as far as `scope` says; an instance that knows less is
-    /// told more.
+    /// Merges what another instance knows of a request.
+    ///
+    /// News is passed on to the instances in `scope`; if the sender knows less than this instance,
+    /// the merged suspicion is sent to all.
     pub fn merge(
         &mut self,
         request: Fingerprint,
@@ -137,18 +142,19 @@
         }
     }
 
-    /// Tells whether what the control group holds was taken already.
+    /// Returns whether a list of the control group was reconciled already.
     pub fn is_reconciled(&self, held: &Arc<Vec<Suspect>>) -> bool {
         Arc::ptr_eq(&self.last_reconciled, held)
     }
 
-    /// Takes what the control group holds; returns what it has to hold as well.
+    /// Merges the suspects that the control group holds; returns those that it should hold in
+    /// addition or in a newer state.
     pub fn reconcile(&mut self, held: &Arc<Vec<Suspect>>, now: Instant) -> Vec<Suspect> {
         self.last_reconciled = Arc::clone(held);
         let mut missing = Vec::new();
         let mut known: IndexSet<Fingerprint> = IndexSet::new();
         for (request, suspicion) in held.iter() {
-            // Every instance is told by the group itself.
+            // Not passed on: the control group tells every instance itself.
             self.table.merge(*request, suspicion, now);
             known.insert(*request);
             let own = self.table.suspicion(*request);
@@ -182,12 +188,12 @@
         );
     }
 
-    /// Tells whether the others have to be told something.
+    /// Returns whether there is news to send.
     pub fn has_news(&self) -> bool {
         !self.pending.is_empty()
     }
 
-    /// Returns what is to be sent now, each news as often as datagrams may be lost.
+    /// Returns the news to send now; each piece is returned [`SENDS_PER_NEWS`] times in all.
     pub fn news(&mut self) -> Vec<(Scope, Fingerprint, Suspicion)> {
         let table = &self.table;
         let news = self.pending.iter().filter_map(|(request, pending)| {
@@ -202,12 +208,12 @@
         news
     }
 
-    /// Returns a digest of the strong suspicions; instances that know the same have the same.
+    /// Returns a digest of the strong suspicions, equal on instances that know the same ones.
     pub fn digest(&self) -> u64 {
         self.table.sum()
     }
 
-    /// Returns the strong suspects.
+    /// Returns the strong suspicions.
     pub fn strong(&self) -> Vec<(Fingerprint, Suspicion)> {
         let strong = self.table.strong();
         strong
@@ -215,25 +221,27 @@
             .collect()
     }
 
-    /// Notes that a strong suspect is to be sent; tells whether it may be. One copy is tried at a time: it finishes
-    /// and is cleared, or takes one target down and not several.
+    /// Marks a strong suspect as in flight; returns `false` if it is already.
+    ///
+    /// Only one copy is tried at a time: it either finishes and is cleared, or crashes a single
+    /// target.
     pub fn begin_probe(&mut self, request: Fingerprint) -> bool {
         self.probed.insert(request)
     }
 
-    /// Notes that a strong suspect is at no target any more.
+    /// Marks a strong suspect as no longer in flight.
     pub fn end_probe(&mut self, request: Fingerprint) {
         self.probed.swap_remove(&request);
     }
 }
 
-/// Returns a suspicion as a field between instances.
+/// Encodes a suspicion as the value of a header field between instances.
 pub fn header_value(suspicion: &Suspicion) -> Option<HeaderValue> {
     let text = serde_json::to_string(suspicion).ok()?;
     HeaderValue::try_from(text).ok()
 }
 
-/// Returns the run of a target that made a report.
+/// Returns the run of the target that made a report.
 pub fn run(report: &Report) -> Run {
     warm::weight(&report.target, &report.incarnation.to_string())
 }
--- a/crates/zinniastall-gateway/src/tracker.rs
+++ b/crates/zinniastall-gateway/src/tracker.rs
@@ -1,4 +1,4 @@
-//! What one instance counts about its own requests: at targets, of services, in prompts.
+//! What one instance tracks of its own requests, by target and by service.
 
 use std::{
     cell::RefCell,
@@ -20,15 +20,15 @@
     neighbours,
 };
 
-/// Prompt parts remembered for one target. An engine holds about 250,000 tokens, which are some
-/// hundred parts of the usual size.
+/// Prompt parts remembered for one target. An engine's cache holds about 250,000 tokens, which is
+/// around a hundred parts of the usual size.
 const MAX_PARTS_PER_TARGET: usize = 256;
-/// Time after its last request for which a route's priority and bound on pauses count as in use.
+/// Time after its last request for which a route's priority and gap limit count as in use.
 const DEMAND_TTL: Duration = Duration::from_secs(10);
-/// Time after which a target's books are closed when nothing was sent to it.
+/// Time after its last request at which a target without requests in flight is forgotten.
 const IDLE_TIMEOUT: Duration = Duration::from_mins(1);
 
-/// Books of one instance.
+/// In-flight requests, observed behaviour and demand, as one instance knows them.
 #[derive(Debug)]
 pub struct Tracker {
     retry_bound: Bound,
@@ -39,39 +39,40 @@
     demands: IndexMap<id::Service, IndexMap<Demand, Instant>>,
 }
 
-/// What requests ask of a service.
+/// What a request's account and route ask of a service.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct Demand {
-    /// Rank; 0 is the most urgent.
+    /// Priority of the request; 0 is the most urgent.
     pub priority: u8,
-    /// Rank of the route, whoever asks.
+    /// Priority of the route alone, whichever account uses it.
     pub route_priority: u8,
-    /// Longest pause between two events that is still in time, in milliseconds; 0 for no bound.
+    /// Longest gap between two events of a stream that the route permits, in milliseconds; 0 for no
+    /// limit.
     pub gap_ms: u64,
 }
 
 /// What is known of one target.
 #[derive(Debug)]
 pub struct Target {
-    /// Service that it belongs to.
+    /// Service of the target; empty for a request forwarded to another region.
     pub service: id::Service,
-    /// Requests at it.
+    /// Requests in flight.
     pub in_flight: u32,
-    /// Expected time to read the prompts of those whose answers have not begun, in microseconds.
+    /// Expected time to read the prompts of requests whose answers have not begun, in microseconds.
     pub reading_us: u64,
-    /// How its requests ended.
+    /// Outcomes of its requests, for outlier detection.
     pub record: Record,
-    /// Pace while it is cold.
+    /// Slow start while it is cold.
     pub pace: Pace,
-    /// How many requests it takes at once, if it is a plain one.
+    /// Concurrency limit learned for it, if it is a plain service's target.
     pub concurrency: Room,
-    /// Until when it is known to take no request, because it refused one or a connection.
+    /// Time until which it gets no request, because it refused a request or a connection.
     pub blocked_until: Option<Instant>,
     parts: IndexMap<String, Instant>,
     last_used: Instant,
 }
 
-/// Takes a request out of the books when it ends, however it ends.
+/// Counts a request as in flight at a target until it is dropped.
 #[derive(Debug)]
 pub struct Guard {
     tracker: Rc<RefCell<Tracker>>,
@@ -80,7 +81,7 @@
 }
 
 impl Tracker {
-    /// Creates empty books.
+    /// Creates a tracker without any targets or services.
     pub fn new(retry_bound: Bound) -> Self {
         Self {
             retry_bound,
@@ -92,7 +93,7 @@
         }
     }
 
-    /// Returns the account of a target, opened if need be.
+    /// Returns what is known of a target, and starts tracking it if necessary.
     pub fn target(&mut self, target: &str, service: &str, now: Instant) -> &mut Target {
         if let Some(at) = self.targets.get_index_of(target) {
             return &mut self.targets[at];
@@ -112,12 +113,12 @@
         })
     }
 
-    /// Returns the account of a target, if it has one.
+    /// Returns what is known of a target, if it is tracked.
     pub fn find(&mut self, target: &str) -> Option<&mut Target> {
         self.targets.get_mut(target)
     }
 
-    /// Returns the account for repeats of a service.
+    /// Returns the retry budget of a service.
     pub fn budget(&mut self, service: &str) -> &mut Budget {
         let retry_bound = self.retry_bound;
         self.budgets
@@ -125,44 +126,46 @@
             .or_insert_with(|| Budget::new(retry_bound))
     }
 
-    /// Returns how long a plain service is expected to work on a request.
+    /// Returns the expected service time of a plain service, or `assumed` before the first
+    /// observation.
     pub fn service_time(&self, service: &str, assumed: Duration) -> Duration {
         let work = self.service_times.get(service).copied().unwrap_or_default();
         work.expected(assumed)
     }
 
-    /// Notes an answer of a plain service; see [`Work::note`].
+    /// Records the time that a plain service took for a request; see [`Work::note`].
     pub fn record_service_time(&mut self, service: &str, took: Duration, ahead: u32, slots: u32) {
         let work = self.service_times.entry(service.to_owned()).or_default();
         work.note(took, ahead, slots);
     }
 
-    /// Notes that a request was made for a service.
+    /// Records that a request was made for a service.
     pub fn record_demand(&mut self, service: &str, demand: Demand, now: Instant) {
         let demands = self.demands.entry(service.to_owned()).or_default();
         if demands.insert(demand, now).is_none() {
-            // Operators change bounds all day; those that nobody asks for any more would pile up.
+            // Operators change these limits at any time; unused combinations would accumulate.
             demands.retain(|_, last| now.saturating_duration_since(*last) < DEMAND_TTL);
         }
     }
 
-    /// Returns how many more urgent priorities have requests for a service at present.
+    /// Returns the number of more urgent priorities that currently have requests for a service.
     ///
-    /// Routes without requests don't count: operators keep some for the day when they are needed, and
-    /// those would hold everybody's queue short.
+    /// Routes without requests don't count: operators keep some in reserve, and those would shorten
+    /// everybody's queue.
     pub fn rank(&self, service: &str, priority: u8, now: Instant) -> usize {
         let demands = self.demands_for(service, now);
         more_urgent(demands.map(|demand| demand.priority), priority)
     }
 
-    /// Returns how many more urgent routes' priorities have requests for a service at present, whoever asks.
+    /// Returns the number of more urgent route priorities that currently have requests for a
+    /// service, whichever accounts use them.
     pub fn route_rank(&self, service: &str, priority: u8, now: Instant) -> usize {
         let demands = self.demands_for(service, now);
         more_urgent(demands.map(|demand| demand.route_priority), priority)
     }
 
-    /// Returns the shortest pause within streams that a route with requests for a service bears at most;
-    /// zero where none has a bound.
+    /// Returns the smallest gap limit among the routes that currently have requests for a service;
+    /// zero if none has a limit.
     pub fn min_gap(&self, service: &str, now: Instant) -> Duration {
         let bounds = self.demands_for(service, now).map(|demand| demand.gap_ms);
         let shortest = bounds.filter(|gap_ms| *gap_ms > 0).min();
@@ -177,20 +180,20 @@
             .map(|(demand, _)| demand)
     }
 
-    /// Notes that another region took no request for a service.
+    /// Records that another region refuses requests for a service until a time.
     pub fn block_region(&mut self, region: &str, service: &str, until: Instant) {
         let regions = self.blocked_regions.entry(service.to_owned()).or_default();
         regions.insert(region.to_owned(), until);
     }
 
-    /// Tells whether another region is known to take no request for a service now.
+    /// Returns whether another region is known to refuse requests for a service.
     pub fn is_region_blocked(&self, region: &str, service: &str, now: Instant) -> bool {
         let regions = self.blocked_regions.get(service);
         let until = regions.and_then(|regions| regions.get(region));
         until.is_some_and(|until| *until > now)
     }
 
-    /// Returns the requests at targets, by service.
+    /// Returns the requests in flight by service.
     pub fn load(&self) -> Vec<Load> {
         let mut loads: IndexMap<&str, Load> = IndexMap::new();
         for target in self.targets.values().filter(|target| target.is_busy()) {
@@ -205,7 +208,7 @@
         loads.into_values().collect()
     }
 
-    /// Returns the requests at targets, by target.
+    /// Returns the requests in flight by target.
     pub fn by_target(&self) -> Vec<(id::Target, neighbours::Load)> {
         let busy = self.targets.iter().filter(|(_, target)| target.is_busy());
         let loads = busy.map(|(name, target)| {
@@ -231,26 +234,28 @@
 }
 
 impl Target {
-    /// Tells whether requests of this instance are at the target. What runs in another region is that
-    /// region's load, and stands under no service here.
+    /// Returns whether requests of this instance are in flight at the target.
+    ///
+    /// Requests forwarded to another region count as that region's load and have no service here.
     fn is_busy(&self) -> bool {
         self.in_flight > 0 && !self.service.is_empty()
     }
 
-    /// Tells whether the target is known to take no request now.
+    /// Returns whether the target is known to refuse requests now.
     pub fn is_blocked(&self, now: Instant) -> bool {
         self.blocked_until.is_some_and(|until| until > now)
     }
 
-    /// Tells whether a prompt part was sent to this target since a time.
+    /// Returns whether a prompt part was sent to this target since a time.
     pub fn has_part(&self, part: &str, since: Instant) -> bool {
         self.parts.get(part).is_some_and(|sent| *sent >= since)
     }
 
-    /// Notes prompt parts that were sent to this target.
+    /// Records prompt parts that were sent to this target.
     pub fn record_parts<'a>(&mut self, parts: impl Iterator<Item = &'a str>, now: Instant) {
         for part in parts {
-            // The newest stand last, so that the oldest are the first to go.
+            // Reinserting moves a part to the end, so that the least recently sent parts are
+            // evicted first.
             self.parts.shift_remove(part);
             self.parts.insert(part.to_owned(), now);
         }
@@ -260,7 +265,7 @@
 }
 
 impl Guard {
-    /// Books a request at a target.
+    /// Starts counting a request as in flight at a target.
     pub fn start(
         tracker: &Rc<RefCell<Tracker>>,
         target: &str,
@@ -281,7 +286,7 @@
         }
     }
 
-    /// Notes that the answer has begun, so that the prompt is read.
+    /// Records that the answer has begun, which means that the prompt has been read.
     pub fn answer_started(&mut self) {
         let reading_us = std::mem::take(&mut self.reading_us);
         if let Some(target) = self.tracker.borrow_mut().find(&self.target) {
--- a/crates/zinniastall-gateway/src/uplink.rs
+++ b/crates/zinniastall-gateway/src/uplink.rs
@@ -1,4 +1,4 @@
-//! Links to control replicas, and the one place where what they say becomes the published view.
+//! Links to the control replicas, and the only place that publishes a new view.
 
 use std::{
     cell::RefCell,
@@ -27,33 +27,39 @@
     view::{Shared, View},
 };
 
-/// Time between two signs of life, in which the load is told anew.
+/// Interval of heartbeats to replicas, each of which carries the current load.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(500);
-/// Time without a frame after which a link counts as cut: two signs of life of a replica were lost.
+/// Time without a frame after which a link counts as broken; by then two of the replica's
+/// heartbeats were missed.
 const LINK_TIMEOUT: Duration = Duration::from_millis(2_500);
-/// Longest time for a link to open.
+/// Timeout for opening a link.
 const DIAL_TIMEOUT: Duration = Duration::from_secs(1);
-/// First and longest wait after a failed dial. A replica that restarts is back within half a second.
+/// Initial and maximum backoff after a failed dial. A replica that restarts is back within half a
+/// second.
 const REDIAL_BACKOFF: (Duration, Duration) =
     (Duration::from_millis(50), Duration::from_millis(800));
-/// Head start of the region's own replicas when a configuration is fetched: they mostly learn of it within a
-/// heartbeat of the leader, and tables stay off the links between regions.
+/// Delay before a configuration is fetched from another region. Replicas of this region usually
+/// learn of it within one heartbeat of the leader, and fetching from them keeps tables off the
+/// links between regions.
 const REMOTE_FETCH_DELAY: Duration = Duration::from_millis(250);
-/// Time between two views made for what comes about by time alone, such as the end of a cold start.
+/// Interval at which the view is rebuilt for changes that only time brings, such as the end of a
+/// cold start.
 const REFRESH_INTERVAL: Duration = Duration::from_millis(250);
-/// Longest time that news of targets and instances wait for a view. Six replicas pass some on ten times a
-/// second each; a view made for every frame would take more of a small instance than its requests do.
+/// Time for which news of targets and instances is collected before a view is built. Six replicas
+/// each forward news ten times a second, and a view for every frame would take more of a small
+/// instance's CPU than its requests do.
 const BATCH_DELAY: Duration = Duration::from_millis(50);
-/// Age of the last confirmation after which all replicas are asked for another one, and not the nearest alone.
+/// Age of the last confirmation at which all replicas are asked for the next one, not only the
+/// nearest.
 const CONFIRMATION_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// Replicas that are asked which instances there are. All know the same; a second one stands in while the
-/// first restarts or is cut off from some instances.
+/// Replicas that are subscribed to for the list of instances. All know the same; the second one
+/// covers for the first while that restarts or is cut off from some instances.
 const SUBSCRIBED_REPLICAS: usize = 2;
 
-/// What this instance says of itself now.
+/// Returns the current presence of this instance.
 pub type PresenceSource = Rc<dyn Fn() -> Presence>;
 
-/// Links to all control replicas that are known.
+/// Links to all known control replicas.
 pub struct Uplinks {
     hello: Hello,
     presence: PresenceSource,
@@ -111,7 +117,7 @@
         uplinks
     }
 
-    /// Takes other seeds, as the settings name them now.
+    /// Replaces the seeds, when the settings have changed.
     pub fn reseed(self: &Rc<Self>, seeds: Vec<Replica>) {
         if *self.seeds.borrow() == seeds {
             return;
@@ -121,7 +127,7 @@
         self.update_links();
     }
 
-    /// Tells all replicas at once how this instance is.
+    /// Sends the presence of this instance to all replicas at once.
     pub fn announce(&self) {
         self.presence_changed.notify_waiters();
     }
@@ -143,7 +149,7 @@
         self.state.publish(view);
     }
 
-    /// Keeps a link to each seed and to each replica that any replica lists.
+    /// Keeps a link to each seed and to each replica in any replica's list.
     fn update_links(self: &Rc<Self>) {
         let mut wanted: Vec<Replica> = self.seeds.borrow().clone();
         for list in self.replica_lists.borrow().values() {
@@ -191,7 +197,7 @@
         }
     }
 
-    /// Notes that a replica's link broke.
+    /// Records that a replica's link broke.
     fn unlink(&self, replica: &str) {
         self.linked.borrow_mut().swap_remove(replica);
         self.cluster
@@ -203,7 +209,7 @@
         }
     }
 
-    /// Tells whether a replica is one of the nearest that are linked, which are asked about instances.
+    /// Returns whether a replica is among the nearest linked ones, which are subscribed to.
     fn is_source(&self, replica: &str) -> bool {
         let linked = self.linked.borrow();
         let own = &self.hello.place;
@@ -215,7 +221,7 @@
         sources.any(|(name, _)| name == replica)
     }
 
-    /// Returns what a replica is to be told where it has become a source, or is one no more.
+    /// Returns the message for a replica that should be subscribed to from now on, or no longer.
     fn update_subscription(&self, replica: &str, is_subscribed: &mut bool) -> Option<Message> {
         let is_source = self.is_source(replica);
         if is_source == *is_subscribed {
@@ -269,9 +275,17 @@
                     }
                     _ = heartbeat.tick() => {
                         let confirmation = self.confirmation_request(is_subscribed);
-                        [Some(Message::Present((self.presence)())), confirmation, self.missing_suspects()]
+                        [
+                            Some(Message::Present((self.presence)())),
+                            confirmation,
+                            self.missing_suspects(),
+                        ]
                     }
-                    () = self.presence_changed.notified() => [Some(Message::Present((self.presence)())), None, None],
+                    () = self.presence_changed.notified() => [
+                        Some(Message::Present((self.presence)())),
+                        None,
+                        None,
+                    ],
                     () = self.sources_changed.notified() => continue,
                     () = self.fetch_ended.notified(), if fetch_at.is_some() => {
                         fetch_at = Some(time::Instant::now() + fetch_delay);
@@ -296,15 +310,16 @@
         }
     }
 
-    /// Returns what the group has to hold of requests that aren't run any more. All replicas are told, since this
-    /// instance doesn't know which one leads.
+    /// Returns the suspects that the control group should hold and doesn't hold yet. They go to all
+    /// replicas, since this instance doesn't know which one leads.
     fn missing_suspects(&self) -> Option<Message> {
         let missing = self.state.suspects().missing.load();
         (!missing.is_empty()).then(|| Message::Suspects(missing.to_vec()))
     }
 
-    /// Returns the question whether the configuration in force is the newest, where it is to be asked: of the
-    /// replicas that tell which instances there are, and of all others if those don't answer.
+    /// Returns the question whether the configuration in force is the newest, if it is due: always
+    /// for the replicas that are subscribed to, and for all others once the last confirmation is
+    /// old.
     fn confirmation_request(&self, is_source: bool) -> Option<Message> {
         if !self.state.lease().is_needed() {
             return None;
@@ -316,7 +331,7 @@
         (is_source || is_old).then_some(Message::Vouch(stamp))
     }
 
-    /// Takes the group's word that it had reached a revision when this instance asked.
+    /// Handles a replica's answer that the group had reached a revision when this instance asked.
     fn handle_confirmation(&self, stamp: Stamp, reached: id::Revision) {
         let asked = Duration::from_nanos(stamp);
         if asked > clock::now() {
@@ -330,7 +345,7 @@
         self.extend_lease();
     }
 
-    /// Extends the lease to what is confirmed of the configuration that the request path sees.
+    /// Extends the lease by what is confirmed of the configuration that the request path sees.
     fn extend_lease(&self) {
         if let Some(confirmed) = self.freshness.borrow().confirmed() {
             let was_ready = self.state.is_ready();
@@ -341,7 +356,7 @@
         }
     }
 
-    /// Takes a message in; tells whether the replica has a configuration to fetch.
+    /// Handles a message; returns whether the replica has a newer configuration to fetch.
     fn handle_message(self: &Rc<Self>, replica: &str, message: Message) -> bool {
         let now = Instant::now();
         match message {
@@ -357,7 +372,8 @@
                 let applied = held.and_then(|held| changes.apply(&held));
                 match applied {
                     Some(configuration) => self.configure(configuration, replica, now),
-                    // Another replica's answer came before; what is still missing is asked for again.
+                    // The answer of another replica came first; anything still missing is fetched
+                    // again.
                     None => self.finish_fetch(),
                 }
             }
@@ -374,7 +390,7 @@
                 for report in &news {
                     log_report(report, Some(replica));
                 }
-                // A sign of life alone can wait: each view copies all targets.
+                // Reports without news can wait for the next refresh: each view copies all targets.
                 if !news.is_empty() {
                     self.view_stale.notify_one();
                 }
@@ -413,7 +429,8 @@
             self.publish();
             self.freshness.borrow_mut().set_current(revision);
             self.extend_lease();
-            // The first one makes this instance ready, and callers may be waiting for one that is.
+            // The first configuration makes this instance ready, and callers may be waiting for one
+            // that is.
             self.announce();
         }
     }
@@ -423,8 +440,8 @@
         self.fetch_ended.notify_waiters();
     }
 
-    /// Takes the turn to fetch from a replica that has something to fetch; returns when to try again, if another
-    /// fetch is in progress.
+    /// Begins a fetch from a replica that has a newer configuration; returns the time of the next
+    /// try if another fetch is in progress.
     fn begin_fetch(&self, replica: &str) -> Option<time::Instant> {
         if !self.is_behind(replica) {
             return None;
@@ -444,7 +461,7 @@
     }
 }
 
-/// Logs which instances came, went, or changed whether they take requests.
+/// Logs which instances appeared, disappeared or changed their readiness.
 fn log_instances(before: &View, after: &View) {
     if Arc::ptr_eq(&before.instances, &after.instances) {
         return;
--- a/crates/zinniastall-gateway/src/view.rs
+++ b/crates/zinniastall-gateway/src/view.rs
@@ -1,4 +1,4 @@
-//! What the request path decides on: an immutable view, replaced as a whole.
+//! Immutable view that the request path decides on, replaced as a whole.
 
 use std::{
     sync::{Arc, OnceLock},
@@ -18,35 +18,35 @@
 /// A target and what follows from its last report.
 #[derive(Debug, Clone)]
 pub struct Target {
-    /// Its last report.
+    /// Last report of the target.
     pub report: Report,
-    /// When it said so.
+    /// Time of the last report.
     pub heard_at: Instant,
-    /// Until when it is cold.
+    /// Time until which the target is cold.
     pub cold_until: Option<Instant>,
-    /// When it will be gone, if it said so.
+    /// Time at which the target leaves, if it announced that.
     pub gone_at: Option<Instant>,
 }
 
 /// Everything that the request path knows of the rest of the system.
 #[derive(Debug, Clone)]
 pub struct View {
-    /// This instance.
+    /// Name of this instance.
     pub instance: id::Instance,
-    /// Where it runs.
+    /// Place in which this instance runs.
     pub place: Place,
     /// Configuration in force; `None` until one has been received.
     pub configuration: Option<Arc<Configuration>>,
-    /// Targets that take requests.
+    /// Targets that accept requests.
     pub targets: Arc<Targets>,
-    /// Gateway instances that are alive, this one included once it is known to the others.
+    /// Gateway instances that are alive, including this one once the others know it.
     pub instances: Arc<Instances>,
-    /// Load of all instances of each region.
+    /// Load by service and region.
     pub loads: Arc<Loads>,
 }
 
 impl View {
-    /// Creates the view of an instance that knows nothing yet.
+    /// Creates the view of an instance that has no information yet.
     pub fn new(instance: id::Instance, place: Place) -> Self {
         Self {
             instance,
@@ -68,32 +68,33 @@
         self.configuration.as_ref().map_or(0, |held| held.revision)
     }
 
-    /// Tells whether the targets of a zone get no new requests.
+    /// Returns whether the targets of a zone get no new requests.
     pub fn is_evacuated(&self, zone: &str) -> bool {
         let zones = self.configuration.as_ref().map(|held| &held.evacuated);
         zones.is_some_and(|zones| zones.iter().any(|evacuated| evacuated == zone))
     }
 }
 
-/// The time in which an instance ends.
+/// Period in which an instance drains.
 #[derive(Debug, Clone, Copy)]
 pub struct Drain {
-    /// When it was told to.
+    /// Time at which the drain began.
     pub since: Instant,
-    /// When it ends.
+    /// Time at which the process ends.
     pub end: Instant,
 }
 
-/// Requests that aren't run any more, between the thread that finds them out and the one that talks to control.
+/// Quarantined requests, exchanged between the traffic thread and the control thread.
 #[derive(Debug, Default)]
 pub struct Suspects {
-    /// What the control group holds.
+    /// Suspects that the control group holds.
     pub held: ArcSwap<Vec<Suspect>>,
-    /// What it has to hold and doesn't yet.
+    /// Suspects that the control group should hold and doesn't hold yet.
     pub missing: ArcSwap<Vec<Suspect>>,
 }
 
-/// Where knowledge is published and the request path reads it.
+/// State shared between the threads of an instance: the current view, the configuration's lease,
+/// quarantined requests and the drain.
 #[derive(Debug, Clone)]
 pub struct Shared {
     view: Arc<ArcSwap<View>>,
@@ -103,7 +104,7 @@
 }
 
 impl Shared {
-    /// Creates a board with a first view, whose configuration is relied on for good.
+    /// Creates shared state with a first view, whose configuration never expires.
     pub fn new(view: View) -> Self {
         Self {
             view: Arc::new(ArcSwap::from_pointee(view)),
@@ -113,24 +114,25 @@
         }
     }
 
-    /// Sets for how long a confirmed configuration is relied on.
+    /// Sets the lease that limits how long a confirmed configuration may be relied on.
     #[must_use]
     pub fn with_lease(mut self, lease: Lease) -> Self {
         self.lease = lease;
         self
     }
 
-    /// Returns the time up to which the configuration is relied on.
+    /// Returns the lease on the configuration.
     pub const fn lease(&self) -> &Lease {
         &self.lease
     }
 
-    /// Returns the requests that aren't run any more, as the control group knows them.
+    /// Returns the quarantined requests, as the control group knows them.
     pub fn suspects(&self) -> &Suspects {
         &self.suspects
     }
 
-    /// Tells whether the configuration of a view that is read after this call may be relied on now.
+    /// Returns whether the configuration of a view that is read after this call may be relied on
+    /// now.
     pub fn trust(&self) -> Trust {
         self.lease.trust(clock::now())
     }
@@ -140,30 +142,31 @@
         self.view.load_full()
     }
 
-    /// Replaces the view.
+    /// Replaces the current view.
     pub fn publish(&self, view: View) {
         self.view.store(Arc::new(view));
     }
 
-    /// Notes that the instance drains; the first word counts.
+    /// Records that the instance drains; only the first call has an effect.
     pub fn drain(&self, drain: Drain) {
         let _ = self.draining.set(drain);
     }
 
-    /// Returns since when the instance drains, if it does.
+    /// Returns the period of the drain, if the instance drains.
     pub fn draining(&self) -> Option<Drain> {
         self.draining.get().copied()
     }
 
-    /// Tells whether the instance drains.
+    /// Returns whether the instance drains.
     pub fn is_draining(&self) -> bool {
         self.draining.get().is_some()
     }
 
-    /// Tells whether callers should be sent here.
+    /// Returns whether callers should connect to this instance.
     ///
-    /// One that has not been confirmed yet could serve none of the requests that need a key. Later on it is of
-    /// use also with an old confirmation: most likely, others have none that is newer.
+    /// An instance whose configuration was never confirmed could serve no request that needs a key,
+    /// so it is not ready if there are accounts. One with a stale confirmation remains ready: most
+    /// likely the other instances have no newer one either.
     pub fn is_ready(&self) -> bool {
         let trust = self.trust();
         let view = self.view.load();
