--- a/crates/zinniastall-gateway/src/decide/budget.rs
+++ b/crates/zinniastall-gateway/src/decide/budget.rs
@@ -1,34 +1,34 @@
-//! How often requests may be sent a second time.
+//! Retry budget: limits how often requests are sent again.
 //!
-//! When targets fail, each request that is tried again adds load where there is too little capacity
-//! already. All instances share one bound: in any window a service may get a share of the requests
-//! made for it, and a fixed number more, as repeats. An instance counts its own requests, and takes
-//! its part of the fixed number, so that the sum stays under the bound without a word between them.
+//! When targets fail, each retry adds load where capacity is short already. All instances share one
+//! limit: in any window, the retries of a service may not exceed a share of its requests plus a
+//! fixed number. Each instance counts its own requests and takes its part of the fixed number, so
+//! that the total stays below the limit without communication.
 
 use std::{
     collections::VecDeque,
     time::{Duration, Instant},
 };
 
-/// Parts into which a window is cut; what lies in the part that is leaving the window still counts.
+/// Buckets of a window. The bucket that is leaving the window still counts in full.
 const BUCKETS: u32 = 20;
-/// Part of the bound that is used. The rest is for instances that have just joined or left, whom the
-/// others count late.
+/// Share of the limit that is used. The rest covers instances that have just joined or left, which
+/// the others count with a delay.
 const BOUND_SHARE: f64 = 0.8;
 
-/// The bound, as all instances share it.
+/// Retry limit shared by all instances.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Bound {
-    /// Window over which is counted.
+    /// Window over which requests and retries are counted.
     pub window: Duration,
-    /// Repeats for each request.
+    /// Retries allowed per request.
     pub ratio: f64,
-    /// Repeats beside those, of all instances together.
+    /// Retries allowed in addition, for all instances together.
     pub slack: u32,
 }
 
 impl Default for Bound {
-    /// A fifth of the requests of ten seconds and ten more.
+    /// Returns a limit of a fifth of the requests within ten seconds, plus ten.
     fn default() -> Self {
         Self {
             window: Duration::from_secs(10),
@@ -38,7 +38,7 @@
     }
 }
 
-/// One instance's account for one service.
+/// Retry budget of one instance for one service.
 #[derive(Debug)]
 pub struct Budget {
     bound: Bound,
@@ -48,7 +48,7 @@
 }
 
 impl Budget {
-    /// Creates an empty account.
+    /// Creates a budget without requests.
     pub fn new(bound: Bound) -> Self {
         Self {
             bound,
@@ -58,16 +58,17 @@
         }
     }
 
-    /// Counts a request that a caller made.
+    /// Counts a request made by a caller.
     pub fn deposit(&mut self, now: Instant) {
         self.requests.add(now, self.bound.window, 1);
     }
 
-    /// Takes one repeat out of the account, if it holds one; `instances` share the fixed number.
+    /// Takes one retry out of the budget and returns whether it held one; `instances` share the
+    /// fixed number.
     pub fn withdraw(&mut self, now: Instant, instances: usize) -> bool {
         let window = self.bound.window;
         let instances = u32::try_from(instances.max(1)).unwrap_or(u32::MAX);
-        // Whoever left a moment ago may have used its part within this window.
+        // An instance that left a moment ago may have used its part within this window.
         self.instances.raise_to(now, window, instances);
         let share = f64::from(self.bound.slack) / f64::from(self.instances.highest(now, window));
         let requests = f64::from(self.requests.sum(now, window));
@@ -80,7 +81,7 @@
     }
 }
 
-/// Numbers by part of the window, oldest first.
+/// Values by bucket of the window, oldest first.
 #[derive(Debug, Default)]
 struct Window(VecDeque<(Instant, u32)>);
 
--- a/crates/zinniastall-gateway/src/decide/fetch.rs
+++ b/crates/zinniastall-gateway/src/decide/fetch.rs
@@ -1,43 +1,46 @@
-//! Whether a target copies a prompt's shared parts from another one before it reads.
+//! Decides whether a target fetches the KV cache of a prompt's shared prefix from another target.
 //!
-//! Load that this answers: a region's engines share the prompts of a few hundred beginnings. Where the engine
-//! that holds a beginning has a queue, the prompt goes to another one, which would read the beginning again.
-//! Copying it takes a hundredth of that time.
+//! The engines of a region share the prompts of a few hundred prefixes. If the engine that has a
+//! prefix cached is busy, the prompt goes to another engine, which would prefill the prefix again.
+//! Copying its cache takes a hundredth of that time.
 
 use std::time::Duration;
 
-/// What one target is expected to hold of a prompt, in tokens.
+/// Tokens of a prompt that one target is expected to have cached.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Holder {
-    /// What was sent there by this instance.
+    /// Tokens that this instance sent there.
     pub known: u64,
-    /// That, or what others are expected to have sent there.
+    /// Those, or the tokens that other instances are expected to have sent there.
     pub expected: u64,
 }
 
-/// How memory of prompts is copied between the targets of a service.
+/// Link over which the targets of a service copy KV caches.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Link {
-    /// Bytes of a token's memory.
+    /// Size of a token's KV cache, in bytes.
     pub token_bytes: u64,
-    /// Rate between two targets, in megabits a second; 0 where they can't copy.
+    /// Rate between two targets, in megabits per second; 0 if they cannot copy.
     pub mbps: u64,
 }
 
 impl Link {
-    /// Returns the time to copy some tokens.
+    /// Returns the time to copy the cache of `tokens` tokens.
     pub fn time(&self, tokens: u64) -> Duration {
         let bits = tokens.saturating_mul(self.token_bytes).saturating_mul(8);
         Duration::from_micros(bits / self.mbps.max(1))
     }
 }
 
-/// Part of the time to read that copying may take. Links are shared, and who holds what is a guess.
+/// Factor by which copying has to be quicker than prefilling. Links are shared, and the cache
+/// contents are a guess.
 const MIN_SPEEDUP: u32 = 4;
-/// Fewest tokens that are copied: a copy costs some milliseconds to set up, in which 200 tokens are read.
+/// Fewest tokens that are copied. Setting up a copy takes some milliseconds, in which 200 tokens
+/// are prefilled.
 const MIN_TOKENS: u64 = 500;
 
-/// Chooses the target from which `chosen` copies what it lacks; `read` is the time to read so many tokens.
+/// Chooses the target from which `chosen` copies the tokens it lacks; `read` returns the prefill
+/// time of a number of tokens.
 pub fn source(
     holders: &[Holder],
     chosen: usize,
--- a/crates/zinniastall-gateway/src/decide/identity.rs
+++ b/crates/zinniastall-gateway/src/decide/identity.rs
@@ -1,18 +1,18 @@
-//! Who asks: the client account whose key a request carries.
+//! Identifies the client account whose key a request carries.
 
 use http::{HeaderMap, header::AUTHORIZATION};
 use zinniastall_model::routing::{Route, Table};
 
 use crate::freshness::Trust;
 
-/// Scheme of the field that carries a key.
+/// Scheme of the `Authorization` header that carries a key.
 const SCHEME: &str = "bearer";
 
-/// Why a request's account is not known.
+/// Reason why a request's account is unknown.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum Unauthenticated {
-    /// It carries no key, or one that no account holds.
-    #[error("no account holds its key")]
+    /// The request carries no key, or one that belongs to no account.
+    #[error("its key belongs to no account")]
     UnknownKey,
     /// The accounts known here have not been confirmed yet.
     #[error("the accounts have not been confirmed yet")]
@@ -20,17 +20,17 @@
     /// The accounts known here may be out of date.
     #[error("the accounts may be out of date")]
     Stale,
-    /// The instance that passed it on knows other accounts.
-    #[error("the instance that passed it on knows other accounts")]
+    /// The instance that forwarded the request knows other accounts.
+    #[error("the forwarding instance knows other accounts")]
     Mismatch,
 }
 
-/// Returns the place of the account of a caller's request; none where the request needs no key.
+/// Returns the index of the account of a caller's request, or `None` if the request needs no key.
 ///
 /// # Errors
 ///
-/// [`Unidentified`] says why there is none. Where the accounts may be out of date, a key is neither let in nor
-/// called unknown.
+/// Returns [`Unauthenticated`] with the reason if the account is unknown. If the accounts may be
+/// out of date, a key is neither accepted nor reported as unknown.
 pub fn of_caller(
     table: &Table,
     route: &Route,
@@ -50,12 +50,12 @@
     Ok(Some(holder))
 }
 
-/// Returns the place of the account of a request that another instance has identified; none where the request
-/// needs no key.
+/// Returns the index of the account of a request that another instance has authenticated, or `None`
+/// if the request needs no key.
 ///
 /// # Errors
 ///
-/// [`Unidentified::Differs`] where that instance goes by another configuration.
+/// Returns [`Unauthenticated::Mismatch`] if that instance uses another configuration.
 pub fn of_instance(
     table: &Table,
     route: &Route,
@@ -71,7 +71,7 @@
     }
 }
 
-/// Tells whether requests on a route have to carry a key.
+/// Returns whether requests on a route have to carry a key.
 pub const fn needs_key(table: &Table, route: &Route) -> bool {
     table.accounts.is_some() && !route.public
 }
--- a/crates/zinniastall-gateway/src/decide/mod.rs
+++ b/crates/zinniastall-gateway/src/decide/mod.rs
@@ -1,4 +1,5 @@
-//! Decisions of the request path, without I/O: functions of what is known and the present time.
+//! Decisions of the request path as pure functions of the known state and the current time, without
+//! I/O.
 
 pub mod budget;
 pub mod concurrency;
--- a/crates/zinniastall-gateway/src/decide/outlier.rs
+++ b/crates/zinniastall-gateway/src/decide/outlier.rs
@@ -1,25 +1,25 @@
-//! Which targets are left alone for a while because they fail.
+//! Outlier detection: ejects targets that fail.
 //!
-//! A target's own word that it is well may be wrong, so what counts is how its answers end. Failures
-//! in a row take it out, for longer each time; the first success ends that. A target that fails a
-//! part of its requests is taken out by its share of failures.
+//! A target's own health report may be wrong, so only the results of its requests count.
+//! Consecutive failures eject a target, for twice as long each time; the first success resets that
+//! time. A target that fails only some of its requests is ejected by its failure rate.
 
 use std::time::{Duration, Instant};
 
-/// Failures in a row that take a target out: one may be the request's own, or a connection that broke
-/// at rest.
+/// Consecutive failures that eject a target. A single failure may be the request's own fault, or a
+/// connection that broke while idle.
 const MAX_CONSECUTIVE_FAILURES: u32 = 3;
-/// Share of failures that takes a target out. A service may fail a seventh of its requests for
-/// reasons of their own.
+/// Failure rate that ejects a target. A service may fail a seventh of its requests for reasons of
+/// its own.
 const MAX_FAILURE_RATE: f64 = 0.45;
-/// Weight of the newest result in the share.
+/// Weight of the newest result in the failure rate.
 const SMOOTHING: f64 = 0.15;
-/// First time out; each further one is twice as long.
+/// Duration of the first ejection; each further one is twice as long.
 const FIRST_EJECTION: Duration = Duration::from_millis(500);
-/// Longest time out. A target that comes back is found at the latest after that.
+/// Longest ejection. It bounds how long a recovered target goes unnoticed.
 const MAX_EJECTION: Duration = Duration::from_secs(4);
 
-/// One target's results, as one instance saw them.
+/// Results of one target, as seen by this instance.
 #[derive(Debug, Default)]
 pub struct Record {
     consecutive_failures: u32,
@@ -29,14 +29,15 @@
 }
 
 impl Record {
-    /// Notes that the target answered in order.
+    /// Records a successful request.
     pub fn success(&mut self) {
         self.consecutive_failures = 0;
         self.failure_rate *= 1.0 - SMOOTHING;
         self.last_ejection = None;
     }
 
-    /// Notes that the target failed; returns for how long it is out, if it is out now.
+    /// Records a failed request and returns the remaining ejection time, if the target is ejected
+    /// now.
     pub fn failure(&mut self, now: Instant) -> Option<Duration> {
         self.consecutive_failures += 1;
         self.failure_rate += SMOOTHING * (1.0 - self.failure_rate);
@@ -48,13 +49,13 @@
         Some(self.eject(now))
     }
 
-    /// Notes that the target can't be reached; returns for how long it is out.
+    /// Records that the target is unreachable and returns its remaining ejection time.
     pub fn unreachable(&mut self, now: Instant) -> Duration {
         self.consecutive_failures += 1;
         self.eject(now)
     }
 
-    /// Tells whether the target is out.
+    /// Returns whether the target is ejected.
     pub fn is_ejected(&self, now: Instant) -> bool {
         self.ejected_until.is_some_and(|until| until > now)
     }
--- a/crates/zinniastall-gateway/src/decide/place.rs
+++ b/crates/zinniastall-gateway/src/decide/place.rs
@@ -1,48 +1,50 @@
-//! Where a request goes: which target of this region, another region, a short wait, or nowhere.
+//! Chooses where a request goes: to a target of this region, to another region, into a short wait,
+//! or nowhere.
 //!
-//! Everything is compared as expected time until the answer begins. For a model engine that is the
-//! prompts that wait before this one, the part of its own prompt that the engine doesn't hold, and the
-//! ends of other requests that it has to wait for in a full batch; for a plain service, the requests
-//! before it. Another region adds its round trip.
+//! All options are compared by the expected time until the answer begins. For a model engine that
+//! is the prefill of the prompts ahead, the part of the request's own prompt that the engine has
+//! not cached, and the time until other requests of a full batch end. For a plain service it is the
+//! time for the requests ahead. Another region adds its round trip.
 //!
-//! Load that this answers: more requests than all targets can finish. If all were let in, each would
-//! wait in a queue that only grows, and all answers would come late, which is worth a third; with the
-//! queue held shorter than the objective, as many are answered in time as there is capacity, and the
-//! rest are told at once when to come back. The queue is held shorter still where streams run that would
-//! stand still while it is read.
+//! Under overload, admitting every request would let the queues grow without bound, and all answers
+//! would be late, which is worth a third of an answer in time. With queues kept shorter than the
+//! objective, as many requests are answered in time as there is capacity for, and the others are
+//! told at once when to retry. Queues are kept shorter still where running streams would stall
+//! during a prefill.
 
 use std::time::Duration;
 
 /// A target that may be chosen now.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Candidate {
-    /// Expected time until the target turns to this request.
+    /// Expected time until the target starts on this request.
     pub wait: Duration,
-    /// Part of that wait in which it reads prompts of others.
+    /// Part of that wait in which the target prefills other prompts.
     pub prefill_ahead: Duration,
-    /// Part of its slots that is taken; above 1 where requests wait for one.
+    /// Share of the target's slots in use; above 1 where requests queue for a slot.
     pub occupancy: f64,
-    /// Expected time for what the target has to read of this request's prompt.
+    /// Expected time to prefill the part of this request's prompt that the target has not cached.
     pub prefill: Duration,
-    /// Whether its last requests failed; it is used only where nobody else is left.
+    /// Whether the target is ejected because its last requests failed. It is used only if no other
+    /// target is left.
     pub is_ejected: bool,
-    /// Decides between equals.
+    /// Orders targets that are otherwise equal.
     pub tie_breaker: u64,
 }
 
 impl Candidate {
-    /// Returns what sending a request here costs: the expected time until its answer begins, and the time that
-    /// reading its prompt takes from everybody else.
+    /// Returns the cost of sending a request to this target: the expected time until its answer
+    /// begins, plus the time that its prefill takes from the other requests.
     pub fn cost(&self) -> Duration {
         self.wait + self.prefill * PREFILL_WEIGHT
     }
 
-    /// Tells whether streams that run at the target go on without a pause that their callers mind.
+    /// Returns whether the target's running streams continue without a pause longer than `gap`.
     ///
-    /// A target that reads prompts without a break takes a whole slice of them in each step, and an event
-    /// takes several steps: callers see streams that began in time stand still for most of a second, again
-    /// and again. What waits there, together with what was read since the last events, is what the next
-    /// event comes behind.
+    /// A target that prefills without a break processes a large chunk in each step, and an event
+    /// takes several steps, so streams that began in time stall repeatedly for most of a second.
+    /// The next event of a stream comes after the prompts waiting at the target and those prefilled
+    /// since the last events.
     fn keeps_gap(&self, gap: Duration, rank: usize) -> bool {
         let share = (GAP_SHARE - GAP_CUT_PER_RANK * as_f64(rank)).max(MIN_GAP_SHARE);
         let own_prefill = self.prefill.min(gap.mul_f64(MAX_OWN_GAP_SHARE));
@@ -51,97 +53,99 @@
     }
 }
 
-/// Another region, as its instances describe it.
+/// Another region, as its instances report it.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Region {
-    /// Expected wait at its targets.
+    /// Expected wait at the region's targets.
     pub wait: Duration,
-    /// Time to it and back.
+    /// Round-trip time to the region.
     pub round_trip: Duration,
 }
 
-/// What a request may wait for.
+/// Limits on the wait of a request.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Constraints {
-    /// Time that is left until nobody waits for the answer.
+    /// Time left until the request's deadline.
     pub left: Duration,
-    /// What is left of the time within which an answer is worth most.
+    /// Time left until the objective, within which an answer is worth most.
     pub objective: Duration,
-    /// How many more urgent ranks share the service.
+    /// Number of more urgent priorities that use the service.
     pub rank: usize,
-    /// How many more urgent routes share the service, whoever asks. A route's requests are of one kind, and how long
-    /// a target reads for one doesn't depend on its account.
+    /// Number of more urgent routes that use the service, whatever the account. The requests of a
+    /// route are alike, and how long a target takes to prefill one does not depend on its account.
     pub route_rank: usize,
-    /// Longest pause between two events that callers of the service's streams bear; zero for no bound.
+    /// Longest acceptable pause between two events of the service's streams; zero for no limit.
     pub gap: Duration,
-    /// Whether a target of this region is expected to take requests again within moments.
+    /// Whether a target of this region is expected to accept requests again within moments.
     pub opens_soon: bool,
 }
 
-/// A place for a request.
+/// A decision on where a request goes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Choice {
-    /// A target of this region, by its place in the list.
+    /// A target of this region, by its index.
     Local(usize),
-    /// Another region, by its place in the list.
+    /// Another region, by its index.
     Remote(usize),
-    /// None at the moment; to be asked again after a time.
+    /// No target for now; to be decided again after the given time.
     Wait(Duration),
-    /// None: the answer would come too late; worth coming back after a time.
+    /// No target, since the answer would come too late; worth retrying after the given time.
     Refuse(Duration),
 }
 
-/// Targets up to which all are weighed: few instances share them and hear of each other ten times a second.
+/// Largest number of targets that are all weighed. So few targets are shared by few instances,
+/// which exchange their loads ten times a second.
 const MAX_ALL_WEIGHED: usize = 6;
-/// Targets that hold most of the prompt, and others, that are weighed of many.
+/// Targets sampled from a larger number, among those with most of the prompt cached.
 const SAMPLED_CACHED: usize = 3;
-/// See [`HOLDING`].
+/// Targets sampled from the others.
 const SAMPLED_OTHERS: usize = 2;
-/// How often reading counts where targets are compared. Counted once, a prompt would leave the target that holds its
-/// beginning for any with a shorter queue, which then reads it too.
+/// Weight of the prefill when targets are compared. With a weight of 1, a prompt would leave the
+/// target that has its prefix cached for any target with a shorter queue, which then prefills it
+/// again.
 const PREFILL_WEIGHT: u32 = 2;
-/// By how much another region has to be better. Its wait is known half a second late, and requests
-/// that all turn to it on old news would only move the queue.
+/// How much quicker another region has to be. Its wait is known with a delay of half a second, and
+/// requests that all move to it on outdated information would only move the queue.
 const REMOTE_MARGIN: Duration = Duration::from_millis(60);
-/// Part of the objective that an expected wait may take; the rest is for what expectations miss. Load
-/// of other instances is known a tenth of a second late, in which a burst adds a tenth of a queue.
+/// Share of the objective that an expected wait may take; the rest covers errors of the estimate.
+/// The load of other instances is known with a delay of a tenth of a second, in which a burst adds
+/// a tenth of a queue.
 const OBJECTIVE_SHARE: f64 = 0.8;
-/// By how much of the bearable wait each more urgent rank of the service shortens it, and what is left at
-/// least.
+/// Cut of the acceptable wait for each more urgent priority that uses the service.
 const WAIT_CUT_PER_RANK: f64 = 0.45;
-/// See [`RANK`].
+/// Least share of the acceptable wait, at any priority.
 const MIN_WAIT_SHARE: f64 = 0.25;
-/// Part of the time left that an expected wait may take where the objective is missed already: the
+/// Share of the remaining time that an expected wait may take once the objective is missed. The
 /// answer is worth less then, and nothing after the deadline.
 const LATE_WAIT_SHARE: f64 = 0.35;
-/// Part of the bearable pause that prompts before a request and its own may take together, and by how much
-/// each more urgent route of the service shortens that.
+/// Share of the acceptable pause that the prompts ahead of a request and its own may take together.
 const GAP_SHARE: f64 = 0.65;
-/// See [`STEADY`].
+/// Cut of that share for each more urgent route that uses the service.
 const GAP_CUT_PER_RANK: f64 = 0.25;
-/// Least part, at any rank: [`OWN`] and [`CROWD`] together, so that a full batch in which nothing waits takes
-/// every prompt.
+/// Least share, at any rank: the sum of [`MAX_OWN_GAP_SHARE`] and [`FULL_BATCH_GAP_SHARE`], so that
+/// a full batch without waiting prompts accepts every prompt.
 const MIN_GAP_SHARE: f64 = 0.4;
-/// Part of the bearable pause that a request's own prompt counts for at most: otherwise the longest prompts
-/// would get no target as long as any stream runs.
+/// Share of the acceptable pause that a request's own prompt counts for at most. Without this cap
+/// the longest prompts would find no target as long as any stream runs.
 const MAX_OWN_GAP_SHARE: f64 = 0.35;
-/// Part of the bearable pause that a full batch counts for: its steps are longer and its memory is short, so
-/// that requests are put back in the middle of their streams.
+/// Share of the acceptable pause that a full batch counts for: its steps are longer, and it is
+/// short of memory, so that requests are preempted in the middle of their streams.
 const FULL_BATCH_GAP_SHARE: f64 = 0.05;
-/// Part of the objective for which a request is kept where no target takes one now. A target that is
-/// full or starts again mostly takes requests within a tenth of a second.
+/// Share of the objective for which a request is held if no target accepts one now. A target that
+/// is full or restarting mostly accepts requests again within a tenth of a second.
 const HOLD_SHARE: f64 = 0.5;
-/// Time after which a kept request looks again.
+/// Time after which a held request is decided again.
 const POLL_INTERVAL: Duration = Duration::from_millis(30);
-/// Shortest and longest time after which a refused request should come back: below the first the
-/// queue hasn't moved, and after the second callers have mostly given up.
+/// Shortest and longest time after which a refused request should retry. Before the first the queue
+/// has hardly moved, and after the second most callers have given up.
 const RETRY_AFTER: (Duration, Duration) = (Duration::from_millis(250), Duration::from_secs(2));
 
-/// Chooses a place.
+/// Chooses where a request goes.
 ///
-/// Where there are many targets, only a few of them are weighed. Each instance knows the others' requests a
-/// moment late; if all of them weighed all targets, all would turn to the same one until they hear of each
-/// other, and then to the next. Looking further where the few are taken brings most of that back.
+/// If there are many targets, only a sample of them is weighed. Each instance learns of the others'
+/// requests with a short delay; if all instances weighed all targets, they would all pick the same
+/// one until they hear of each other, and then the next. Weighing further targets when the sampled
+/// ones are busy brings most of that effect back.
 pub fn choose(local: &[Candidate], remote: &[Region], constraints: Constraints) -> Choice {
     if local.len() > MAX_ALL_WEIGHED {
         let sample = sample(local);
@@ -154,8 +158,8 @@
     choose_from(local, remote, constraints)
 }
 
-/// Returns the places of the targets that are weighed: some of those that hold most of the prompt, and some
-/// others; failing ones only where too few others are left.
+/// Returns the indexes of the targets to weigh: some of those with most of the prompt cached, and
+/// some others. Ejected targets are included only if too few others are left.
 fn sample(local: &[Candidate]) -> Vec<usize> {
     let healthy = local.iter().filter(|candidate| !candidate.is_ejected);
     let min_prefill = healthy.map(|candidate| candidate.prefill).min();
@@ -187,10 +191,10 @@
 }
 
 impl Constraints {
-    /// Returns the longest wait for which a request is let in.
+    /// Returns the longest expected wait for which a request is admitted.
     ///
-    /// Less urgent requests are given up first: their queue is held shorter, and what it leaves free is
-    /// there for the urgent ones. They are not starved, since that is a part of the queue and not all.
+    /// Less urgent requests are shed first: their queue is kept shorter, which leaves capacity for
+    /// the urgent ones. They do not starve, since they keep part of the queue.
     fn max_wait(&self) -> Duration {
         let share = (1.0 - WAIT_CUT_PER_RANK * as_f64(self.rank)).max(MIN_WAIT_SHARE);
         self.objective
@@ -198,7 +202,7 @@
             .max(self.late_wait())
     }
 
-    /// Returns what an answer that is late already may wait for.
+    /// Returns the wait acceptable for an answer that already missed the objective.
     fn late_wait(&self) -> Duration {
         if self.objective.is_zero() {
             self.left.mul_f64(LATE_WAIT_SHARE)
@@ -208,7 +212,8 @@
     }
 }
 
-/// Returns the place with the least expected time, and that time without what is read.
+/// Returns the option with the least expected time, and that time without the request's own
+/// prefill.
 fn closest(
     local_best: Option<usize>,
     local: &[Candidate],
@@ -220,7 +225,8 @@
     let (Some(at), Some(far)) = (local_best, remote_best) else {
         return stay.or(leave);
     };
-    // What another region holds isn't known; mostly one of its targets has been sent the prompt's beginning.
+    // The cache of another region is unknown, but mostly one of its targets has the prompt's
+    // prefix. Its cost counts this region's prefill time once.
     let remote_cost = remote[far].wait + remote[far].round_trip + local[at].prefill;
     if local[at].is_ejected || remote_cost + REMOTE_MARGIN < local[at].cost() {
         return leave;
--- a/crates/zinniastall-gateway/src/decide/prefill.rs
+++ b/crates/zinniastall-gateway/src/decide/prefill.rs
@@ -1,21 +1,21 @@
-//! How long an engine is expected to read a prompt.
+//! Estimates how long an engine takes to prefill a prompt.
 
 use std::time::Duration;
 
-/// How fast engines are expected to read.
+/// Prefill speed assumed for engines.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Rates {
-    /// Prompt tokens that an engine reads in a millisecond, as its operators state it.
+    /// Prompt tokens that an engine processes per millisecond, as stated by its operators.
     pub tokens_per_ms: f64,
-    /// Time that counts for comparing a million pairs of prompt tokens, in milliseconds.
+    /// Attention cost of a million pairs of prompt tokens, in milliseconds.
     pub pairs_ms: f64,
 }
 
 impl Default for Rates {
-    /// The rate of engines of the usual size.
+    /// Returns the speed of engines of the usual size.
     ///
-    /// Pairs count for less than such engines take: the engine holds more of a prompt than is known here, and long
-    /// prompts would be refused more often than need be.
+    /// The attention cost is set below what such engines take: an engine often has more of a prompt
+    /// cached than is known here, and the full cost would refuse long prompts needlessly.
     fn default() -> Self {
         Self {
             tokens_per_ms: 44.0,
@@ -25,10 +25,11 @@
 }
 
 impl Rates {
-    /// Returns the expected time to read a prompt of which some tokens are held.
+    /// Returns the expected prefill time of a prompt of `tokens` tokens, `kept` of which are
+    /// cached.
     ///
-    /// Each token is read once, and compared with all before it: the second part grows with the square of
-    /// the length.
+    /// Each token is processed once and compared with all tokens before it, so the second term
+    /// grows with the square of the length.
     pub fn expected(&self, tokens: u64, kept: u64) -> Duration {
         #[expect(clippy::cast_precision_loss, reason = "tokens are far below 2^52")]
         let (all, kept) = (tokens as f64, kept.min(tokens) as f64);
--- a/crates/zinniastall-gateway/src/decide/quota.rs
+++ b/crates/zinniastall-gateway/src/decide/quota.rs
@@ -1,23 +1,25 @@
-//! How much of a client account's quota this instance may use.
+//! Decides how much of a client account's quota this instance may use.
 //!
-//! A quota holds over all instances together. Asking one place for each request would cost every request a trip,
-//! often to another region, and would refuse all of them whenever that place can't be reached. So each instance
-//! counts what its callers ask for, hears several times a second what all instances were asked for and let in
-//! ([`Totals`]), and decides alone:
+//! A quota holds for all instances together. Asking a single place about each request would cost
+//! every request a round trip, often to another region, and would refuse all requests while that
+//! place is unreachable. Instead, each instance counts the requests of its callers, hears several
+//! times a second what all instances were asked for and admitted ([`Totals`]), and decides alone:
 //!
-//! - A quota is what may be used within any window: the rate times its length, and the burst. As long as something
-//!   of the last window is left, everything is let in. What is left is worked out here from the totals.
-//! - Beyond that, each instance lets the same part of the requests in: what leaves the window, by what all are
-//!   asked for.
-//! - Instances that fell silent may go on by themselves. What they may use at most is reserved for them: what
-//!   they used last, and their share of what was left of the rate then. Whoever hears no totals keeps to just
-//!   that. Meanwhile only a part of the burst is let in beyond the rate, so that both sides together keep to the
-//!   quota.
-//! - Where nobody knows what was used within the last window, as after a loss of all power, an account that asks for
-//!   about its rate is let in, and one that asks for more gets little until that window is over.
+//! - A quota limits the use within any window to the rate times the window's length plus the burst.
+//!   As long as part of that is left in the current window, everything is admitted. What is left is
+//!   computed here from the totals.
+//! - Beyond that, all instances admit the same fraction of the requests: the use that leaves the
+//!   window, divided by the total demand.
+//! - Instances that fell silent may continue on their own. The most that they may use is reserved
+//!   for them: their last use, and their share of the rate that was unused at that time. An
+//!   instance that hears no totals keeps to exactly that. Meanwhile only part of the burst is
+//!   admitted beyond the rate, so that both sides together keep the quota.
+//! - If nobody knows the use within the last window, such as after a loss of all power, an account
+//!   that demands about its rate is admitted, and one that demands more is mostly refused until
+//!   that window has passed.
 //!
-//! Totals are some tenths of a second old. What is let in too much meanwhile is paid back: what is left goes below
-//! zero, and less is let in until it is back.
+//! Totals are some tenths of a second old. What is admitted in excess meanwhile is paid back: the
+//! remainder becomes negative, and less is admitted until it recovers.
 
 mod history;
 mod meter;
@@ -34,19 +36,19 @@
 };
 use super::slow_start;
 
-/// What all instances together were asked for and let in.
+/// Demand and use of an account, over all instances.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Total {
     /// Sum over the instances that are heard.
     pub usage: Usage,
-    /// What instances that fell silent may use, in units a second.
+    /// Units per second that instances which fell silent may use.
     pub reserved: u64,
-    /// What was used within the last window, where the sender knows all of it.
+    /// Units used within the last window, if the sender knows all of it.
     pub window_usage: Option<u64>,
 }
 
-/// A client account, as instances name it among themselves: a hash of its name. Where two accounts share one, each
-/// counts for the other's use as well.
+/// A client account as instances name it among themselves: a hash of its name. Two accounts that
+/// share a key each count the other's use as well.
 pub type Key = u32;
 
 /// Totals by client account.
@@ -55,25 +57,27 @@
 /// Usages by client account.
 pub type Usages = IndexMap<Key, Usage>;
 
-/// Age up to which totals count as those of now.
+/// Age up to which totals count as current.
 const MAX_TOTALS_AGE: Duration = Duration::from_millis(700);
-/// Part of the burst that is let in at once where the last window isn't known. The rest is for what totals don't
-/// show yet.
+/// Share of the burst that is admitted at once if the last window is unknown. The rest covers use
+/// that the totals don't show yet.
 const BURST_SHARE: f64 = 0.5;
-/// How many times the rate an account may ask for, beside a quarter of its burst and half of the slack, to be let in where
-/// nobody knows the last window: at that pace it stays about within its quota whatever it used before.
+/// Multiple of the rate up to which an account is admitted in full while nobody knows the last
+/// window, in addition to a quarter of its burst and half of the slack. At that pace it stays about
+/// within its quota, whatever it used before.
 const MODERATE_RATE_FACTOR: f64 = 1.2;
-/// Part of the rate that is let in beyond that: it may have used up its quota right before.
+/// Share of the rate that is admitted beyond that, since the account may have used up its quota
+/// just before.
 const EXCESSIVE_RATE_SHARE: f64 = 0.15;
-/// Least time over which what was asked for right after a start is taken for a rate.
+/// Shortest time over which the demand after a start is taken as a rate.
 const MIN_COUNTED_SPAN: Duration = Duration::from_millis(200);
-/// Time within which what was let in too much is paid back.
+/// Time within which excess use is paid back.
 const REPAYMENT_TIME: Duration = Duration::from_secs(2);
-/// Most that is paid back, in seconds of the rate.
+/// Largest excess that is paid back, in seconds of the rate.
 const MAX_DEBT_SECONDS: f64 = 2.0;
-/// Shortest and longest time after which a request beyond the quota should come back.
+/// Shortest and longest time after which a request beyond the quota should retry.
 const RETRY_AFTER: (Duration, Duration) = (Duration::from_millis(500), Duration::from_secs(3));
-/// Instances that are taken to share quotas at least, before it is known how many do.
+/// Least number of instances assumed to share quotas, until their number is known.
 const MIN_INSTANCES: usize = 2;
 /// Time after its last request for which an account is remembered.
 const ACCOUNT_TTL: Duration = Duration::from_mins(1);
@@ -88,7 +92,7 @@
 }
 
 impl Default for Bound {
-    /// Eight seconds, exactly.
+    /// Returns a window of eight seconds without slack.
     fn default() -> Self {
         Self {
             window: Duration::from_secs(8),
@@ -97,12 +101,13 @@
     }
 }
 
-/// What one instance counts of its own callers, and knows of all, by client account.
+/// Quota state of one instance: the demand of its own callers and the totals over all instances, by
+/// client account.
 #[derive(Debug)]
 pub struct Quotas {
     bound: Bound,
     accounts: IndexMap<Key, Account>,
-    /// What all used within the last window, of accounts that any caller used.
+    /// Use by all instances within the last window, for accounts in use.
     histories: IndexMap<Key, History>,
     totals: Totals,
     /// When totals were heard first and last.
@@ -114,10 +119,10 @@
 struct Account {
     quota: Quota,
     meter: Meter,
-    /// What is left of the burst that is let in where the last window isn't known, in units; below zero for what
-    /// was let in too much.
+    /// Units left of the burst that is admitted while the last window is unknown; negative after
+    /// excess use.
     balance: f64,
-    /// Own use when totals were last heard.
+    /// This instance's use when totals were last heard.
     used_at_last_totals: u64,
     last_request: Instant,
 }
@@ -125,9 +130,10 @@
 /// A request's claim on a quota.
 #[derive(Debug, Clone, Copy)]
 pub struct Claim {
-    /// Units.
+    /// Cost in units of the quota.
     pub cost: u64,
-    /// A random number from 0 to 1.
+    /// A random number from 0 to 1, which decides whether the request is within the admitted
+    /// fraction.
     pub draw: f64,
 }
 
@@ -140,21 +146,21 @@
     slow_start::weight(account, "") as Key
 }
 
-/// Why a request is beyond its account's quota.
+/// Details of a request beyond its account's quota.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Excess {
-    /// Time after which it should come back.
+    /// Time after which it should retry.
     pub retry_after: Duration,
-    /// What all instances are known to have been asked for and to have let in.
+    /// Demand and use of all instances, as far as they are known.
     pub total: Total,
-    /// What was used within the last window, as far as it is known.
+    /// Units used within the last window, as far as they are known.
     pub window_usage: u64,
-    /// Part of such requests that is let in.
+    /// Fraction of such requests that is admitted.
     pub admitted_fraction: f64,
 }
 
 impl Quotas {
-    /// Creates counts by which a bound is held.
+    /// Creates an empty state that enforces `bound`.
     pub fn new(bound: Bound) -> Self {
         Self {
             bound,
@@ -166,11 +172,11 @@
         }
     }
 
-    /// Lets a request in, or tells after which time it should come back.
+    /// Admits a request, or returns the time after which it should retry.
     ///
     /// # Errors
     ///
-    /// [`Excess`] says on which grounds.
+    /// Returns [`Excess`] with the figures behind the decision if the request is beyond the quota.
     pub fn admit(
         &mut self,
         key: Key,
@@ -184,7 +190,8 @@
             account.meter.add_used(claim.cost, now);
             return Ok(());
         }
-        // A request in so many is let in; callers that come back spread out have that chance each time.
+        // Only a fraction is admitted; callers whose retries are spread out have that chance each
+        // time.
         let rounds = RETRY_AFTER
             .0
             .div_duration_f64(RETRY_AFTER.1)
@@ -201,7 +208,7 @@
         })
     }
 
-    /// Counts a request and returns the part of such requests that may be let in now.
+    /// Counts a request and returns the fraction of such requests that may be admitted now.
     fn admitted_fraction(&mut self, key: Key, quota: &Quota, cost: u64, now: Instant) -> f64 {
         let is_fresh = |last: Instant| now.saturating_duration_since(last) < MAX_TOTALS_AGE;
         let is_known = self.totals_heard.is_some_and(|(_, last)| is_fresh(last));
@@ -228,7 +235,7 @@
             let allowed = history.allowed(quota, total, self.bound, now);
             return allowed.map_or(1.0, |allowed| allowed / asked);
         }
-        // Right after a start a part of a second was counted.
+        // Just after a start less than a full second has been counted.
         let counted = now
             .saturating_duration_since(first)
             .clamp(MIN_COUNTED_SPAN, RATE_WINDOW);
@@ -241,7 +248,7 @@
         as_f64(quota.rate) * EXCESSIVE_RATE_SHARE * counted / asked
     }
 
-    /// Returns what was used of a quota within the last window, where all of it is known.
+    /// Returns the units used within the last window, if all of it is known.
     pub fn window_usage(&self, key: Key, now: Instant) -> Option<u64> {
         let history = self.histories.get(&key)?;
         history
@@ -249,19 +256,19 @@
             .then(|| to_units(history.sum()))
     }
 
-    /// Gives back what a request was let in for, since it has not run.
+    /// Refunds the units of a request that has not run.
     pub fn refund(&mut self, key: Key, cost: u64, now: Instant) {
         if let Some(account) = self.accounts.get_mut(&key) {
             account.meter.refund(cost, now);
         }
     }
 
-    /// Notes how many instances share quotas.
+    /// Sets the number of instances that share quotas.
     pub const fn set_instances(&mut self, instances: usize) {
         self.instances = instances;
     }
 
-    /// Takes the totals over all instances.
+    /// Replaces the totals over all instances.
     pub fn update_totals(&mut self, totals: Totals, now: Instant) {
         let (first, last) = self.totals_heard.unwrap_or((now, now));
         let since = now
@@ -279,7 +286,7 @@
         self.totals_heard = Some((first, now));
     }
 
-    /// Notes what all used since totals were heard last.
+    /// Adds the use by all instances since the previous totals.
     fn record_totals(&mut self, totals: &Totals, since: f64, first: Instant, now: Instant) {
         for (key, total) in totals {
             let history = self
@@ -299,7 +306,7 @@
             .retain(|key, history| !history.is_empty() || totals.contains_key(key));
     }
 
-    /// Returns what callers of this instance asked for and were let in for.
+    /// Returns the demand and use of this instance's callers.
     pub fn usage(&mut self, now: Instant) -> Usages {
         let accounts = self.accounts.iter_mut();
         let usages = accounts.map(|(key, account)| (*key, account.meter.usage(now)));
@@ -310,7 +317,7 @@
         if !self.accounts.contains_key(&key) {
             let total = self.totals.get(&key).copied().unwrap_or_default();
             let is_below = total.usage.asked <= quota.rate.saturating_sub(total.reserved);
-            // Whoever has just started can't know what was let in before.
+            // An instance that has just started cannot know what was admitted before.
             let has_full_rate_window =
                 |(first, _)| now.saturating_duration_since(first) >= RATE_WINDOW;
             let keeps_burst = is_below && self.totals_heard.is_some_and(has_full_rate_window);
@@ -340,7 +347,8 @@
         }
     }
 
-    /// Returns what may be let in beside what is reserved for silent instances, in units a second; `None` for all.
+    /// Returns the units per second that may be admitted beside those reserved for silent
+    /// instances, or `None` for no limit.
     fn allowed_with_reserved(&self, total: Total) -> Option<f64> {
         if self.balance > 0.0 {
             return None;
@@ -361,7 +369,7 @@
     }
 }
 
-/// Returns how much of a burst is let in at once, at most. Of what silent instances may use, they have their part.
+/// Returns the most of a burst that is admitted at once. Silent instances keep their part of it.
 fn burst_allowance(quota: &Quota, total: Total) -> f64 {
     let unreserved = as_f64(quota.rate.saturating_sub(total.reserved)) / as_f64(quota.rate.max(1));
     as_f64(quota.burst) * BURST_SHARE * unreserved
--- a/crates/zinniastall-gateway/src/decide/quota/history.rs
+++ b/crates/zinniastall-gateway/src/decide/quota/history.rs
@@ -1,4 +1,4 @@
-//! What all instances used of an account's quota within the last window.
+//! Use of an account's quota by all instances within the last window.
 
 use std::{
     collections::VecDeque,
@@ -9,24 +9,24 @@
 
 use super::{Bound, REPAYMENT_TIME, Total, as_f64, meter::RATE_WINDOW};
 
-/// Time by which totals are behind on average: half of the time over which they are summed, and their way.
+/// Average delay of totals: half of the time over which they are summed, plus their transit.
 const TOTALS_LAG: Duration = Duration::from_millis(800);
 
-/// How many times the quota, beside the slack, may have been used for its excess to be paid back. Only a quota that
-/// was lowered meanwhile is exceeded by more, and what was used by the one before is no debt.
+/// Multiple of the quota, beside the slack, up to which excess use is paid back. Only a quota that
+/// was lowered meanwhile is exceeded by more, and use under the previous quota is not owed.
 const MAX_OVERUSE_FACTOR: f64 = 1.25;
 
-/// What was used within a window: when, and how much.
+/// Use within a window, by time.
 #[derive(Debug)]
 pub(super) struct History {
     uses: VecDeque<(Instant, f64)>,
     sum: f64,
-    /// Since when nothing is missing.
+    /// Time since which the history is complete.
     complete_since: Instant,
 }
 
 impl History {
-    /// Creates the past of an account of which nothing was used since a time.
+    /// Creates the history of an account without use since `complete_since`.
     pub(super) const fn new(complete_since: Instant) -> Self {
         Self {
             uses: VecDeque::new(),
@@ -35,12 +35,12 @@
         }
     }
 
-    /// Tells whether all of the last window is known.
+    /// Returns whether all of the last window is known.
     pub(super) fn is_complete(&self, window: Duration, now: Instant) -> bool {
         now.saturating_duration_since(self.complete_since) >= window
     }
 
-    /// Returns what may be let in, in units a second; `None` for all.
+    /// Returns the units per second that may be admitted, or `None` for no limit.
     pub(super) fn allowed(
         &self,
         quota: &Quota,
@@ -62,7 +62,7 @@
         Some((expiring_rate + remaining / REPAYMENT_TIME.as_secs_f64()).max(0.0))
     }
 
-    /// Notes what was used.
+    /// Adds used units.
     pub(super) fn add(&mut self, used: f64, now: Instant) {
         if used > 0.0 {
             self.uses.push_back((now, used));
@@ -70,7 +70,7 @@
         }
     }
 
-    /// Forgets what was used before the window.
+    /// Drops the use before the window.
     pub(super) fn expire(&mut self, window: Duration, now: Instant) {
         while let Some((at, used)) = self.uses.front()
             && *at + window <= now
@@ -80,8 +80,9 @@
         }
     }
 
-    /// Takes another instance's word on the last window, if this one doesn't know all of it. When within the window
-    /// it was used isn't said; that it all leaves late is on the safe side.
+    /// Adopts another instance's figure for the last window if this one doesn't know all of it. The
+    /// figure doesn't say when the units were used; it counts them as just used, so that they leave
+    /// the window late, which is the safe side.
     pub(super) fn adopt(&mut self, used: f64, window: Duration, now: Instant) {
         if self.is_complete(window, now) {
             return;
@@ -92,17 +93,17 @@
         self.complete_since = now.checked_sub(window).unwrap_or(now);
     }
 
-    /// Returns what was used, as far as it is known.
+    /// Returns the units used, as far as they are known.
     pub(super) const fn sum(&self) -> f64 {
         self.sum
     }
 
-    /// Tells whether nothing is known to have been used.
+    /// Returns whether no use is known.
     pub(super) fn is_empty(&self) -> bool {
         self.uses.is_empty()
     }
 
-    /// Returns what leaves the window now, in units a second.
+    /// Returns the units per second that leave the window now.
     fn expiring_rate(&self, window: Duration, now: Instant) -> f64 {
         let oldest = self
             .uses
--- a/crates/zinniastall-gateway/src/decide/quota/meter.rs
+++ b/crates/zinniastall-gateway/src/decide/quota/meter.rs
@@ -1,21 +1,21 @@
-//! Counts of one account's use over the last second.
+//! Meters one account's demand and use over the last second.
 
 use std::{
     collections::VecDeque,
     time::{Duration, Instant},
 };
 
-/// Span over which use is counted, and the parts in which it leaves the count.
+/// Span over which units are counted.
 pub(super) const RATE_WINDOW: Duration = Duration::from_secs(1);
-/// See [`SPAN`].
+/// Span of the buckets in which units leave the count.
 const BUCKET: Duration = Duration::from_millis(50);
 
-/// Units a second, over the last second.
+/// Units per second, over the last second.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Usage {
-    /// What callers asked for.
+    /// Units demanded by callers.
     pub asked: u64,
-    /// What was let in.
+    /// Units admitted.
     pub used: u64,
 }
 
@@ -26,19 +26,19 @@
 }
 
 impl Meter {
-    /// Counts what was asked for.
+    /// Counts demanded units.
     pub(super) fn add_asked(&mut self, cost: u64, now: Instant) {
         let bucket = self.bucket(now);
         bucket.asked = bucket.asked.saturating_add(cost);
     }
 
-    /// Counts what was let in.
+    /// Counts admitted units.
     pub(super) fn add_used(&mut self, cost: u64, now: Instant) {
         let bucket = self.bucket(now);
         bucket.used = bucket.used.saturating_add(cost);
     }
 
-    /// Takes back what was used up within the last second; before that it counts no more.
+    /// Takes back units admitted within the last second; older ones no longer count.
     pub(super) fn refund(&mut self, cost: u64, now: Instant) {
         self.expire(now);
         let mut owed = cost;
--- a/crates/zinniastall-gateway/src/decide/slow_start.rs
+++ b/crates/zinniastall-gateway/src/decide/slow_start.rs
@@ -1,24 +1,24 @@
-//! How many requests a cold target gets.
+//! Slow start: limits the rate of requests to a cold target.
 //!
-//! A target that has just started fails when it gets more than a few requests a second. The bound is
-//! on the sum over all instances, which can't be counted in time. So one instance of its region alone
-//! may send to a cold target, picked by a hash that all compute alike. Two of them may take
-//! themselves for it while their views differ, and the rate is such that both together stay under
-//! the bound of one and a half times the rate and three.
+//! A target that has just started fails if it gets more than a few requests per second. The limit
+//! holds for all instances together, which cannot be counted in time. So only one instance of the
+//! region sends to a cold target, chosen by rendezvous hashing. While views differ, two instances
+//! may each believe they are the sender; the rate is low enough that both together stay below 1.5
+//! times the limit plus three.
 
 use std::time::{Duration, Instant};
 
-/// Part of a target's rate that is used. Two senders at nine tenths each pass one and a half times a rate of
-/// 20 and three, 33 a second, by three; at seven tenths they stay under it at any rate.
+/// Share of a target's rate that is used. At a rate of 20, two senders at 0.9 each exceed 1.5 times
+/// the rate plus three, 33 per second, by three; at 0.7 they stay below it at any rate.
 const RATE_SHARE: f64 = 0.7;
 
-/// Returns which of the instances may send to a cold target.
+/// Returns the instance that may send to a cold target.
 pub fn sender<'a>(target: &str, instances: impl Iterator<Item = &'a str>) -> Option<&'a str> {
     instances.max_by_key(|instance| weight(target, instance))
 }
 
-/// Weight of a pair in rendezvous hashing: the pair with the greatest weight wins, and a member that
-/// joins or leaves moves only what it wins or held.
+/// Returns the weight of a pair in rendezvous hashing. The pair with the greatest weight wins, so a
+/// member that joins or leaves moves only the keys it wins or held.
 pub fn weight(key: &str, member: &str) -> u64 {
     let mut hasher = blake3::Hasher::new();
     hasher.update(key.as_bytes());
@@ -29,23 +29,23 @@
     u64::from_le_bytes(first)
 }
 
-/// The pace at which one instance sends to one cold target.
+/// Paces the requests of one instance to one cold target.
 #[derive(Debug, Default)]
 pub struct Pacer {
     next: Option<Instant>,
 }
 
 impl Pacer {
-    /// Tells whether a request may be sent now; `rate_milli` is in thousandths of a request a second, 0 for
-    /// no bound.
+    /// Returns whether a request may be sent now; `rate_milli` is in thousandths of a request per
+    /// second, 0 for no limit.
     ///
-    /// The first look begins the pace, and the first request waits a turn from then: another instance may
-    /// have sent right before this one took over.
+    /// The first call starts the pace, and the first request waits for one interval from then:
+    /// another instance may have sent a request just before this one took over.
     pub fn is_ready(&mut self, rate_milli: u64, now: Instant) -> bool {
         rate_milli == 0 || *self.next.get_or_insert(now + interval(rate_milli)) <= now
     }
 
-    /// Counts a request if one may be sent now; tells whether it may.
+    /// Takes a permit if a request may be sent now, and returns whether it did.
     pub fn try_acquire(&mut self, rate_milli: u64, now: Instant) -> bool {
         if !self.is_ready(rate_milli, now) {
             return false;
@@ -55,7 +55,7 @@
         }
         if let Some(next) = self.next {
             let interval = interval(rate_milli);
-            // A pace that was left alone for long begins anew instead of sending at once what it saved.
+            // After an idle period the pace starts anew; unused intervals do not add up to a burst.
             let is_overdue = next + interval < now;
             self.next = Some(if is_overdue { now } else { next } + interval);
         }
@@ -63,7 +63,7 @@
     }
 }
 
-/// Time between two requests.
+/// Returns the time between two requests.
 fn interval(rate_milli: u64) -> Duration {
     #[expect(clippy::cast_precision_loss, reason = "a rate is far below 2^52")]
     Duration::from_secs_f64(1_000.0 / (rate_milli as f64 * RATE_SHARE))
--- a/crates/zinniastall-gateway/src/path/answer.rs
+++ b/crates/zinniastall-gateway/src/path/answer.rs
@@ -14,63 +14,63 @@
     suspects,
 };
 
-/// Why a request has no answer of a target.
+/// Reason why a request gets no answer from a target.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Refusal {
-    /// Its head can't be read.
+    /// The head cannot be parsed.
     Malformed,
-    /// Its head is too long.
+    /// The head is too long.
     HeadTooLong,
-    /// Its body is too long.
+    /// The body is too long.
     BodyTooLong,
-    /// It did not arrive in time.
+    /// The request did not arrive in time.
     ArrivalTimeout,
     /// No configuration has reached this instance yet.
     Unconfigured,
     /// The configuration known here may be out of date.
     Stale,
-    /// The instance that passed it on goes by another configuration.
+    /// The instance that forwarded the request uses another configuration.
     Mismatch,
-    /// No route serves its path.
+    /// No route serves the path.
     NoRoute,
-    /// No client account holds its key.
+    /// The key belongs to no client account.
     Unauthenticated,
-    /// Its client account has used up its quota; it may come back after a time.
+    /// The client account has used up its quota; the request may be retried after the given time.
     QuotaExceeded(Duration),
-    /// It crashes the targets that run it, and is not run any more.
+    /// The request crashes targets and is no longer run.
     Quarantined,
-    /// It was never sent; it may come back after a time.
+    /// The request was never sent; it may be retried after the given time.
     Busy(Duration),
-    /// A target refused it before it ran; it may come back after a time.
+    /// A target refused the request before running it; it may be retried after the given time.
     Refused(Duration),
-    /// It was sent, and nobody can tell whether it ran.
+    /// The request was sent, and it is unknown whether it ran.
     AnswerLost,
-    /// It was sent, and its time is over.
+    /// The request was sent, and its deadline has passed.
     DeadlineExceeded,
 }
 
-/// What a refused request may rely on.
+/// What the caller of a refused request may rely on.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Outcome {
-    /// No byte of it reached a target.
+    /// No byte of the request reached a target.
     NotSent,
-    /// A target refused it before it ran.
+    /// A target refused the request before running it.
     NotRun,
-    /// It may have run.
+    /// The request may have run.
     Unknown,
 }
 
-/// Time after which a request should come back to an instance that has no configuration yet. Most have
-/// it half a second after their start.
+/// Retry time for an instance without configuration. Most instances have one half a second after
+/// their start.
 const UNCONFIGURED_RETRY_AFTER: Duration = Duration::from_millis(500);
-/// Time after which a request should come back to an instance whose configuration may be out of date. The control
-/// group confirms it within a few hundred milliseconds once it can be reached.
+/// Retry time for an instance whose configuration may be out of date. The control group confirms it
+/// within a few hundred milliseconds once it can be reached.
 const STALE_RETRY_AFTER: Duration = Duration::from_millis(400);
-/// Time after which a request should come back whose instances go by different configurations.
+/// Retry time for instances with different configurations.
 const MISMATCH_RETRY_AFTER: Duration = Duration::from_millis(100);
 
 impl Outcome {
-    /// Returns the word that stands for it between instances.
+    /// Returns the value sent between instances.
     pub const fn as_str(self) -> &'static str {
         match self {
             Self::NotSent => "not-sent",
@@ -79,7 +79,7 @@
         }
     }
 
-    /// Reads the word that stands for it between instances.
+    /// Parses the value sent between instances.
     pub fn parse(word: &str) -> Option<Self> {
         let all = [Self::NotSent, Self::NotRun, Self::Unknown];
         all.into_iter().find(|outcome| outcome.as_str() == word)
@@ -87,11 +87,11 @@
 }
 
 impl Refusal {
-    /// Returns the status that callers see. 408, 421, 429 and 503 promise that the request has not run
-    /// and never will.
+    /// Returns the status sent to callers. 408, 421, 429 and 503 promise that the request has not
+    /// run and never will.
     pub const fn status(self) -> StatusCode {
         match self {
-            // It is the request that has to change; callers don't repeat it after this status.
+            // The request itself has to change; callers don't retry after this status.
             Self::Malformed | Self::Quarantined => StatusCode::BAD_REQUEST,
             Self::HeadTooLong => StatusCode::REQUEST_HEADER_FIELDS_TOO_LARGE,
             Self::BodyTooLong => StatusCode::PAYLOAD_TOO_LARGE,
@@ -118,7 +118,7 @@
         }
     }
 
-    /// Returns the time after which the request may come back.
+    /// Returns the time after which the request may be retried.
     pub const fn retry_after(self) -> Option<Duration> {
         match self {
             Self::Unconfigured => Some(UNCONFIGURED_RETRY_AFTER),
@@ -131,7 +131,7 @@
         }
     }
 
-    /// Returns a word for logs and bodies.
+    /// Returns the name used in logs and bodies.
     pub const fn as_str(self) -> &'static str {
         match self {
             Self::Malformed => "malformed",
@@ -152,7 +152,7 @@
         }
     }
 
-    /// Makes the answer for a caller.
+    /// Creates the answer for a caller.
     pub fn reply(self) -> Reply {
         let (word, outcome) = (self.as_str(), self.outcome().as_str());
         let body = format!("{{\"error\":\"{word}\",\"outcome\":\"{outcome}\"}}");
@@ -170,7 +170,8 @@
         reply
     }
 
-    /// Makes the answer for the instance that passed the request on, with what is known against the request.
+    /// Creates the answer for the instance that forwarded the request, with the suspicion against
+    /// it.
     pub fn reply_to_instance(self, suspicion: Option<&Suspicion>) -> Reply {
         let mut reply = self.reply();
         let word = HeaderValue::from_static(self.outcome().as_str());
--- a/crates/zinniastall-gateway/src/path/attempt.rs
+++ b/crates/zinniastall-gateway/src/path/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt: a request is sent to one target or instance, and its answer is handed over.
+//! One attempt: sends a request to one target or instance and forwards its answer.
 
 use std::{
     cell::Cell,
@@ -34,27 +34,27 @@
 /// Answers to other requests that are skipped on a connection before it counts as broken.
 const MAX_STRAY_ANSWERS: usize = 2;
 
-/// Where an attempt goes.
+/// Destination of an attempt.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Place {
     /// A target of this region.
     Target {
-        /// Target.
+        /// Name of the target.
         target: id::Target,
-        /// Its address.
+        /// Address of the target.
         address: String,
-        /// Requests that it processes at once.
+        /// Requests that the target processes at once.
         slots: u32,
-        /// Address of a target from which it copies what it lacks of the prompt.
+        /// Address of a target from which it fetches the prompt's KV cache, as far as it lacks it.
         source: Option<String>,
     },
     /// An instance of another region, which chooses one of its targets.
     Instance {
-        /// Instance.
+        /// Name of the instance.
         instance: id::Instance,
-        /// Its region.
+        /// Region of the instance.
         region: id::Region,
-        /// Its address for requests that are passed on.
+        /// Address of the instance for forwarded requests.
         address: String,
     },
 }
@@ -62,26 +62,27 @@
 /// How an attempt ended.
 #[derive(Debug)]
 pub enum Ended {
-    /// The answer was handed over whole.
+    /// The answer was forwarded in full.
     Delivered,
     /// Nothing was sent.
     NotSent(Why),
-    /// It was sent and has not run; worth asking again after a time, if one was named.
+    /// The request was sent and has not run; it may be retried after the given time, if there is
+    /// one.
     NotRun(Option<Duration>),
-    /// The target answered with a failure of its own.
+    /// The target answered with an error of its own.
     Failing(Reply),
-    /// It was sent, and nobody can tell whether it ran.
+    /// The request was sent, and it is unknown whether it ran.
     Unknown(Why),
-    /// A part of the answer was handed over, and no more comes from this target.
+    /// Part of the answer was forwarded, and no more comes from this target.
     Broken(Why),
-    /// The same in the middle of an event, behind which no other target can go on.
+    /// The same in the middle of an event, so that no other target can continue the stream.
     Torn(Why),
-    /// Nobody takes the answer any more.
+    /// The caller's connection failed.
     CallerGone(io::Error),
 }
 
 impl Ended {
-    /// Returns a word for logs and figures.
+    /// Returns the name used in logs and metrics.
     pub const fn as_str(&self) -> &'static str {
         match self {
             Self::Delivered => "delivered",
@@ -96,17 +97,17 @@
     }
 }
 
-/// Why an attempt failed; for logs.
+/// Reason why an attempt failed, for logs.
 pub type Why = String;
 
-/// What an attempt needs beside the request.
+/// Parameters of an attempt.
 #[derive(Debug)]
 pub struct Attempt<'a> {
-    /// Request.
+    /// Request to send.
     pub job: &'a Job,
-    /// Where it goes.
+    /// Destination.
     pub place: &'a Place,
-    /// Expected time to read the prompt there, in microseconds.
+    /// Expected prefill time of the prompt there, in microseconds.
     pub reading_us: u64,
     /// Requests that are expected to be at the target already.
     pub ahead: u32,
@@ -115,9 +116,9 @@
 }
 
 impl Attempt<'_> {
-    /// Waits for what a target does, no longer than it can be reached where another one may go on.
+    /// Waits for a target; if another one may take over, only for as long as this one is reachable.
     ///
-    /// Where none may, a target that comes back within the caller's patience is all there is to hope for.
+    /// Otherwise the only hope is that this target answers before the deadline.
     async fn while_reachable<T>(
         &self,
         work: impl Future<Output = Result<T, Why>>,
@@ -129,7 +130,7 @@
             return work.await;
         }
         let outcome = until_unreachable(work, address).await;
-        outcome.unwrap_or_else(|| Err("silent, and it can't be reached".to_owned()))
+        outcome.unwrap_or_else(|| Err("silent and unreachable".to_owned()))
     }
 }
 
@@ -150,7 +151,7 @@
 }
 
 impl Proxy {
-    /// Sends a request to one place and hands its answer over.
+    /// Sends a request to one destination and forwards its answer.
     pub async fn attempt(
         &self,
         attempt: &Attempt<'_>,
@@ -172,7 +173,7 @@
         let now = Instant::now();
         let service = match place {
             Place::Target { .. } => job.service.as_str(),
-            // What runs in another region is that region's load.
+            // A request that runs in another region is part of that region's load.
             Place::Instance { .. } => "",
         };
         let mut flight = Flight::start(&self.tracker, name, service, attempt.reading_us, now);
@@ -196,7 +197,7 @@
         let stream = job.is_stream() && response.status.is_success();
         if responder.has_begun() && !stream {
             return Ended::Broken(format!(
-                "status {} where the stream should go on",
+                "status {} instead of the resumed stream",
                 response.status
             ));
         }
@@ -226,8 +227,8 @@
 
     /// Writes the request and reads the head of its answer.
     ///
-    /// A target may answer before it has read a long body. The answer counts, and the connection is
-    /// not used again, because the target would take what comes next for the rest of that body.
+    /// A target may answer before it has read a long body. Such an answer counts, but the
+    /// connection is not reused: the target would take the next request for the rest of that body.
     async fn exchange(
         &self,
         job: &Job,
@@ -247,7 +248,7 @@
                     written = &mut writing => {
                         is_written = true;
                         if written.is_err() {
-                            // The answer may be there all the same.
+                            // The answer may have arrived nevertheless.
                             stray_answers = MAX_STRAY_ANSWERS;
                         }
                         continue;
@@ -262,7 +263,7 @@
             if echoed.is_none_or(|echoed| echoed == job.id) {
                 break response;
             }
-            // An answer to an earlier request came late; this request's own one is behind it.
+            // A late answer to an earlier request; the answer to this request follows it.
             stray_answers += 1;
             tracing::info!(event = "stray-answer", id = job.id, other = echoed);
             let framing = response.framing(false).map_err(|fault| fault.to_string())?;
@@ -271,14 +272,15 @@
                 || !length_known
                 || !drain_body(reader, Decoder::new(framing)).await
             {
-                return Err("answers of other requests".to_owned());
+                return Err("too many answers to other requests".to_owned());
             }
         };
         Ok((response, is_written && stray_answers == 0))
     }
 
-    /// Tells whether an answer says that the request has not run; `before` tells whether an earlier attempt
-    /// may have run it, which this one's refusal takes nothing back of.
+    /// Returns the end of the attempt if the answer says that the request has not run.
+    /// `may_have_run_before` tells whether an earlier attempt may have run it, which a refusal of
+    /// this one does not undo.
     fn refusal(
         &self,
         attempt: &Attempt<'_>,
@@ -292,11 +294,13 @@
             self.merge_suspicion(attempt.job, headers);
             let retry_after = header_number(headers, &RETRY_MS).map(Duration::from_millis);
             if outcome == Outcome::Unknown {
-                return Some(Ended::Unknown("unknown there".to_owned()));
+                return Some(Ended::Unknown(
+                    "the other instance does not know the outcome".to_owned(),
+                ));
             }
             attempt.may_have_run.set(may_have_run_before);
             return Some(match outcome {
-                Outcome::NotSent => Ended::NotSent("not sent there".to_owned()),
+                Outcome::NotSent => Ended::NotSent("the other instance did not send it".to_owned()),
                 _ => Ended::NotRun(retry_after),
             });
         }
@@ -305,16 +309,17 @@
         if !says_not_run {
             return None;
         }
-        // Without an echo it may be a late word on an earlier request of the same connection.
+        // Without the echoed id it may be a late refusal of an earlier request on the same
+        // connection.
         let is_for_this_request = headers.contains_key(&self.header_names.request_id) || !is_used;
         if !is_for_this_request && !attempt.job.route().repeats() {
-            return Some(Ended::Unknown("a refusal without an id".to_owned()));
+            return Some(Ended::Unknown("a refusal without a request id".to_owned()));
         }
         attempt.may_have_run.set(may_have_run_before);
         Some(Ended::NotRun(None))
     }
 
-    /// Learns from an answer of a plain service how long its work takes.
+    /// Updates the service time of a plain service from an answer.
     fn note_work(&self, attempt: &Attempt<'_>, ended: &Ended, took: Duration) {
         let Place::Target { slots, .. } = attempt.place else {
             return;
@@ -325,7 +330,8 @@
         }
     }
 
-    /// Hands a whole answer over, once all of it is here: a cut one can still become a refusal.
+    /// Forwards an answer once it is complete: until then, a truncated answer can still become a
+    /// refusal.
     async fn forward_whole(
         &self,
         job: &Job,
@@ -351,7 +357,7 @@
         }
     }
 
-    /// Hands a stream over, event by event.
+    /// Forwards a stream event by event.
     async fn forward_stream(
         &self,
         attempt: &Attempt<'_>,
--- a/crates/zinniastall-gateway/src/path/crash.rs
+++ b/crates/zinniastall-gateway/src/path/crash.rs
@@ -1,7 +1,7 @@
-//! Targets that crash while they have requests, and requests under which they do.
+//! Detects targets that crash while processing requests, and tracks the requests that crash them.
 //!
-//! A connection breaks for many reasons: a reset, a cut, an answer that is spoiled, a planned end. The target has
-//! crashed where it was expected to stay and refuses the next connection.
+//! A connection may break for many reasons: a reset, a truncation, a corrupt answer, a planned
+//! stop. The target has crashed if it was expected to stay and refuses the next connection.
 
 use std::{
     cell::RefCell,
@@ -26,21 +26,22 @@
     suspects::{self, Change, Suspects},
 };
 
-/// Time after which another region's news of a crash is here: a trip, and what gathers news on the way.
+/// Time within which another region's report of a crash arrives: the transit between the
+/// regions, plus batching.
 const NEWS_DELAY: Duration = Duration::from_millis(80);
 
-/// Whether a request may be sent, by what is known against it.
+/// Whether a request may be sent despite the suspicion against it.
 #[derive(Debug)]
 pub(super) enum Clearance<'a> {
-    /// It may; a strong suspect for as long as the probe lives.
+    /// The request may be sent; if it is a strong suspect, for as long as the probe lives.
     Granted(Option<Probe<'a>>),
-    /// Not while another copy of it is at a target.
+    /// The request has to wait while another copy of it is at a target.
     Held,
-    /// It is not run any more.
+    /// The request is quarantined.
     Refused,
 }
 
-/// Marks a strong suspect as being at a target, for as long as it lives.
+/// Guard that marks a strong suspect as being at a target.
 #[derive(Debug)]
 pub(super) struct Probe<'a> {
     suspects: &'a RefCell<Suspects>,
@@ -54,7 +55,7 @@
 }
 
 impl Proxy {
-    /// Returns the crashes that count against a request.
+    /// Returns the number of crashes that count against a request.
     pub(super) fn crashes(&self, job: &Job) -> usize {
         let suspects = self.suspects.borrow();
         if suspects.is_empty() {
@@ -63,7 +64,7 @@
         suspects.crashes(job.fingerprint())
     }
 
-    /// Returns what is known against a request.
+    /// Returns the suspicion against a request.
     pub(super) fn suspicion(&self, job: &Job) -> Option<Suspicion> {
         let suspects = self.suspects.borrow();
         if suspects.is_empty() {
@@ -72,7 +73,7 @@
         suspects.suspicion(job.fingerprint()).cloned()
     }
 
-    /// Tells whether a request may be sent.
+    /// Returns whether a request may be sent.
     pub(super) fn clearance(&self, job: &Job) -> Clearance<'_> {
         let crashes = self.crashes(job);
         if crashes >= LIMIT {
@@ -91,14 +92,14 @@
         }))
     }
 
-    /// Notes that a request was rejected because it is quarantined.
+    /// Records that a request was rejected because it is quarantined.
     pub(super) fn record_rejection(&self, job: &Job) {
         self.metrics.suspect("rejected");
         self.request_log.quarantined(job, "quarantine-rejected");
     }
 
-    /// Learns from the end of an attempt what it says of the request, `before` being the crashes that were known when
-    /// it was sent; tells whether its target crashed.
+    /// Updates the suspicion against a request after an attempt, and returns whether its target
+    /// crashed; `before` is the number of crashes known when the attempt began.
     pub(super) async fn update_suspicion(
         &self,
         attempt: &Attempt<'_>,
@@ -128,7 +129,7 @@
         }
     }
 
-    /// Finds out whether a target whose connection broke has crashed, and notes that.
+    /// Checks whether a target whose connection broke has crashed, and records it.
     async fn has_crashed(&self, job: &Job, target: &str, address: &str, was_suspect: bool) -> bool {
         let has_crashed = self.is_expected_to_stay(target) && is_refused(address).await;
         if has_crashed {
@@ -137,16 +138,17 @@
         has_crashed
     }
 
-    /// Tells whether another region's instance knows of a crash that was not known before.
+    /// Returns whether an instance of another region reported a crash that was unknown before.
     async fn has_crashed_elsewhere(&self, job: &Job, is_broken: bool, before: usize) -> bool {
-        // A broken stream brings no word of what broke it; it only matters where it may go on.
+        // An interrupted stream doesn't say what interrupted it, which only matters if the stream
+        // may resume.
         if is_broken && job.route().resumable {
             time::sleep(NEWS_DELAY).await;
         }
         self.crashes(job) > before
     }
 
-    /// Takes what another instance says of a request.
+    /// Merges the suspicion that another instance reports for a request.
     pub(super) fn merge_suspicion(&self, job: &Job, headers: &HeaderMap) {
         let Some(suspicion) = header_text(headers, &SUSPICION) else {
             return;
@@ -162,7 +164,8 @@
         suspects.hear(job.fingerprint(), &suspicion, None, Instant::now());
     }
 
-    /// Takes what the control group holds of requests that aren't run any more, and shows it what it lacks.
+    /// Takes over the quarantined requests held by the control group, and publishes those that it
+    /// lacks.
     pub fn keep_suspects(&self) {
         let kept = self.state.suspects();
         let mut suspects = self.suspects.borrow_mut();
@@ -172,8 +175,8 @@
         }
     }
 
-    /// Takes what the control group holds where that is news, so that an instance that has just started doesn't run
-    /// what it has been told of.
+    /// Syncs with the control group if its list has changed, so that an instance that has just
+    /// started does not run a request known to be quarantined.
     pub(super) fn sync_quarantine_if_changed(&self) {
         let held = self.state.suspects().held.load();
         if self.suspects.borrow().is_kept(&held) {
@@ -182,7 +185,8 @@
         self.keep_suspects();
     }
 
-    /// Tells whether a target is expected to stay: one that drains or was removed ends as planned.
+    /// Returns whether a target is expected to stay; one that is draining or was removed ends as
+    /// planned.
     fn is_expected_to_stay(&self, target: &str) -> bool {
         let view = self.state.view();
         let known = view.targets.by_name().get(target);
@@ -210,7 +214,7 @@
         }
     }
 
-    /// Returns the requests at a target, of all instances as far as they are known.
+    /// Returns the in-flight requests at a target, of all instances as far as they are known.
     fn in_flight(&self, target: &str, now: Instant) -> u32 {
         let others = self.neighbours.borrow().at(target, now);
         let mut tracker = self.tracker.borrow_mut();
--- a/crates/zinniastall-gateway/src/path/events.rs
+++ b/crates/zinniastall-gateway/src/path/events.rs
@@ -1,24 +1,25 @@
-//! Events of a stream: whole ones are passed on, a half one at the break is dropped.
+//! Splits a stream into events: complete ones are forwarded, a partial one is dropped if the stream
+//! breaks.
 
 use bytes::{Bytes, BytesMut};
 
-/// Longest event that is kept until it is whole, in bytes; a longer one is passed on as it comes.
+/// Longest event that is buffered until it is complete; a longer one is forwarded as it arrives.
 const MAX_BUFFERED_BYTES: usize = 256 << 10;
-/// Bytes of an end that may lie in the piece before: all of `\r\n\r\n` but one.
+/// Bytes of a boundary that the previous piece may contain: all of `\r\n\r\n` but one.
 const BOUNDARY_OVERLAP: usize = 3;
 
-/// Cuts a stream into whole events and remembers the last one.
+/// Splits a stream into complete events and remembers the id of the last one.
 #[derive(Debug, Default)]
 pub struct Events {
     input: BytesMut,
-    /// Bytes of the input in which no event ends.
+    /// Bytes of the input known to contain no event boundary.
     searched: usize,
     last_id: Option<String>,
     is_mid_event: bool,
 }
 
 impl Events {
-    /// Creates the reader of a stream that goes on after an event.
+    /// Creates the splitter of a stream that resumes after an event.
     pub fn resuming_after(last_id: Option<String>) -> Self {
         Self {
             last_id,
@@ -26,22 +27,22 @@
         }
     }
 
-    /// Drops the half event that a break left behind.
+    /// Discards the partial event left behind by an interrupted stream.
     ///
-    /// What another target sends begins with a whole event; put behind the half one it would make an
-    /// event that neither of them sent.
+    /// Another target starts with a complete event; appended to the partial one, it would form an
+    /// event that neither target sent.
     pub fn discard_partial(&mut self) {
         self.input.clear();
         self.searched = 0;
     }
 
-    /// Tells whether a part of an event was passed on and its end wasn't: what another target sends can't
-    /// be put behind it.
+    /// Returns whether part of an event was forwarded without its end, so that no other target can
+    /// continue the stream.
     pub const fn is_mid_event(&self) -> bool {
         self.is_mid_event
     }
 
-    /// Takes bytes and returns all events that are whole by now, in one piece.
+    /// Adds bytes and returns all events that are complete by now, in one piece.
     pub fn push(&mut self, bytes: &[u8]) -> Bytes {
         self.input.extend_from_slice(bytes);
         let from = self.searched.saturating_sub(BOUNDARY_OVERLAP);
@@ -62,19 +63,19 @@
         whole
     }
 
-    /// Returns what is left over, at an end that was in order.
+    /// Returns the remaining bytes after a clean end of the stream.
     pub fn finish(&mut self) -> Bytes {
         self.searched = 0;
         self.input.split().freeze()
     }
 
-    /// Returns the id of the last whole event.
+    /// Returns the id of the last complete event.
     pub fn last_id(&self) -> Option<&str> {
         self.last_id.as_deref()
     }
 }
 
-/// Returns the place behind the last blank line that ends behind `from`.
+/// Returns the end of the last blank line that ends at or after `from`.
 fn last_boundary(input: &[u8], from: usize) -> Option<usize> {
     let is_boundary = |at: &usize| {
         let head = &input[..*at];
--- a/crates/zinniastall-gateway/src/path/job.rs
+++ b/crates/zinniastall-gateway/src/path/job.rs
@@ -1,4 +1,4 @@
-//! A request, judged: its route, its service, its time.
+//! A request with its route, service, account and deadline.
 
 use std::{
     cell::OnceCell,
@@ -27,59 +27,59 @@
     view::View,
 };
 
-/// Requests of one route are spread over its services by this many points.
+/// Points of the hash range over which a route's requests are split between its services.
 const SPLIT_POINTS: u64 = 1 << 32;
 
-/// A request that is to be served.
+/// A request to be served.
 #[derive(Debug)]
 pub struct Job {
-    /// Head, as the caller sent it.
+    /// Head, as sent by the caller.
     pub head: Request,
     /// Body.
     pub body: Bytes,
-    /// Id, as the caller gave it.
+    /// Request id, as given by the caller.
     pub id: String,
-    /// Service that serves it.
+    /// Service that serves the request.
     pub service: id::Service,
-    /// When its head was whole.
+    /// When the head was complete.
     pub arrived: Instant,
-    /// When it has to have its final answer.
+    /// When the final answer is due.
     pub deadline: Instant,
-    /// Whether another instance passed it on; it is served here or not at all then.
+    /// Whether another instance forwarded the request; if so, it is served here or not at all.
     pub is_passed_on: bool,
-    /// Prompt.
+    /// Prompt, as described by the request's headers.
     pub prompt: Prompt,
     configuration: Arc<Configuration>,
-    /// Places of its route, its service and its account in the table.
+    /// Indexes of the route, the service and the account in the table.
     route: usize,
     service_entry: usize,
     account: Option<usize>,
     fingerprint: OnceCell<Fingerprint>,
 }
 
-/// What a request counts for in a client account's quota.
+/// Charge of a request against a client account's quota.
 #[derive(Debug, Clone, Copy)]
 pub struct Charge {
-    /// Account.
+    /// Account to charge.
     pub account: quota::Key,
-    /// Its quota.
+    /// Quota of the account.
     pub quota: Quota,
-    /// Units.
+    /// Cost in units of the quota.
     pub cost: u64,
 }
 
-/// What a request says of its prompt.
+/// Description of a request's prompt.
 #[derive(Debug, Default)]
 pub struct Prompt {
-    /// Parts in order with their tokens; the last one is the request's own.
+    /// Ids and token counts of the parts, in order; the last part belongs to this request alone.
     pub parts: Vec<(String, u64)>,
     /// Tokens of the whole prompt.
     pub tokens: u64,
-    /// Tokens of the prompt and, at most, of the answer, where the request states both.
+    /// Tokens of the prompt plus the most tokens of the answer, if the request states both.
     pub total_tokens: Option<u64>,
 }
 
-/// A request's head, judged before its body has arrived.
+/// A request's head, matched to its route before the body has arrived.
 #[derive(Debug)]
 pub struct Match {
     configuration: Arc<Configuration>,
@@ -89,13 +89,13 @@
 }
 
 impl Match {
-    /// Finds the route of a request and the client account that makes it; `trust` tells whether the view's
+    /// Finds the route and the client account of a request; `trust` tells whether the view's
     /// configuration may be relied on.
     ///
     /// # Errors
     ///
-    /// [`Refusal`] when nothing is known of routes yet, the host has none for the path, or the account isn't
-    /// known.
+    /// Returns a [`Refusal`] if no routes are known yet, if the host has none for the path, or if
+    /// the account is unknown.
     pub fn new(
         view: &View,
         trust: Trust,
@@ -121,11 +121,11 @@
         })
     }
 
-    /// Makes the job of a request whose body has arrived.
+    /// Creates the job of a request whose body has arrived.
     ///
     /// # Errors
     ///
-    /// [`Refusal::NoRoute`] when the route names no service of the table.
+    /// Returns [`Refusal::NoRoute`] if the route names no service of the table.
     pub fn job(
         self,
         names: &Names,
@@ -142,7 +142,7 @@
             .as_ref()
             .ok_or(Refusal::Unconfigured)?;
         let route = table.routes.get(self.route).ok_or(Refusal::NoRoute)?;
-        // Every instance comes to the same service for the same request.
+        // Every instance picks the same service for the same request.
         let point = crate::decide::slow_start::weight(&route.name, &id) % SPLIT_POINTS;
         let service = route.service_at(point).ok_or(Refusal::NoRoute)?.clone();
         let is_same = |held: &Service| held.name == service;
@@ -170,7 +170,7 @@
 }
 
 impl Job {
-    /// Returns the routing table by which the request was judged.
+    /// Returns the routing table by which the request was matched.
     pub fn table(&self) -> &Table {
         static EMPTY: std::sync::OnceLock<Table> = std::sync::OnceLock::new();
         let table = self.configuration.table.as_ref();
@@ -182,12 +182,12 @@
         &self.table().routes[self.route]
     }
 
-    /// Returns the client account that makes the request, if it needs one.
+    /// Returns the client account that made the request, if it needs one.
     pub fn account(&self) -> Option<&Account> {
         self.table().account(self.account?)
     }
 
-    /// Returns what makes another request the same as this one; it is computed when it is first asked for.
+    /// Returns the fingerprint that identifies repeats of this request, computed on first use.
     pub fn fingerprint(&self) -> Fingerprint {
         let compute = || {
             let account = self.account().map(|account| account.name.as_str());
@@ -196,7 +196,7 @@
         *self.fingerprint.get_or_init(compute)
     }
 
-    /// Returns what the request counts for in its account's quota, and which one that is.
+    /// Returns the request's charge against its account's quota, if it has one.
     pub fn charge(&self) -> Option<Charge> {
         let account = self.account()?;
         let quota = account.quota?;
@@ -207,24 +207,24 @@
         })
     }
 
-    /// Returns the request's rank: its account's, or else its route's.
+    /// Returns the request's priority: the account's, or else the route's.
     pub fn priority(&self) -> u8 {
         let priority = self.account().and_then(|account| account.priority);
         priority.unwrap_or(self.route().priority)
     }
 
-    /// Tells whether the request may run in a region.
+    /// Returns whether the request may run in a region.
     pub fn permits(&self, region: &str) -> bool {
         let account = self.account();
         self.route().permits(region) && account.is_none_or(|account| account.permits(region))
     }
 
-    /// Returns what operators state of the service.
+    /// Returns the service's entry in the routing table.
     pub fn service_entry(&self) -> &Service {
         &self.table().services[self.service_entry]
     }
 
-    /// Returns what the service's engines can do, if it has engines.
+    /// Returns the engine description of the service, if it has engines.
     pub fn engine(&self) -> Option<&Engine> {
         self.service_entry().engine.as_ref()
     }
@@ -234,28 +234,29 @@
         Some(self.engine()?.slots)
     }
 
-    /// Returns the requests a second that a cold target bears, in thousandths; 0 for no bound.
+    /// Returns the rate limit of a cold target, in thousandths of a request per second; 0 for no
+    /// limit.
     pub fn cold_rate(&self) -> u64 {
         self.service_entry().cold_rate_milli
     }
 
-    /// Returns the revision by which the request was judged.
+    /// Returns the configuration revision by which the request was matched.
     pub fn revision(&self) -> id::Revision {
         self.configuration.revision
     }
 
-    /// Returns the time that is left.
+    /// Returns the time left until the deadline.
     pub fn left(&self, now: Instant) -> Duration {
         self.deadline.saturating_duration_since(now)
     }
 
-    /// Returns what is left of the time within which an answer is worth most.
+    /// Returns the time left until the objective, within which an answer is worth most.
     pub fn objective(&self, now: Instant) -> Duration {
         let until = self.arrived + Duration::from_millis(self.route().objective_ms);
         until.min(self.deadline).saturating_duration_since(now)
     }
 
-    /// Tells whether the answer is a series of events.
+    /// Returns whether the answer is an event stream.
     pub fn is_stream(&self) -> bool {
         self.route().kind == Kind::Stream
     }
@@ -302,12 +303,12 @@
     }
 }
 
-/// Returns a field as text.
+/// Returns a header field as text.
 pub fn header_text<'a>(headers: &'a HeaderMap, name: &HeaderName) -> Option<&'a str> {
     headers.get(name)?.to_str().ok()
 }
 
-/// Returns a field as a number.
+/// Returns a header field as a number.
 pub fn header_number(headers: &HeaderMap, name: &HeaderName) -> Option<u64> {
     header_text(headers, name)?.trim().parse().ok()
 }
--- a/crates/zinniastall-gateway/src/path/mod.rs
+++ b/crates/zinniastall-gateway/src/path/mod.rs
@@ -1,4 +1,5 @@
-//! The path of a request: read, judged, placed, sent, handed over.
+//! The request path: reads a request, matches its route, chooses a target, forwards the request and
+//! returns the answer.
 
 pub mod answer;
 pub mod attempt;
@@ -32,39 +33,39 @@
 
 use self::{pool::Pool, serve::Connections};
 
-/// What the request path of one traffic thread holds.
+/// The reverse proxy of one traffic thread.
 #[derive(Debug)]
 pub struct Proxy {
-    /// What is known of the rest of the system.
+    /// Shared view of the rest of the system.
     pub state: Board,
     /// Names of header fields.
     pub header_names: Names,
     /// Times and weights of the deployment.
     pub policy: Policy,
-    /// What this thread counts.
+    /// Requests of this thread, by target and service.
     pub tracker: Rc<RefCell<Books>>,
-    /// What the other instances of the region have at targets.
+    /// Load of the region's other instances at targets.
     pub neighbours: Rc<RefCell<Neighbours>>,
-    /// What they have sent to targets within the last moments.
+    /// Requests that those instances sent to targets within the last moments.
     pub claims: Rc<Claims>,
     /// Use of client accounts' quotas.
     pub quotas: Rc<RefCell<Quotas>>,
-    /// Requests that are suspected of crashing targets.
+    /// Requests suspected of crashing targets.
     pub suspects: Rc<RefCell<Suspects>>,
-    /// Says that the other instances have to be told of a suspect.
+    /// Notified when the other instances have to be told of a suspect.
     pub suspects_changed: Rc<Notify>,
-    /// Connections at rest.
+    /// Idle connections to targets and instances.
     pub pool: Pool,
     /// Connections of callers and instances.
     pub connections: Connections,
-    /// Log lines on requests.
+    /// Log of requests.
     pub request_log: Journal,
     /// Counters and histograms.
     pub metrics: Figures,
 }
 
 impl Proxy {
-    /// Creates the request path of a thread.
+    /// Creates the proxy of a thread.
     pub fn new(state: Board, header_names: Names, policy: Policy, metrics: Figures) -> Self {
         Self {
             tracker: Rc::new(RefCell::new(Books::new(policy.repeats))),
--- a/crates/zinniastall-gateway/src/path/outgoing.rs
+++ b/crates/zinniastall-gateway/src/path/outgoing.rs
@@ -1,4 +1,4 @@
-//! Requests as they go out: what is passed on, what is set, what is left out.
+//! Encodes outgoing requests: which headers are forwarded, set and removed.
 
 use std::time::Instant;
 
@@ -18,11 +18,11 @@
     suspects,
 };
 
-/// Least urgent priority that targets know.
+/// Least urgent priority known to targets.
 const LEAST_URGENT: u8 = 9;
 
 impl Proxy {
-    /// Encodes a request for a place.
+    /// Encodes a request for its destination.
     pub(super) fn encode(&self, attempt: &Attempt<'_>, last_event: Option<&str>) -> BytesMut {
         let job = attempt.job;
         let mut headers = job.head.headers.clone();
@@ -31,7 +31,8 @@
         head::strip_hop_by_hop(&mut headers);
         self.strip_reserved(&mut headers);
         headers.remove(EXPECT);
-        // Keys end here; elsewhere the field is the target's own matter.
+        // The gateway consumes keys if there are accounts; otherwise the field belongs to the
+        // target.
         if job.table().accounts.is_some() {
             headers.remove(AUTHORIZATION);
         }
@@ -76,7 +77,7 @@
         output
     }
 
-    /// Removes what only the gateway may set.
+    /// Removes the headers that only the gateway may set.
     fn strip_reserved(&self, headers: &mut HeaderMap) {
         for name in &self.header_names.reserved {
             headers.remove(name);
--- a/crates/zinniastall-gateway/src/path/placement.rs
+++ b/crates/zinniastall-gateway/src/path/placement.rs
@@ -1,4 +1,4 @@
-//! Gathers what the decision on a place needs, and turns it into an address.
+//! Collects the inputs for the choice of a target, and turns the choice into an address.
 
 use std::time::{Duration, Instant};
 
@@ -19,28 +19,28 @@
     view::{Target, View},
 };
 
-/// Wait that is added for each request beyond an engine's slots: the time between two ends of requests
-/// in a full batch, which finishes about thirty a second.
+/// Wait for each request beyond an engine's slots: the time between the ends of two requests of a
+/// full batch, which finishes about thirty per second.
 const DELAY_PER_QUEUED: Duration = Duration::from_millis(33);
-/// Wait that each running request adds at an engine: its tokens share the batch. A full batch of 64
-/// delays a step by a millisecond, and a prompt takes some fifty steps.
+/// Wait for each running request of an engine, whose tokens share the batch. A full batch of 64
+/// delays a step by a millisecond, and a prompt takes about fifty steps.
 const DELAY_PER_RUNNING: Duration = Duration::from_micros(700);
 /// Time that a target which is going away must have left to get a request.
 const MIN_REMAINING_LIFE: Duration = Duration::from_millis(1_500);
-/// Time for which an engine is expected to keep a prompt part after it was sent there.
+/// Time for which an engine is expected to keep a prompt part cached after it was sent there.
 const PREFIX_CACHE_TTL: Duration = Duration::from_secs(20);
-/// Silence after which a target counts as failing unless its own answers speak for it: two signs of life,
-/// which replicas pass on every three seconds, were lost.
+/// Age of the last report after which a target counts as ejected: two reports, which replicas pass
+/// on every three seconds, were lost.
 const MAX_REPORT_AGE: Duration = Duration::from_secs(7);
 
-/// Coordinators that are asked for a request, one after the other, while what others claimed makes another
-/// target the better one.
+/// Coordinators that are asked about one request, one after the other, while the claims of others
+/// make another target the better choice.
 const MAX_CLAIMS: usize = 3;
 
-/// What others claimed of targets in the last moments.
+/// Load that other instances claimed at targets within the last moments, by target.
 pub type Claimed = IndexMap<id::Target, Load>;
 
-/// What was tried for a request and is not tried again.
+/// Targets and instances already tried for a request, which are not tried again.
 #[derive(Debug, Default)]
 pub struct Tried {
     names: IndexSet<String>,
@@ -49,16 +49,16 @@
 /// Where a request goes next.
 #[derive(Debug)]
 pub enum Placement {
-    /// To a place, where reading the prompt is expected to take so many microseconds.
+    /// To a destination, with the expected prefill time in microseconds.
     Send(Place, u64, Basis),
-    /// Nowhere now; to be asked again after a time.
+    /// Nowhere for now; to be decided again after the given time.
     Wait(Duration),
-    /// Nowhere; worth coming back after a time. The basis is that of the best target.
+    /// Nowhere; worth retrying after the given time. The basis is that of the best target.
     Refuse(Duration, Basis),
 }
 
 impl Tried {
-    /// Notes that a target or instance was tried.
+    /// Records that a target or instance was tried.
     pub fn add(&mut self, name: &str) {
         self.names.insert(name.to_owned());
     }
@@ -68,7 +68,8 @@
     }
 }
 
-/// Targets of this region that may get a request, side by side with what the decision sees.
+/// Targets of this region that may get a request, with the inputs for the choice; all lists share
+/// their indexes.
 #[derive(Debug, Default)]
 struct LocalTargets<'a> {
     targets: Vec<&'a Target>,
@@ -80,7 +81,7 @@
 }
 
 impl LocalTargets<'_> {
-    /// Returns what speaks for the target with the shortest wait.
+    /// Returns the basis of the target with the least cost.
     fn best_basis(&self) -> Basis {
         let places = self.candidates.iter().enumerate();
         let best = places.min_by_key(|(_, candidate)| candidate.cost());
@@ -103,10 +104,10 @@
 }
 
 impl Proxy {
-    /// Chooses where a request goes next, and books it there.
+    /// Chooses where a request goes next, and records the choice.
     ///
-    /// In a large region the target's coordinator is asked before, since others may have chosen the same one
-    /// on the same news.
+    /// In a large region the target's coordinator is asked first, since other instances may have
+    /// chosen the same target on the same information.
     pub async fn place(&self, job: &Job, tried: &Tried) -> Placement {
         let view = self.state.view();
         let mut claimed = Claimed::default();
@@ -123,8 +124,8 @@
                 break;
             };
             claimed.insert(target.clone(), load);
-            // Sums contain some of what was claimed as well. That may turn a request to another target of the
-            // region, and is no reason to send it away.
+            // Regional sums already contain part of the claimed load. Counting it twice may move a
+            // request to another target of this region, but must not move it to another region.
             let again = self.choose(job, tried, &claimed);
             if !matches!(again, Placement::Send(Place::Target { .. }, ..)) {
                 break;
@@ -137,7 +138,7 @@
         next
     }
 
-    /// Chooses where a request goes next by what is known here.
+    /// Chooses where a request goes next by the information of this instance.
     pub fn choose(&self, job: &Job, tried: &Tried, claimed: &Claimed) -> Placement {
         let (view, now) = (self.state.view(), Instant::now());
         let local = self.local_targets(job, tried, claimed, &view, now);
@@ -154,7 +155,7 @@
             gap: tracker.gap(&job.service, now),
             rank: tracker.rank(&job.service, job.priority(), now),
             route_rank: tracker.route_rank(&job.service, job.route().priority, now),
-            // Who passed the request on may find another place at once.
+            // The instance that forwarded the request may find another target at once.
             opens_soon: local.opens_soon && !job.is_passed_on,
         };
         drop(tracker);
@@ -166,7 +167,8 @@
         }
     }
 
-    /// Notes what a request takes to its place.
+    /// Records the prompt parts that a request takes to its target, and the permit of a cold
+    /// target.
     fn record_placement(&self, job: &Job, place: &Place) {
         let Place::Target { target, .. } = place else {
             return;
@@ -206,7 +208,8 @@
         Placement::Send(place, local.reading_us[at], basis)
     }
 
-    /// Returns the address of the target from which the one at a place copies what it lacks.
+    /// Returns the address of the target from which the one at index `at` fetches the cache that it
+    /// lacks.
     fn source(&self, job: &Job, local: &LocalTargets<'_>, at: usize) -> Option<String> {
         let engine = job.engine()?;
         let link = Link {
@@ -259,7 +262,7 @@
         local
     }
 
-    /// Tells whether a target may get a request at all.
+    /// Returns whether a target may get a request at all.
     fn is_eligible(&self, job: &Job, target: &Target, view: &View, now: Instant) -> bool {
         if is_leaving(target, view, now) {
             return false;
@@ -317,13 +320,13 @@
             is_ejected: account.record.is_ejected(now) || is_silent,
             tie_breaker: rand::rng().random(),
         };
-        // What is only hoped to be held is counted as half read.
+        // Tokens that are expected but not known to be cached count half.
         let prefill_time = (known + expected) / 2;
         let reading_us = u64::try_from(prefill_time.as_micros()).unwrap_or(u64::MAX);
         (candidate, reading_us, flights)
     }
 
-    /// Returns what a target is expected to hold of a prompt.
+    /// Returns the tokens of a prompt that a target is expected to have cached.
     fn holder(
         &self,
         job: &Job,
@@ -346,7 +349,8 @@
         Holder { known, expected }
     }
 
-    /// Returns the prompt tokens that a target holds. A part is only held together with all before it.
+    /// Returns the cached tokens of a prompt. A part is only usable together with all parts before
+    /// it.
     fn cached_tokens(job: &Job, held: impl Fn(&str) -> bool) -> u64 {
         let shared = job.prompt.parts.len().saturating_sub(1);
         let parts = job.prompt.parts.iter().take(shared);
@@ -358,14 +362,14 @@
         self.policy.rates.expected(job.prompt.tokens, cached_tokens)
     }
 
-    /// Tells whether a plain target is expected to take one more request.
+    /// Returns whether a plain target is expected to accept one more request.
     fn allows_one_more(&self, target: &Target, flights: u32) -> bool {
         let mut tracker = self.tracker.borrow_mut();
         let account = tracker.known(&target.report.target);
         account.is_none_or(|account| account.room.allows(flights))
     }
 
-    /// Tells whether a target is known to take no request at the moment.
+    /// Returns whether a target is known to accept no requests at the moment.
     fn is_shut(&self, target: &Target, now: Instant) -> bool {
         let mut tracker = self.tracker.borrow_mut();
         let account = tracker.known(&target.report.target);
@@ -398,7 +402,8 @@
         remote.collect()
     }
 
-    /// Returns the expected wait in another region, or nothing where no target would take the request.
+    /// Returns the expected wait in another region, or `None` if no target there would accept the
+    /// request.
     fn remote_wait(&self, job: &Job, region: &str, view: &View, now: Instant) -> Option<Duration> {
         let is_usable = |target: &&Target| {
             let accepts_load = !is_cold(target, now) || job.cold_rate() == 0;
@@ -421,7 +426,7 @@
     }
 }
 
-/// Returns what each of some targets has of a load.
+/// Returns the average load of a target.
 fn per_target(sum: Sum, targets: usize) -> Sum {
     let targets = u32::try_from(targets.max(1)).unwrap_or(u32::MAX);
     Sum {
@@ -430,7 +435,7 @@
     }
 }
 
-/// Tells whether a target is about to end, or in a zone that is to get nothing.
+/// Returns whether a target is about to go away, or is in an evacuated zone.
 fn is_leaving(target: &Target, view: &View, now: Instant) -> bool {
     let ends = target
         .gone_at
@@ -442,7 +447,8 @@
     target.cold_until.is_some_and(|until| until > now)
 }
 
-/// Returns the target at which all instances of the region expect a request's shared parts.
+/// Returns the target to which all instances of the region assign the request's shared prompt
+/// parts.
 fn cache_owner<'a>(job: &Job, targets: &[&'a Target]) -> Option<&'a str> {
     let key = job.prompt.shared().last()?;
     let names = targets.iter().map(|target| target.report.target.as_str());
--- a/crates/zinniastall-gateway/src/path/pool.rs
+++ b/crates/zinniastall-gateway/src/path/pool.rs
@@ -1,4 +1,4 @@
-//! Connections at rest, for the next request to the same address.
+//! Pool of idle connections, by address.
 
 use std::{
     cell::RefCell,
@@ -13,33 +13,34 @@
     head::Response,
 };
 
-/// Longest time for a connection to open. Targets are in the same region, a few milliseconds away; one
-/// that takes longer is dark, or its queue of new connections is full and the retry takes seconds.
+/// Connect timeout for targets, which are in the same region, a few milliseconds away. One that
+/// takes longer is unreachable, or its accept queue is full and the retry takes seconds.
 pub const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
-/// Longest time for a connection to another region: a round trip of 110 ms and some lost packets.
+/// Connect timeout for another region: covers a round trip of 110 ms and some lost packets.
 pub const REMOTE_CONNECT_TIMEOUT: Duration = Duration::from_millis(900);
-/// Rest after which a connection is closed where the other end names no time of its own.
+/// Idle time after which a connection is closed if the peer states no timeout.
 const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(4);
-/// Part of the time that the other end names, so that it isn't closing while a request is on its way.
+/// Share of the peer's keep-alive timeout that is used, so that the peer isn't closing the
+/// connection while a request is in transit.
 const KEEP_ALIVE_SHARE: f64 = 0.7;
-/// Rest after which a connection is too old for a request that must not be repeated. Had the other end
-/// closed it meanwhile, nobody could tell whether the request ran.
+/// Idle time after which a connection is too old for a request that must not be repeated. If the
+/// peer had closed it meanwhile, nobody could tell whether the request ran.
 const MAX_IDLE_UNREPEATABLE: Duration = Duration::from_millis(1_500);
-/// Connections at rest to one address.
+/// Idle connections kept per address.
 const MAX_IDLE_PER_ADDRESS: usize = 12;
 
 /// An open connection.
 #[derive(Debug)]
 pub struct Connection {
-    /// Half that reads.
+    /// Read half.
     pub reader: Reader,
-    /// Half that writes.
+    /// Write half.
     pub writer: Writer,
-    /// Whether it has served a request before.
+    /// Whether the connection has served a request before.
     pub is_used: bool,
 }
 
-/// Connections at rest, by address.
+/// Idle connections, by address.
 #[derive(Debug, Default)]
 pub struct Pool {
     idle: RefCell<IndexMap<String, Vec<Idle>>>,
@@ -53,11 +54,11 @@
 }
 
 impl Pool {
-    /// Takes the connection that was used last, or opens one.
+    /// Takes the most recently used connection, or opens one.
     ///
     /// # Errors
     ///
-    /// Fails when none can be opened in time; nothing was sent then.
+    /// Fails if none can be opened in time; nothing was sent then.
     pub async fn connect(
         &self,
         address: &str,
@@ -77,7 +78,7 @@
         })
     }
 
-    /// Lays a connection to rest after an answer that left nothing behind on it.
+    /// Returns a connection to the pool, unless the answer closes it or left bytes behind on it.
     pub fn release(&self, address: &str, mut connection: Connection, answer: &Response) {
         if !answer.keeps_open() || connection.reader.has_rest() {
             return;
@@ -98,7 +99,7 @@
         }
     }
 
-    /// Closes the connections that have rested for too long.
+    /// Closes the connections that have been idle for too long.
     pub fn sweep(&self, now: Instant) {
         let mut idle = self.idle.borrow_mut();
         for connections in idle.values_mut() {
@@ -122,7 +123,8 @@
     }
 }
 
-/// Returns for how long a connection may rest by the word of the other end.
+/// Returns the time for which a connection may stay idle according to the peer's `Keep-Alive`
+/// header.
 fn keep_alive_timeout(answer: &Response) -> Option<Duration> {
     let value = answer.headers.get("keep-alive")?.to_str().ok()?;
     let parameters = value
--- a/crates/zinniastall-gateway/src/path/responder.rs
+++ b/crates/zinniastall-gateway/src/path/responder.rs
@@ -1,4 +1,4 @@
-//! The way back to whoever sent a request.
+//! Writes answers to the caller or the instance that sent a request.
 
 use std::{
     io,
@@ -20,7 +20,7 @@
 
 use super::answer::Refusal;
 
-/// How far an answer is.
+/// Progress of an answer.
 #[derive(Debug, Clone, Copy)]
 enum Progress {
     Pending,
@@ -28,7 +28,7 @@
     Complete,
 }
 
-/// Writes the answer of one request after the other on a connection.
+/// Writes the answers of successive requests on a connection.
 #[derive(Debug)]
 pub struct Responder {
     writer: Writer,
@@ -43,7 +43,8 @@
 }
 
 impl Responder {
-    /// Creates the way back on a connection; `is_instance` tells that another instance is there.
+    /// Creates the responder of a connection; `is_instance` tells whether the peer is another
+    /// instance.
     pub const fn new(writer: Writer, is_instance: bool) -> Self {
         Self {
             writer,
@@ -58,7 +59,8 @@
         }
     }
 
-    /// Begins the next request; `keep` tells whether the connection stays open after its answer.
+    /// Prepares for the next request; `keep_alive` tells whether the connection stays open after
+    /// its answer.
     pub const fn next_request(&mut self, is_modern: bool, keep_alive: bool) {
         self.keep_alive = keep_alive;
         self.is_modern = is_modern;
@@ -69,7 +71,7 @@
         self.pause = Duration::ZERO;
     }
 
-    /// Tells whether a byte of the answer may have left.
+    /// Returns whether a byte of the answer may have been sent.
     pub const fn has_begun(&self) -> bool {
         !matches!(self.progress, Progress::Pending)
     }
@@ -84,7 +86,8 @@
         self.status
     }
 
-    /// Returns the longest time between two pieces of the body, the one that is due now included.
+    /// Returns the longest time between two pieces of the body, including the time since the last
+    /// one while more are due.
     pub fn pause(&self) -> Duration {
         let is_streaming = matches!(self.progress, Progress::Begun);
         let since_last = self
@@ -94,16 +97,16 @@
         self.pause.max(since_last.unwrap_or_default())
     }
 
-    /// Tells whether the connection may serve another request.
+    /// Returns whether the connection may serve another request.
     pub const fn keeps_open(&self) -> bool {
         matches!(self.progress, Progress::Complete) && self.keep_alive
     }
 
-    /// Writes a whole answer.
+    /// Writes a complete answer.
     ///
     /// # Errors
     ///
-    /// Fails when the connection does.
+    /// Fails if the connection does.
     pub async fn send(&mut self, reply: Reply) -> io::Result<()> {
         self.progress = Progress::Begun;
         self.begun = Some(Instant::now());
@@ -113,11 +116,11 @@
         Ok(())
     }
 
-    /// Writes an answer of the gateway's own; another instance is told what is known against the request as well.
+    /// Writes a refusal; another instance also gets the suspicion against the request.
     ///
     /// # Errors
     ///
-    /// Fails when the connection does.
+    /// Fails if the connection does.
     pub async fn refuse(
         &mut self,
         refusal: Refusal,
@@ -131,20 +134,20 @@
         self.send(reply).await
     }
 
-    /// Says that a body may be sent.
+    /// Asks the caller to send the body, with status 100.
     ///
     /// # Errors
     ///
-    /// Fails when the connection does.
+    /// Fails if the connection does.
     pub async fn send_continue(&mut self) -> io::Result<()> {
         self.writer.write(b"HTTP/1.1 100 Continue\r\n\r\n").await
     }
 
-    /// Writes the head of an answer whose body comes in pieces.
+    /// Writes the head of an answer whose body follows in pieces.
     ///
     /// # Errors
     ///
-    /// Fails when the connection does.
+    /// Fails if the connection does.
     pub async fn write_head(
         &mut self,
         status: StatusCode,
@@ -171,7 +174,7 @@
     ///
     /// # Errors
     ///
-    /// Fails when the connection does.
+    /// Fails if the connection does.
     pub async fn write_piece(&mut self, bytes: Bytes) -> io::Result<()> {
         if bytes.is_empty() {
             return Ok(());
@@ -188,11 +191,11 @@
         self.writer.write(&output).await
     }
 
-    /// Ends a body that came in pieces; without it the answer doesn't look whole.
+    /// Ends a body written in pieces; without this the answer does not look complete.
     ///
     /// # Errors
     ///
-    /// Fails when the connection does.
+    /// Fails if the connection does.
     pub async fn finish_body(&mut self) -> io::Result<()> {
         if self.is_modern {
             self.writer.write(LAST_CHUNK).await?;
@@ -201,11 +204,11 @@
         Ok(())
     }
 
-    /// Ends this direction of the connection in order.
+    /// Shuts down the write half of the connection.
     ///
     /// # Errors
     ///
-    /// Fails when the connection has failed already.
+    /// Fails if the connection has failed already.
     pub async fn shut_down(&mut self) -> io::Result<()> {
         self.writer.finish().await
     }
--- a/crates/zinniastall-gateway/src/path/run.rs
+++ b/crates/zinniastall-gateway/src/path/run.rs
@@ -1,4 +1,4 @@
-//! The attempts of one request, until it has its one final answer.
+//! Runs the attempts of one request until it has its final answer.
 
 use std::{
     cell::Cell,
@@ -22,68 +22,69 @@
 };
 use crate::{freshness::Trust, names::LAST_EVENT};
 
-/// Places that can't be reached before a request is given up: each costs a time-out of connecting.
+/// Unreachable targets or instances after which a request is given up; each costs a connect
+/// timeout.
 const MAX_UNREACHABLE: usize = 4;
-/// Time after which a request comes back that a target refused: about what a place at a full one takes
-/// to come free.
+/// Retry time of a request that a target refused: about the time until a slot at a full target
+/// comes free.
 const REFUSED_RETRY: Duration = Duration::from_millis(300);
 
-/// Time after which a request comes back that found the configuration out of date before it was sent.
+/// Retry time of a request that found the configuration out of date before it was sent.
 const STALE_RETRY: Duration = Duration::from_millis(400);
 
-/// Time between two looks for a place at which a broken stream may go on, and the longest time for
-/// which one is looked for: callers leave a stream after a pause of two seconds.
+/// Interval of the attempts to place an interrupted stream elsewhere, and their time limit: callers
+/// abandon a stream after a pause of two seconds.
 const RESUME_POLL: (Duration, Duration) = (Duration::from_millis(40), Duration::from_millis(1_500));
-/// Time for which a target gets nothing after it refused a request or a connection: a full one finishes
-/// some requests in it, and a crashed one costs one attempt each time.
+/// Time for which a target gets no requests after it refused a request or a connection. A full
+/// target finishes some requests in that time, and a crashed one costs one attempt per interval.
 const REFUSAL_BACKOFF: Duration = Duration::from_millis(120);
 
-/// Time between two looks at whether a strong suspect may be sent, and time after which it comes back where another
-/// copy of it has not ended meanwhile: most requests finish within it.
+/// Interval at which a held suspect checks whether it may be sent, and its retry time if another
+/// copy is still running. Most requests finish within the latter.
 const SUSPECT_POLL: (Duration, Duration) = (Duration::from_millis(30), Duration::from_secs(1));
-/// Part of the objective for which a suspect waits for the end of another copy.
+/// Share of the objective for which a suspect waits for another copy to end.
 const SUSPECT_HOLD_SHARE: f64 = 0.5;
 
 /// How a request ended.
 #[derive(Debug)]
 pub enum End {
-    /// A target's answer was handed over whole.
+    /// A target's answer was forwarded in full.
     Answered,
-    /// The gateway gave an answer of its own.
+    /// The gateway answered by itself.
     Refused(Refusal),
-    /// The answer was broken off, so that it doesn't look whole.
+    /// The answer was cut off, so that it does not look complete.
     Aborted(String),
 }
 
-/// What is known of a request between two attempts.
+/// State of a request between two attempts.
 struct State<'a> {
     job: &'a Job,
     tried: Tried,
     sent: u32,
     unreachable: usize,
-    /// Whether an attempt may have run it.
+    /// Whether an attempt may have run the request.
     may_have_run: &'a Cell<bool>,
     was_held: bool,
     interrupted_at: Option<Instant>,
-    /// Whether a target crashed under it.
+    /// Whether a target crashed under the request.
     has_crashed: bool,
     server_error: Option<Reply>,
 }
 
-/// What follows from an attempt.
+/// Next step after an attempt.
 enum Step {
     Retry,
     Finish(End),
-    /// Ends with this refusal, or with a target's own failure if one is at hand.
+    /// Ends with this refusal, or with a target's own error answer if there is one.
     Refuse(Refusal),
 }
 
 impl Proxy {
-    /// Serves a request until it has its final answer, within its time.
+    /// Serves a request until it has its final answer, within its deadline.
     ///
     /// # Errors
     ///
-    /// Fails when nobody takes the answer any more.
+    /// Fails if the caller's connection does.
     pub async fn run(&self, job: &Job, responder: &mut Responder) -> io::Result<End> {
         let may_have_run = Cell::new(false);
         let attempts = self.attempts(job, responder, &may_have_run);
@@ -92,7 +93,7 @@
             return ended;
         }
         if responder.has_begun() {
-            return Ok(End::Aborted("out of time".to_owned()));
+            return Ok(End::Aborted("deadline exceeded".to_owned()));
         }
         let refusal = if may_have_run.get() {
             Refusal::DeadlineExceeded
@@ -146,7 +147,7 @@
         }
     }
 
-    /// Places a request and sends it, or finds out that there is no place for it now.
+    /// Chooses a target and sends the request there, or finds that none is available now.
     async fn step(
         &self,
         state: &mut State<'_>,
@@ -158,7 +159,8 @@
             Placement::Wait(retry_after) => {
                 if !state.was_held {
                     state.was_held = true;
-                    self.request_log.kept(job, "no target takes one now");
+                    self.request_log
+                        .kept(job, "no target accepts a request now");
                 }
                 time::sleep(retry_after).await;
                 Step::Retry
@@ -171,7 +173,7 @@
                 self.request_log.given_up(job, basis, retry_after);
                 state.no_place(responder, retry_after)
             }
-            // A key may have been taken away while the request waited.
+            // The key may have been revoked while the request waited.
             Placement::Send(..) if !self.is_trusted(job) => state.no_place(responder, STALE_RETRY),
             Placement::Send(place, reading_us, basis) => {
                 self.request_log.placed(job, &place, basis, state.sent);
@@ -194,8 +196,8 @@
         })
     }
 
-    /// Gives the final answer, unless a stream has begun: behind its events another answer would be garbage that
-    /// the caller takes for a part of it.
+    /// Sends the final answer, unless a stream has begun: the caller would take another answer
+    /// behind its events for a part of it.
     async fn conclude(
         &self,
         state: State<'_>,
@@ -214,7 +216,7 @@
         Ok(End::Refused(refusal))
     }
 
-    /// Decides what follows from an attempt.
+    /// Decides the next step after an attempt.
     fn follow_up(
         &self,
         state: &mut State<'_>,
@@ -273,13 +275,13 @@
         })
     }
 
-    /// Tells whether a request may be sent once more, and takes that out of the budget.
+    /// Returns whether a request may be retried, and if so takes the retry out of the budget.
     fn may_repeat(&self, state: &State<'_>) -> bool {
         let job = state.job;
         if job.is_passed_on || state.sent >= job.route().attempts {
             return false;
         }
-        // A suspect that comes again is tried alone; here it would take the next target down at once.
+        // A retried suspect has to run alone; retried here, it would crash the next target at once.
         if state.has_crashed && self.crashes(job) >= STRONG {
             return false;
         }
@@ -290,13 +292,14 @@
             .withdraw(Instant::now(), instances)
     }
 
-    /// Tells whether a request may still be sent by the accounts known here. One that was passed on was judged
-    /// where its caller is.
+    /// Returns whether a request may still be sent according to the accounts known here. A
+    /// forwarded request was authenticated by the instance that its caller connected to.
     fn is_trusted(&self, job: &Job) -> bool {
         job.is_passed_on || job.account().is_none() || self.state.trust() == Trust::Fresh
     }
 
-    /// Notes what an attempt says of its target; `has_crashed` tells that a target crashed under the request.
+    /// Records what an attempt says about its target; `has_crashed` tells whether a target crashed
+    /// under the request.
     fn record_attempt(&self, attempt: &Attempt<'_>, ended: &Ended, has_crashed: bool) {
         let (job, place) = (attempt.job, attempt.place);
         self.request_log.attempted(job, place, ended);
@@ -327,7 +330,8 @@
                 return;
             }
             Ended::NotRun(_) => account.shut_until = Some(now + REFUSAL_BACKOFF),
-            // It refuses connections by now; an instance that passed the request on does not.
+            // A crashed target refuses connections by now; an instance that forwarded the request
+            // does not.
             _ if has_crashed && matches!(place, Place::Target { .. }) => {
                 account.record.unreachable(now);
                 account.shut_until = Some(now + REFUSAL_BACKOFF);
@@ -348,19 +352,19 @@
 }
 
 impl State<'_> {
-    /// Tells whether a stream that was broken off may still go on elsewhere.
+    /// Returns whether an interrupted stream may still resume elsewhere.
     fn may_resume(&self, responder: &Responder) -> bool {
         let in_time = |interrupted_at: Instant| interrupted_at.elapsed() < RESUME_POLL.1;
         responder.has_begun() && self.interrupted_at.is_some_and(in_time)
     }
 
-    /// Tells whether a suspect may still wait for the end of another copy of it.
+    /// Returns whether a suspect may still wait for another copy to end.
     fn may_be_held(&self) -> bool {
         let objective = Duration::from_millis(self.job.route().objective_ms);
         self.job.arrived.elapsed() < objective.mul_f64(SUSPECT_HOLD_SHARE)
     }
 
-    /// Ends a request that is not run any more.
+    /// Ends a quarantined request.
     fn quarantined(&self, responder: &Responder) -> Step {
         if responder.has_begun() {
             return Step::Finish(End::Aborted(Refusal::Quarantined.as_str().to_owned()));
@@ -371,10 +375,10 @@
         Step::Refuse(Refusal::Quarantined)
     }
 
-    /// Ends a request for which there is no place now.
+    /// Ends a request for which no target is available now.
     fn no_place(&self, responder: &Responder, retry_after: Duration) -> Step {
         if responder.has_begun() {
-            return Step::Finish(End::Aborted("no place to go on".to_owned()));
+            return Step::Finish(End::Aborted("no target to resume the stream".to_owned()));
         }
         if self.may_have_run.get() {
             return Step::Refuse(Refusal::AnswerLost);
--- a/crates/zinniastall-gateway/src/path/serve.rs
+++ b/crates/zinniastall-gateway/src/path/serve.rs
@@ -1,4 +1,4 @@
-//! Connections of callers, and of instances that pass requests on.
+//! Serves the connections of callers, and of instances that forward requests.
 
 use std::{
     cell::Cell,
@@ -30,29 +30,30 @@
 };
 use crate::{books::Use, decide::quota::Claim, journal::End, view::Drain};
 
-/// Pause after a failed accept: out of descriptors, most likely, and a loop would spin.
+/// Pause after a failed accept. The process is most likely out of file descriptors, and an
+/// immediate retry would spin.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(100);
-/// Time for which a connection is still read after its last answer. Closing it with unread bytes
-/// resets it, and the reset can overtake the answer.
+/// Time for which a connection is still read after its last answer. Closing a connection with
+/// unread bytes resets it, and the reset can overtake the answer.
 const LINGER: Duration = Duration::from_secs(1);
-/// Time that a caller's connection may rest while this instance drains. Requests already on their way
+/// Idle timeout of a caller's connection while this instance drains. Requests already in transit
 /// arrive within it.
 const DRAINING_IDLE_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// Time after the order to stop within which callers come who can't know of it: they keep an address
-/// for two seconds, and news of the order takes up to half a second.
+/// Time for which callers may be unaware of a drain: they cache an address for two seconds, and the
+/// announcement takes up to half a second.
 const DRAIN_LAG: Duration = Duration::from_millis(2_800);
-/// Time after which a request comes back that was refused because this instance ends; any other one
-/// takes it at once.
+/// Retry time of a request refused because this instance is stopping; any other instance accepts it
+/// at once.
 const DRAINING_RETRY_AFTER: Duration = Duration::from_millis(50);
-/// Longest time for which a request is kept until this instance knows routes: after a loss of all
-/// power a leader is chosen and has committed within it.
+/// Longest time for which a request is held until routes are known here. After a loss of all power,
+/// a leader is elected and has committed within it.
 const STARTUP_HOLD: Duration = Duration::from_millis(1_200);
-/// Time between two looks at whether routes are known.
+/// Interval at which a held request checks whether routes are known.
 const STARTUP_POLL_INTERVAL: Duration = Duration::from_millis(30);
-/// Time between two looks at whether this instance drains.
+/// Interval at which an idle connection checks whether this instance drains.
 const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Counts of open connections and of requests in progress.
+/// Counts open connections and requests in progress.
 #[derive(Debug, Default)]
 pub struct Connections {
     open: Cell<usize>,
@@ -60,18 +61,18 @@
 }
 
 impl Connections {
-    /// Returns the connections that are open.
+    /// Returns the number of open connections.
     pub fn open(&self) -> usize {
         self.open.get()
     }
 
-    /// Returns the requests in progress.
+    /// Returns the number of requests in progress.
     pub fn requests(&self) -> usize {
         self.requests.get()
     }
 }
 
-/// Adds one to a count for as long as it lives.
+/// Guard that increments a counter for as long as it lives.
 struct CountGuard<'a>(&'a Cell<usize>);
 
 impl<'a> CountGuard<'a> {
@@ -87,7 +88,8 @@
     }
 }
 
-/// Accepts connections for ever; `from_instances` tells that instances pass requests on here.
+/// Accepts connections forever; `from_instances` tells whether they come from instances that
+/// forward requests.
 pub async fn accept(proxy: Rc<Proxy>, listener: TcpListener, from_instances: bool) {
     loop {
         match listener.accept().await {
@@ -126,12 +128,12 @@
         let rest = async {
             while reader.first_byte().await.is_ok_and(|has_byte| has_byte) && reader.skip() {}
         };
-        // Whoever goes on sending is cut off after that.
+        // A peer that keeps sending is cut off after that.
         let _ = time::timeout(LINGER, rest).await;
         Ok(())
     }
 
-    /// Serves the next request of a connection; tells whether another one may follow.
+    /// Serves the next request of a connection and returns whether another one may follow.
     async fn serve_next(
         &self,
         reader: &mut Reader,
@@ -176,8 +178,9 @@
         }
     }
 
-    /// Judges a request. One that comes before this instance knows any routes is kept for as long as
-    /// those mostly take; sent away, it would find most other instances starting as well.
+    /// Matches a request to its route. A request that arrives before this instance knows any routes
+    /// is held for as long as it usually takes to learn them: if it were sent away, it would find
+    /// most other instances starting as well.
     async fn match_route(
         &self,
         head: &Request,
@@ -188,7 +191,8 @@
             header_number(&head.headers, &self.header_names.deadline_ms).map(Duration::from_millis);
         let max_hold = left.map_or(STARTUP_HOLD, |left| (left / 4).min(STARTUP_HOLD));
         loop {
-            // The view is read after the lease: it is at least as new as the one that the lease is for.
+            // The view is read after the lease, so it is at least as new as the one that the lease
+            // covers.
             let trust = self.state.trust();
             let matched = Match::new(&self.state.view(), trust, head, from_instances);
             let waits = matches!(matched, Err(Refusal::Unconfigured));
@@ -199,7 +203,7 @@
         }
     }
 
-    /// Serves a request, unless its sender leaves meanwhile.
+    /// Serves a request, unless the sender closes the connection.
     async fn serve(
         &self,
         job: &Job,
@@ -220,7 +224,7 @@
         let ended = tokio::select! {
             biased;
             ended = self.run(job, responder) => ended?,
-            // Dropping the attempt closes its connection, which is how the target learns of it.
+            // Dropping the attempt closes its connection, which tells the target.
             () = reader.closed() => {
                 self.record_end(job, responder, "left", "the caller closed the connection");
                 return Ok(false);
@@ -237,24 +241,24 @@
                 return Err(Error::Ended);
             }
         }
-        // An answer that said the connection stays open is kept to, also where this instance has begun to
-        // drain meanwhile: the caller may have sent its next request already.
+        // An answer that announced keep-alive is binding, even if this instance has begun to drain
+        // since: the caller may already have sent its next request.
         Ok(responder.keeps_open())
     }
 
-    /// Tells whether a request may be placed, or why it is refused before that.
+    /// Admits a request, or returns why it is refused before a target is chosen.
     fn admit(&self, job: &Job) -> Result<(), (Refusal, &'static str)> {
         if self.outlasts_drain(job) {
             return Err((
                 Refusal::Busy(DRAINING_RETRY_AFTER),
-                "this instance ends before it could",
+                "this instance stops before the request could finish",
             ));
         }
         if self.crashes(job) >= LIMIT {
             self.record_rejection(job);
-            return Err((Refusal::Quarantined, "targets crash under it"));
+            return Err((Refusal::Quarantined, "the request crashes targets"));
         }
-        // The instance to which its caller came has counted it already.
+        // The instance that the caller connected to has counted it already.
         let Some(charge) = job.charge().filter(|_| !job.is_passed_on) else {
             return Ok(());
         };
@@ -275,7 +279,7 @@
         })
     }
 
-    /// Gives back what a request was let in for that has not run.
+    /// Refunds the quota of a request that has not run.
     fn refund(&self, job: &Job, outcome: Outcome) {
         if outcome == Outcome::Unknown || job.is_passed_on {
             return;
@@ -286,7 +290,7 @@
         }
     }
 
-    /// Enters a request into the books.
+    /// Records the arrival of a request.
     fn record_arrival(&self, job: &Job) {
         let mut tracker = self.tracker.borrow_mut();
         let asked = Use {
@@ -295,13 +299,14 @@
             gap_ms: job.route().gap_ms,
         };
         tracker.note_use(&job.service, asked, job.arrived);
-        // The instance to which its caller came has counted it already.
+        // The instance that the caller connected to has counted it already.
         if !job.is_passed_on {
             tracker.budget(&job.service).deposit(job.arrived);
         }
     }
 
-    /// Refuses a request that can't be read; what follows on its connection can't be trusted either.
+    /// Refuses a request that cannot be read and closes the connection, since whatever follows on
+    /// it cannot be trusted either.
     async fn refuse(
         &self,
         id: &str,
@@ -314,14 +319,14 @@
         Ok(false)
     }
 
-    /// Notes that a request was refused before it was judged.
+    /// Records that a request was refused before it was matched to a route.
     fn record_refusal(&self, id: &str, refusal: Refusal) {
         self.request_log.refused(id, refusal.as_str());
         let end = End::untimed(refusal.outcome().as_str());
         self.metrics.request("", &end);
     }
 
-    /// Notes how a request ended.
+    /// Records the end of a request.
     fn record_end(&self, job: &Job, responder: &Responder, outcome: &'static str, why: &str) {
         let status = responder.status().map_or(0, |status| status.as_u16());
         let first = responder
@@ -339,17 +344,17 @@
         self.metrics.request(&job.route().name, &end);
     }
 
-    /// Tells whether a request might outlast this instance, which drains.
+    /// Returns whether a request might outlast this draining instance.
     ///
-    /// It would be cut in the middle of its answer; told at once, its caller finds another instance. Who
-    /// comes right after the order to stop could not know, and is served as far as time goes.
+    /// It would be cut off in the middle of its answer; refused at once, its caller finds another
+    /// instance. A caller that could not yet know of the drain is served as far as time permits.
     fn outlasts_drain(&self, job: &Job) -> bool {
         let late = |drain: Drain| job.arrived > drain.since + DRAIN_LAG && job.deadline > drain.end;
         self.state.draining().is_some_and(late)
     }
 
-    /// Waits for the first byte of a request; a connection that rests while this instance drains is
-    /// let go.
+    /// Waits for the first byte of a request and returns whether one came. A connection that is
+    /// idle while this instance drains is closed.
     async fn wait_for_first(&self, reader: &mut Reader, limits: &Limits) -> Result<bool, Error> {
         let since = Instant::now();
         let idle = Duration::from_millis(limits.idle_ms);
@@ -415,7 +420,7 @@
     }
 }
 
-/// Why a body was not read.
+/// Reason why a body was not read.
 enum BodyError {
     Refused(Refusal),
     Failed(Error),
--- a/crates/zinniastall-gateway/src/path/transfer.rs
+++ b/crates/zinniastall-gateway/src/path/transfer.rs
@@ -1,4 +1,4 @@
-//! Reads answers of targets and hands them over.
+//! Reads the answers of targets and forwards them.
 
 use std::{io, time::Duration};
 
@@ -13,11 +13,11 @@
 
 use super::{attempt::Why, job::Job, responder::Responder};
 
-/// Longest whole answer, in bytes; answers of streams have no bound.
+/// Longest complete answer; streams have no limit.
 const MAX_ANSWER_BYTES: usize = 32 << 20;
-/// Longest wait for the rest of a refusal, whose words nobody reads. A target that names no length, or stalls
-/// within them, would hold up a request whose fate is known; its connection is closed instead, which costs
-/// one more connecting. Nearly all refusals come in one piece.
+/// Longest wait for the body of a refusal, which nobody reads. A target that states no length or
+/// stalls would delay a request whose outcome is known, so its connection is closed instead, at the
+/// cost of a new one. Nearly all refusals arrive in one piece.
 const REFUSAL_BODY_TIMEOUT: Duration = Duration::from_millis(5);
 
 /// Reads the head of the next answer.
@@ -29,7 +29,7 @@
     }
 }
 
-/// Reads the words of a refusal; tells whether the connection may be used again.
+/// Drains the body of a refusal and returns whether the connection may be reused.
 pub(super) async fn drain_refusal(response: &Response, reader: &mut Reader) -> bool {
     let Ok(framing) = response.framing(false) else {
         return false;
@@ -43,7 +43,7 @@
         .unwrap_or(false)
 }
 
-/// Reads the rest of a body that nobody needs; tells whether it ended in order.
+/// Drains a body and returns whether it ended cleanly.
 pub(super) async fn drain_body(reader: &mut Reader, mut decoder: Decoder) -> bool {
     loop {
         match reader.piece(&mut decoder).await {
@@ -54,7 +54,7 @@
     }
 }
 
-/// Reads a whole answer.
+/// Reads the body of a complete answer.
 pub(super) async fn read_body(
     job: &Job,
     response: &Response,
@@ -67,7 +67,7 @@
         let piece = reader.piece(&mut decoder).await;
         match piece.map_err(|error| error.to_string())? {
             Some(piece) if body.len() + piece.len() > MAX_ANSWER_BYTES => {
-                return Err("the answer is too long".to_owned());
+                return Err("answer exceeds the size limit".to_owned());
             }
             Some(piece) => body.extend_from_slice(&piece),
             None => return Ok(body.freeze()),
@@ -75,7 +75,7 @@
     }
 }
 
-/// Passes events of a stream on, behind its head where that has not been sent yet.
+/// Forwards events of a stream, preceded by its head if that has not been sent yet.
 pub(super) async fn forward_events(
     response: &Response,
     events: Bytes,
@@ -93,7 +93,7 @@
     Ok(())
 }
 
-/// Returns the fields of a target's answer that are passed on.
+/// Returns the headers of a target's answer without hop-by-hop fields.
 pub(super) fn end_to_end_headers(headers: &HeaderMap) -> HeaderMap {
     let mut headers = headers.clone();
     head::strip_hop_by_hop(&mut headers);
--- a/crates/zinniastall-gateway/src/path/watch.rs
+++ b/crates/zinniastall-gateway/src/path/watch.rs
@@ -1,26 +1,27 @@
-//! Notices that a target is silent because it can't be reached any more.
+//! Detects targets that are silent because they are unreachable.
 //!
-//! A machine that loses power closes no connection: nothing comes any more, and a caller would wait for its
-//! answer until the deadline, though another target could go on with it. A long prompt or a full batch makes a
-//! target silent as well, and is no reason to leave it. What tells the two apart is whether the target still
-//! takes connections.
+//! A machine that loses power closes no connection: the caller would wait until the deadline
+//! although another target could continue. A long prompt or a full batch also makes a target
+//! silent, but is no reason to leave it. The difference is whether the target still accepts
+//! connections.
 
 use std::{io::ErrorKind, pin::pin, time::Duration};
 
 use tokio::{net::TcpStream, time};
 
-/// Silence after which a target is probed, and probed again. Engines that read prompts between events are seldom
-/// silent for longer.
+/// Silence after which a target is probed, repeatedly. Engines that prefill prompts between events
+/// are seldom silent for longer.
 const SILENCE_TIMEOUT: Duration = Duration::from_millis(600);
-/// Longest wait for a connection to a target of the same region, whose round trip is a few milliseconds.
+/// Connect timeout of a probe. The target is in the same region, a few milliseconds away.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(200);
-/// Longest wait for a target that has just closed a connection to refuse another one. A round trip between zones of a
-/// region takes a few milliseconds, and the request's next attempt waits for it.
+/// Longest wait for a target that has just closed a connection to refuse another one. A round trip
+/// between zones of a region takes a few milliseconds, and the request's next attempt is delayed
+/// meanwhile.
 const REFUSAL_TIMEOUT: Duration = Duration::from_millis(30);
-/// Probes that have to fail in a row, since single packets are lost.
+/// Probes that have to fail in a row, since single packets get lost.
 const PROBE_ATTEMPTS: usize = 2;
 
-/// Waits for what a target does; returns nothing once it is silent and can't be reached.
+/// Waits for a target's work; returns `None` once the target is silent and unreachable.
 pub(super) async fn until_unreachable<T>(
     work: impl Future<Output = T>,
     address: &str,
@@ -42,7 +43,7 @@
     }
 }
 
-/// Tells whether a target takes or refuses connections: one that refuses them is there.
+/// Returns whether a target is up: it either accepts or refuses connections.
 async fn is_reachable(address: &str) -> bool {
     for _ in 0..PROBE_ATTEMPTS {
         if time::timeout(PROBE_TIMEOUT, TcpStream::connect(address))
@@ -55,7 +56,7 @@
     false
 }
 
-/// Tells whether nothing listens at an address any more: the machine is there, and the process that listened has
+/// Returns whether an address refuses connections: the machine is up, but the listening process has
 /// ended.
 pub(super) async fn is_refused(address: &str) -> bool {
     let connected = time::timeout(REFUSAL_TIMEOUT, TcpStream::connect(address)).await;
