--- a/crates/zinniastall-gateway/tests/books.rs
+++ b/crates/zinniastall-gateway/tests/books.rs
@@ -1,4 +1,4 @@
-//! What an instance's books say of the routes that use a service.
+//! What an instance's tracker knows of the routes that use a service.
 
 use std::time::{Duration, Instant};
 
@@ -15,26 +15,26 @@
     }
 }
 
-/// Operators keep routes for the day when they are needed. One that nobody uses must neither push others
-/// back in the queue nor hold the queue short for streams that don't run.
+/// Operators keep spare routes for later. A route that nobody uses must neither push others back in
+/// the queue nor keep the queue short for streams that don't run.
 #[test]
 fn only_routes_in_use_affect_others() {
     let now = Instant::now();
-    let mut books = Books::new(Bound::default());
-    assert_eq!(books.gap("s", now), Duration::ZERO);
-    books.note_use("s", usage(0, 900), now);
-    books.note_use("s", usage(0, 600), now);
-    books.note_use("s", usage(1, 0), now);
-    books.note_use("other", usage(0, 100), now);
-    assert_eq!(books.gap("s", now), Duration::from_millis(600));
+    let mut tracker = Books::new(Bound::default());
+    assert_eq!(tracker.gap("s", now), Duration::ZERO);
+    tracker.note_use("s", usage(0, 900), now);
+    tracker.note_use("s", usage(0, 600), now);
+    tracker.note_use("s", usage(1, 0), now);
+    tracker.note_use("other", usage(0, 100), now);
+    assert_eq!(tracker.gap("s", now), Duration::from_millis(600));
     assert_eq!(
-        books.rank("s", 2, now),
+        tracker.rank("s", 2, now),
         2,
         "two priorities, on three routes"
     );
     let later = now + Duration::from_secs(8);
-    books.note_use("s", usage(0, 900), later);
+    tracker.note_use("s", usage(0, 900), later);
     let after = now + Duration::from_secs(12);
-    assert_eq!(books.gap("s", after), Duration::from_millis(900));
-    assert_eq!(books.rank("s", 2, after), 1);
+    assert_eq!(tracker.gap("s", after), Duration::from_millis(900));
+    assert_eq!(tracker.rank("s", 2, after), 1);
 }
--- a/crates/zinniastall-gateway/tests/claims.rs
+++ b/crates/zinniastall-gateway/tests/claims.rs
@@ -1,4 +1,4 @@
-//! Claims: what instances ask a target's coordinator, and what they do without its answer.
+//! Claims: what instances ask a target's coordinator, and how they proceed without its answer.
 
 use std::{
     cell::RefCell,
@@ -33,7 +33,7 @@
     }
 }
 
-/// Instances of one region that talk over real datagrams.
+/// Instances of one region that exchange claims over UDP sockets.
 struct Region {
     view: View,
     claims: Vec<Rc<Claims>>,
@@ -41,7 +41,7 @@
 }
 
 impl Region {
-    /// Binds sockets for some instances; those that `are_alive` serve them.
+    /// Binds a socket for each instance; those that `are_alive` serve it.
     async fn start(names: &[&str], are_alive: impl Fn(&str) -> bool) -> Self {
         let place = Place::new("patras", "patras-a");
         let mut sockets = Vec::new();
@@ -84,7 +84,7 @@
                 actix::spawn(neighbours::run(served, shared));
             }
         }
-        // Each is opened when its loop runs first.
+        // Claims are opened when the loop of their instance first runs.
         time::sleep(Duration::from_millis(20)).await;
         Self {
             view,
@@ -93,14 +93,15 @@
         }
     }
 
-    /// Claims a target for an instance, by its place in the list.
+    /// Claims a target for the instance at index `by` of the list.
     async fn claim(&self, by: usize, target: &str) -> Option<Load> {
         let mut view = self.view.clone();
         view.instance = self.view.instances.by_name()[by].instance.clone();
         self.claims[by].claim(&view, target, 200_000).await
     }
 
-    /// Returns how many claims have come to an instance that doesn't run, since it was asked last.
+    /// Returns the number of claims that an instance which doesn't run has received since the last
+    /// call.
     fn claims_at(&self, instance: usize) -> usize {
         let mut buffer = [0; LONGEST_DATAGRAM];
         let datagrams = std::iter::from_fn(|| {
@@ -113,22 +114,23 @@
     }
 }
 
-/// Returns the name of a target whose coordinator is an instance.
+/// Returns the name of a target that an instance coordinates.
 fn coordinated_by(instance: &str, names: &[&str]) -> String {
     let targets = (0..).map(|number| format!("target-{number}"));
     let mut candidates =
         targets.filter(|target| warm::sender(target, names.iter().copied()) == Some(instance));
-    candidates.next().expect("endless")
+    candidates.next().expect("an endless iterator")
 }
 
 fn run(test: impl Future<Output = ()>) {
     actix::System::new().block_on(async {
-        time::timeout(TIMEOUT, test).await.expect("the test hangs");
+        time::timeout(TIMEOUT, test).await.expect("test timed out");
     });
 }
 
-/// Four instances see the same free target in the same moment. Told of each other's requests a tenth of a second
-/// later, all four would send it a long prompt, and the last caller would wait for three others' prompts.
+/// Four instances see the same idle target at the same moment. If they learned of each other's
+/// requests only a tenth of a second later, all four would send it a long prompt, and the last
+/// caller would wait for the other three prompts.
 #[test]
 fn later_claims_see_earlier_ones() {
     run(async {
@@ -145,8 +147,8 @@
     });
 }
 
-/// The coordinator has crashed, and lists of instances still name it. Requests go on without it after some
-/// milliseconds, and the next ones don't wait for it at all.
+/// The coordinator has crashed, and membership lists still name it. Requests proceed without its
+/// answer after some milliseconds, and the next ones don't wait for it at all.
 #[test]
 fn a_dead_coordinator_does_not_block_claims() {
     run(async {
@@ -156,14 +158,18 @@
         let since = Instant::now();
         assert_eq!(region.claim(0, &target).await, None);
         assert!(since.elapsed() < Duration::from_millis(500), "{since:?}");
-        assert_eq!(region.claims_at(1), 1, "it was asked once");
+        assert_eq!(region.claims_at(1), 1, "the coordinator was asked once");
         assert_eq!(region.claim(0, &target).await, None);
-        assert_eq!(region.claims_at(1), 0, "it was asked again at once");
+        assert_eq!(
+            region.claims_at(1),
+            0,
+            "the coordinator was asked again at once"
+        );
     });
 }
 
-/// Sums contain a request soon after it was sent. Were its claim counted for longer, it would count twice, and
-/// targets would seem full that aren't.
+/// Reported loads include a request soon after it was sent. A claim that lasted longer would count
+/// that request twice, and targets would seem full that aren't.
 #[test]
 fn claims_expire() {
     let mut recent = Recent::default();
@@ -177,7 +183,7 @@
     assert_eq!(recent.claim(7, 90, later(2_000)), Load::default());
 }
 
-/// A broken instance claims without end. The coordinator's memory stays bounded.
+/// A faulty instance claims without end. The coordinator's memory stays bounded.
 #[test]
 fn a_flood_of_claims_is_bounded() {
     let mut recent = Recent::default();
--- a/crates/zinniastall-gateway/tests/daemon.rs
+++ b/crates/zinniastall-gateway/tests/daemon.rs
@@ -1,7 +1,7 @@
-//! A whole gateway instance beside a scripted control replica.
+//! A complete gateway instance with a scripted control replica.
 #![expect(
     clippy::unwrap_used,
-    reason = "helpers of tests fail the test, as its own lines do"
+    reason = "a failing helper fails its test, as the test's own lines do"
 )]
 
 use std::{cell::Cell, future::Future, net::SocketAddr, rc::Rc, time::Duration};
@@ -33,7 +33,7 @@
 const ANY_PORT: &str = "127.0.0.1:0";
 const TIMEOUT: Duration = Duration::from_secs(20);
 
-/// A control replica that says what a test makes it say.
+/// A control replica that sends the messages a test gives it.
 struct Replica {
     address: SocketAddr,
     messages: mpsc::UnboundedSender<Message>,
@@ -117,7 +117,7 @@
     }
 }
 
-/// A target that answers after a few milliseconds.
+/// Starts a target that responds after a few milliseconds.
 async fn target() -> SocketAddr {
     let listener = TcpListener::bind(ANY_PORT).await.unwrap();
     let address = listener.local_addr().unwrap();
@@ -163,18 +163,19 @@
 async fn wait_until(what: &str, condition: impl Fn() -> bool) {
     let since = time::Instant::now();
     while !condition() {
-        assert!(since.elapsed() < TIMEOUT, "waited too long until {what}");
+        assert!(since.elapsed() < TIMEOUT, "timed out waiting until {what}");
         time::sleep(Duration::from_millis(5)).await;
     }
 }
 
 fn run(test: impl Future<Output = ()>) {
     actix::System::new().block_on(async {
-        time::timeout(TIMEOUT, test).await.expect("the test hangs");
+        time::timeout(TIMEOUT, test).await.expect("test timed out");
     });
 }
 
-/// Sends one request on a connection; tells whether it was answered, and whether another may follow.
+/// Sends one request on a connection. Returns whether a response came, and whether the connection
+/// may be used again.
 async fn request(stream: &mut TcpStream, id: &str) -> std::io::Result<(bool, bool)> {
     let text = format!(
         "POST /plans/1 HTTP/1.1\r\nHost: maps.example\r\nrequest-id: {id}\r\ncontent-length: 1\r\n\r\nx"
@@ -182,7 +183,7 @@
     stream.write_all(text.as_bytes()).await?;
     let mut answer = Vec::new();
     let mut buffer = [0; 4096];
-    // An answer of the instance's own ends with a brace.
+    // A response that the instance itself makes ends with a brace.
     while !answer.ends_with(b"\r\n\r\nok") && !answer.ends_with(b"}") {
         let read = stream.read(&mut buffer).await?;
         if read == 0 {
@@ -194,10 +195,10 @@
     Ok((true, !text.contains("connection: close")))
 }
 
-/// An instance is told to stop while callers go on sending, each on a connection that it keeps or
-/// opens anew. An instance that looks once whether anything is in progress, and ends, cuts the request
-/// that arrived since the look: a caller reads an end where its answer should be, and nobody knows
-/// whether the request ran.
+/// An instance drains while callers keep sending, on kept connections and on new ones. An instance
+/// that checks once whether requests are in flight and then exits cuts the request that arrived
+/// after the check: its caller reads the end of the connection in place of a response, and cannot
+/// tell whether the request ran.
 #[test]
 fn a_stopping_instance_cuts_no_request() {
     run(async {
@@ -220,7 +221,7 @@
             actix::spawn(async move {
                 let mut number = 0;
                 while !stopped.get() {
-                    // A refused connection reached nobody; the caller turns elsewhere.
+                    // A refused connection reached no instance; the caller turns to another one.
                     let Ok(mut stream) = TcpStream::connect(callers).await else {
                         return;
                     };
@@ -237,7 +238,7 @@
                                 cut.set(cut.get() + 1);
                                 break;
                             }
-                            // Reset while it waited to be accepted: not read by anybody.
+                            // Reset while waiting to be accepted: no instance has read the request.
                             Err(_) => break,
                         }
                     }
@@ -253,8 +254,9 @@
     });
 }
 
-/// Two replicas hold different configurations, because one of them was cut off. The instance hears the
-/// older one last; going back would serve by rules that operators were told are gone.
+/// Two replicas hold different configurations because one of them was partitioned. The instance
+/// hears the older one last; going back to it would serve by rules that operators were told are
+/// gone.
 #[test]
 fn an_older_configuration_is_never_taken() {
     run(async {
--- a/crates/zinniastall-gateway/tests/decide.rs
+++ b/crates/zinniastall-gateway/tests/decide.rs
@@ -1,8 +1,8 @@
-//! Decisions of the request path, played without a network.
+//! Decisions of the request path, without a network.
 
 #![expect(
     clippy::unwrap_used,
-    reason = "helpers of tests fail the test, as its own lines do"
+    reason = "a failing helper fails its test, as the test's own lines do"
 )]
 
 mod decide {
--- a/crates/zinniastall-gateway/tests/decide/budget.rs
+++ b/crates/zinniastall-gateway/tests/decide/budget.rs
@@ -1,4 +1,4 @@
-//! Repeats stay under one bound over all instances, in any window.
+//! Retries of all instances together stay under one bound, in any window.
 
 use std::time::{Duration, Instant};
 
@@ -15,11 +15,11 @@
     slack: 58,
 };
 
-/// One step: which instance, how many milliseconds later, whether the request fails and how many
-/// instances the acting one believes to be alive.
+/// One step: the acting instance, the milliseconds since the step before, whether the request
+/// fails, and how many instances the acting one takes for alive.
 type Step = (usize, u64, bool, usize);
 
-/// Returns the most repeats beyond the share of requests that any window saw.
+/// Returns the most retries of any window beyond the share of requests that may be retried.
 fn max_excess(requests: &[u64], repeats: &[u64]) -> f64 {
     let count = |times: &[u64], from: u64, to: u64| {
         let inside = times.iter().filter(|at| **at >= from && **at < to);
@@ -39,9 +39,9 @@
     excess.fold(0.0, f64::max)
 }
 
-/// All targets fail, instances come and go, and each believes in another number of them. The sum of what
-/// they repeat must stay under the bound: beyond it an outage is multiplied, and the operators' own
-/// limit is broken.
+/// All targets fail, instances come and go, and each assumes a different number of them. The sum of
+/// their retries must stay under the bound: beyond it, retries amplify the outage, and the
+/// operators' own limit is exceeded.
 #[test]
 fn the_sum_of_repeats_stays_under_the_bound() {
     println!("seed {SEED}");
@@ -82,7 +82,7 @@
         .unwrap();
 }
 
-/// A single instance may use what all share, less a margin for those that join.
+/// A single instance may use the budget of all, less a margin for instances that join.
 #[test]
 fn a_single_instance_may_use_most_of_the_bound() {
     let now = Instant::now();
@@ -91,7 +91,7 @@
     assert!((40..=58).contains(&granted), "{granted}");
 }
 
-/// An instance that lost sight of the others still takes its old part only, for one window.
+/// An instance that has lost sight of the others keeps to its former part for one window.
 #[test]
 fn losing_peers_frees_no_budget_at_once() {
     let now = Instant::now();
--- a/crates/zinniastall-gateway/tests/decide/concurrency.rs
+++ b/crates/zinniastall-gateway/tests/decide/concurrency.rs
@@ -1,9 +1,10 @@
-//! What is learned of the requests that plain targets take.
+//! What is learned about the number of requests that plain targets accept.
 
 use zinniastall_gateway::decide::room::Room;
 
-/// Sends requests to a target with room for so many as long as it is expected to take them; the target finishes
-/// some in each of a number of rounds. Returns how many it took and how many it refused.
+/// Sends requests to a target as long as it is expected to accept them. The target holds up to
+/// `capacity` requests and finishes some in each round. Returns how many it accepted and how many
+/// it refused.
 fn simulate(capacity: u32, finishes: u32, rounds: u32) -> (u32, u32) {
     let mut limit = Room::default();
     let (mut in_flight, mut taken, mut refused) = (0_u32, 0, 0);
@@ -26,8 +27,8 @@
     (taken, refused)
 }
 
-/// Twice as many requests come as a target finishes. Without a bound half of them are refused there, each after a
-/// trip and with its caller's only attempt gone.
+/// Requests arrive at twice the rate at which a target finishes them. Without a bound, half of them
+/// are refused there, each after a round trip and with its caller's only attempt used up.
 #[test]
 fn hardly_a_request_is_sent_to_a_full_target() {
     let (taken, refused) = simulate(30, 10, 100);
@@ -35,7 +36,7 @@
     assert!(refused * 20 < taken, "{refused} of {taken}");
 }
 
-/// A target comes back with a longer queue. It is found out within forty requests.
+/// A target comes back with a longer queue. Its capacity is discovered within forty requests.
 #[test]
 fn grown_capacity_is_discovered() {
     let mut limit = Room::default();
@@ -47,7 +48,8 @@
     assert!(limit.is_open(10));
 }
 
-/// A target refuses for reasons of its own while it is idle. It still gets as many as it has slots.
+/// A target refuses for reasons of its own while it is idle. It still gets as many requests as it
+/// has slots.
 #[test]
 fn an_idle_target_gets_as_many_as_it_has_slots() {
     let mut limit = Room::default();
--- a/crates/zinniastall-gateway/tests/decide/fetch.rs
+++ b/crates/zinniastall-gateway/tests/decide/fetch.rs
@@ -1,4 +1,4 @@
-//! From which target another one copies what it lacks of a prompt.
+//! From which target another one copies the prompt tokens that it lacks.
 
 use std::time::Duration;
 
@@ -13,7 +13,7 @@
     Holder { known, hoped }
 }
 
-/// Time to read tokens at 40 a millisecond.
+/// Time to prefill tokens at 40 per millisecond.
 fn prefill_time(tokens: u64) -> Duration {
     Duration::from_micros(tokens * 25)
 }
@@ -30,19 +30,19 @@
 cases! {
     missing_tokens_are_copied_from_the_target_that_holds_most:
         [holder(0, 0), holder(2_500, 2_500), holder(0, 6_300)], LINK => Some(2);
-    /// Of two that are expected to hold as much, one was sent it by this instance.
+    /// Two targets are expected to hold as much; one of them was sent it by this instance.
     a_known_holder_is_preferred_to_a_likely_one:
         [holder(0, 0), holder(0, 6_300), holder(6_300, 6_300)], LINK => Some(2);
-    /// Others may have sent it here too, but nobody knows.
+    /// Other instances may have sent the prompt to this target too, but that isn't known.
     tokens_that_are_only_likely_held_are_copied_anyway:
         [holder(0, 6_300), holder(6_300, 6_300)], LINK => Some(1);
     tokens_that_are_held_are_not_copied:
         [holder(6_300, 6_300), holder(6_300, 6_300)], LINK => None;
-    /// Setting a copy up takes as long as reading that little.
+    /// Setting up a copy takes as long as prefilling so few tokens.
     few_tokens_are_not_copied: [holder(0, 0), holder(198, 198)], LINK => None;
     engines_without_a_link_copy_nothing:
         [holder(0, 0), holder(6_300, 6_300)], Link { mbps: 0, ..LINK } => None;
-    /// Copying at a hundredth of the rate takes 250 ms, and reading 158 ms.
+    /// Copying at a hundredth of the rate takes 250 ms, prefilling 158 ms.
     a_link_that_is_slower_than_reading_is_not_used:
         [holder(0, 0), holder(6_300, 6_300)], Link { mbps: 3_700, ..LINK } => None;
     a_single_target_has_no_source: [holder(0, 6_300)], LINK => None;
--- a/crates/zinniastall-gateway/tests/decide/outlier.rs
+++ b/crates/zinniastall-gateway/tests/decide/outlier.rs
@@ -1,10 +1,11 @@
-//! Targets that fail are left alone for a while.
+//! Outlier detection: failing targets are ejected for a while.
 
 use std::time::{Duration, Instant};
 
 use zinniastall_gateway::decide::outlier::Record;
 
-/// A target fails four of ten requests and calls itself well. It is left alone after some of them.
+/// A target fails three of five requests and reports itself healthy. It is ejected within thirty
+/// requests.
 #[test]
 fn a_target_with_partial_failures_is_ejected() {
     let now = Instant::now();
@@ -34,8 +35,8 @@
     }
 }
 
-/// A target that can't be reached is tried again after half a second, then more and more rarely, and
-/// every four seconds at the latest.
+/// An unreachable target is tried again after half a second, then with a delay that doubles up to
+/// four seconds.
 #[test]
 fn an_unreachable_target_backs_off_exponentially() {
     let mut now = Instant::now();
--- a/crates/zinniastall-gateway/tests/decide/place.rs
+++ b/crates/zinniastall-gateway/tests/decide/place.rs
@@ -1,4 +1,4 @@
-//! Where requests go, under loads that are played second by second.
+//! Which target or region requests are sent to, under simulated loads.
 
 use std::{collections::VecDeque, time::Duration};
 
@@ -31,8 +31,8 @@
     opens_soon: false,
 };
 
-/// A target that holds a prompt's beginning is worth a queue of up to twice the time that reading it takes
-/// elsewhere, and not a longer one.
+/// A target that holds a prompt's prefix is worth a queue of up to twice the time that the prefill
+/// takes elsewhere, and not a longer one.
 #[test]
 fn a_held_prompt_is_worth_a_short_queue() {
     let held = |wait| [candidate(wait, 30), candidate(0, 200)];
@@ -40,7 +40,7 @@
     assert_eq!(choose(&held(350), &[], CONSTRAINTS), Choice::Here(1));
 }
 
-/// A region's peak passes its own capacity while another one is idle.
+/// At its peak, a region exceeds its own capacity while another one is idle.
 #[test]
 fn a_queue_longer_than_the_trip_spills_to_another_region() {
     let far = [Region {
@@ -73,8 +73,9 @@
     assert_eq!(choose(&[failing], &far, CONSTRAINTS), Choice::There(0));
 }
 
-/// Most of many targets fail their requests, and two are well. Only a few are weighed, and the two must be among
-/// them: otherwise most requests would go to targets that are known to fail.
+/// Most of many targets fail their requests, and two are healthy. Only a few candidates are
+/// compared, and the healthy ones must be among them: otherwise most requests would go to targets
+/// that are known to fail.
 #[test]
 fn failing_targets_of_many_are_the_last_resort() {
     let mut many = [candidate(0, 100); 20];
@@ -90,8 +91,9 @@
     assert!(matches!(choose(&many, &[], CONSTRAINTS), Choice::Here(_)));
 }
 
-/// No target takes a request now, and one is about to: the request is kept for part of its objective,
-/// and is told to come back after that. Where none is in sight it is told at once.
+/// No target takes a request now, and one is about to: the request is held for part of its
+/// objective and refused with a retry delay after that. If no target is about to, it is refused at
+/// once.
 #[test]
 fn a_request_waits_only_if_a_target_opens_soon() {
     let soon = Patience {
@@ -107,7 +109,7 @@
     assert!(matches!(choose(&[], &[], CONSTRAINTS), Choice::Refuse(_)));
 }
 
-/// A refusal names a time that grows with the queue.
+/// A refusal carries a retry delay that grows with the queue, up to two seconds.
 #[test]
 fn a_refusal_carries_a_retry_delay() {
     let after = |wait| match choose(&[candidate(wait, 0)], &[], CONSTRAINTS) {
@@ -118,7 +120,7 @@
     assert!(after(60_000) <= ms(2_000));
 }
 
-/// One queue of a target that finishes a request every so often.
+/// The queue of a target that takes `service_ms` for each request.
 struct Queue {
     finish_times: VecDeque<u64>,
     service_ms: u64,
@@ -134,7 +136,7 @@
             .map_or(0, |end| end.saturating_sub(now))
     }
 
-    /// Adds a request and returns how long it takes.
+    /// Adds a request and returns its latency.
     fn add(&mut self, now: u64) -> u64 {
         let took = self.wait(now) + self.service_ms;
         self.finish_times.push_back(now + took);
@@ -142,8 +144,9 @@
     }
 }
 
-/// Plays ten seconds of arrivals at four targets that finish 25 requests a second each; returns how many
-/// were answered within the objective, and how many late. Refused ones come back once.
+/// Simulates ten seconds of arrivals at four targets that finish 25 requests a second each. Returns
+/// how many were answered within the objective, and how many late. Refused requests are retried
+/// once.
 fn simulate(per_second: u64, decide: impl Fn(&[Candidate]) -> Choice) -> (u32, u32) {
     let mut queues: Vec<Queue> = (0..4)
         .map(|_| Queue {
@@ -175,8 +178,8 @@
     (in_time, late)
 }
 
-/// Twice as many requests come as the targets can finish. Without a bound on the queue nearly all
-/// answers are late; with it, as many are in time as there is capacity for.
+/// Requests arrive at twice the targets' capacity. Without a bound on the queue, nearly all
+/// responses are late; with it, as many are in time as the capacity allows.
 #[test]
 fn overload_is_refused_so_that_the_rest_is_in_time() {
     let least = |candidates: &[Candidate]| {
@@ -187,7 +190,7 @@
     let (before, _) = simulate(200, least);
     let (after, late) = simulate(200, |candidates| choose(candidates, &[], CONSTRAINTS));
     println!(
-        "in time of 2,000, capacity 1,000: {before} without a bound, {after} with it, {late} late"
+        "answered in time, of 2,000 with a capacity of 1,000: {before} without a bound, {after} with it, {late} late"
     );
     assert!(before < 250, "{before}");
     assert!(after > 850, "{after}");
@@ -201,25 +204,25 @@
     assert_eq!((in_time, late), (950, 0));
 }
 
-/// An engine and the beginnings of prompts that it holds.
+/// An engine and the prompt prefixes that it holds.
 #[derive(Debug, Default)]
 struct Engine {
     free_at: u64,
     held: VecDeque<u64>,
 }
 
-/// Times to read a beginning that many prompts share, and a prompt's own part, in milliseconds.
+/// Prefill times of a prefix that many prompts share, and of a prompt's own suffix.
 const PREFIX_MS: u64 = 170;
 const SUFFIX_MS: u64 = 90;
-/// Time to copy a beginning from another engine, the set-up included.
+/// Time to copy a prefix from another engine, including the set-up.
 const COPY_MS: u64 = 8;
-/// Beginnings that an engine holds.
+/// Prefixes that an engine holds.
 const PREFIXES_HELD: usize = 25;
-/// Beginnings that prompts share.
+/// Distinct prefixes that prompts share.
 const PREFIXES: u64 = 80;
 
-/// Engines that copy at a thousandth of the time to read, and engines that don't copy. A token takes a
-/// millisecond to read here.
+/// Links of engines that copy at a thousandth of the prefill time, and of engines that don't copy.
+/// A token takes a millisecond to prefill here.
 const LINK: Link = Link {
     token_bytes: 125,
     mbps: 1_000,
@@ -245,8 +248,8 @@
         candidate(self.free_at.saturating_sub(now), read * count / 2)
     }
 
-    /// Reads a prompt, or copies its beginning where it may; returns when it is read, and whether its
-    /// beginning was read again.
+    /// Prefills a prompt, or copies its prefix if `copies`. Returns when the prefill ends, and
+    /// whether the prefix was recomputed.
     fn read(&mut self, prefix: u64, now: u64, copies: bool) -> (u64, bool) {
         let position = self.held.iter().position(|held| *held == prefix);
         if let Some(at) = position {
@@ -265,15 +268,16 @@
     }
 }
 
-/// Plays thirty seconds of prompts at four engines; `count` halves of what reading takes are counted where the
-/// engines are compared, beside the one that the decision itself doubles. Returns how many prompts were
-/// answered in time, and how many beginnings were read. With `link`, an engine copies a beginning from the first
-/// one that holds it.
+/// Simulates thirty seconds of prompts at four engines, one every `interval` milliseconds. `count`
+/// is how many times the prefill time counts where engines are compared: the decision doubles it,
+/// so candidates get `count` halves of it. With `link`, an engine copies a prefix from the first
+/// engine that holds it. Returns how many prompts were answered in time, and how many prefixes were
+/// prefilled.
 fn simulate_prefixes(interval: u64, count: u64, link: Link) -> (usize, usize) {
     let mut engines: Vec<Engine> = (0..4).map(|_| Engine::default()).collect();
     let (mut in_time, mut read) = (0, 0);
     for at in 0..30_000 / interval {
-        // A fixed order in which every beginning comes about as often.
+        // A fixed order in which every prefix comes about as often.
         let (now, prefix) = (at * interval, at * at * 31 % 7_919 % PREFIXES);
         let candidates = engines.iter();
         let candidates: Vec<Candidate> = candidates
@@ -290,14 +294,16 @@
     (in_time, read)
 }
 
-/// Prompts share their beginnings, and engines have little time to spare. A prompt that leaves the engine which
-/// holds its beginning for a shorter queue has it read there once more, from which that queue grows too, until
-/// every engine reads everything and a part of the prompts is refused.
+/// Prompts share prefixes, and engines have little spare time. A prompt that leaves the engine
+/// which holds its prefix for a shorter queue is prefilled there in full, which makes that queue
+/// grow too, until every engine prefills every prefix and some prompts are refused.
 #[test]
 fn prompts_stay_with_targets_that_hold_their_prefixes() {
     let (before, read_before) = simulate_prefixes(28, 1, NO_LINK);
     let (after, read_after) = simulate_prefixes(28, 2, NO_LINK);
-    println!("counted once: {before} in time, {read_before} read; twice: {after}, {read_after}");
+    println!(
+        "counted once: {before} in time, {read_before} prefilled; twice: {after}, {read_after}"
+    );
     assert!(after > before, "{before}, {after}");
     assert!(
         read_after * 3 < read_before * 2,
@@ -305,30 +311,33 @@
     );
 }
 
-/// More prompts come than engines can read if a beginning is read wherever its prompt is sent. Copied from an
-/// engine that holds it, more of them are answered in time, and the engines' time goes to what is new.
+/// More prompts arrive than engines can prefill if a prefix is computed wherever its prompt is
+/// sent. With prefixes copied from an engine that holds them, more prompts are answered in time,
+/// and engines spend their time on new tokens.
 #[test]
 fn prefixes_are_copied_rather_than_recomputed() {
     let (before, read_before) = simulate_prefixes(21, 2, NO_LINK);
     let (after, read_after) = simulate_prefixes(21, 2, LINK);
-    println!("read again: {before} in time, {read_before} read; copied: {after}, {read_after}");
+    println!(
+        "recomputed: {before} in time, {read_before} prefilled; copied: {after}, {read_after}"
+    );
     assert!(after > before, "{before}, {after}");
     let recomputed = |read: usize| read - usize::try_from(PREFIXES).unwrap();
     assert!(recomputed(read_after) * 2 < recomputed(read_before));
 }
 
-/// Counts of one rank: asked for, answered within the objective.
+/// Requests of one rank: all of them, and those answered within the objective.
 #[derive(Debug, Default, Clone, Copy)]
 struct Share {
     asked: u32,
     in_time: u32,
 }
 
-/// Objectives of urgent and of less urgent requests, in milliseconds.
+/// Objectives of urgent and of less urgent requests.
 const OBJECTIVES_MS: [u64; 2] = [800, 1_000];
 
-/// Plays twenty seconds in which urgent requests, which take 10 ms each, and less urgent ones, which take
-/// 100 ms, come to four targets; `rank` is the one that the less urgent ones are judged by.
+/// Simulates twenty seconds in which urgent requests of 10 ms and less urgent ones of 100 ms arrive
+/// at four targets. `rank` is the rank of the less urgent ones.
 fn simulate_ranks(urgent: u64, others: u64, rank: usize) -> [Share; 2] {
     let mut queues: Vec<Queue> = (0..4)
         .map(|_| Queue {
@@ -359,16 +368,17 @@
     shares
 }
 
-/// Twice as much work comes as the targets can do, most of it from less urgent requests with a longer
-/// objective. Judged alike, those fill the queue up to what they bear, which the urgent ones don't; with
-/// their queue held shorter, the urgent ones are nearly all served, and the others get what is left.
+/// Twice as much work arrives as the targets can do, most of it from less urgent requests with a
+/// longer objective. With equal ranks, those fill the queue up to their own objective, which is too
+/// long for the urgent ones. With a shorter queue for the less urgent, nearly all urgent requests
+/// are served, and the others get the remaining capacity.
 #[test]
 fn urgent_requests_are_served_before_others_in_an_overload() {
     let percent = |share: Share| share.in_time * 100 / share.asked;
     let [urgent, others] = simulate_ranks(100, 70, 0).map(percent);
     let [urgent_first, others_first] = simulate_ranks(100, 70, 1).map(percent);
     println!(
-        "in time of 100: {urgent} and {others} alike, {urgent_first} and {others_first} by rank"
+        "percent in time, urgent and others: {urgent} and {others} with equal ranks, {urgent_first} and {others_first} by rank"
     );
     assert!(urgent < 80, "{urgent}");
     assert!(urgent_first > 97, "{urgent_first}");
--- a/crates/zinniastall-gateway/tests/decide/prefill.rs
+++ b/crates/zinniastall-gateway/tests/decide/prefill.rs
@@ -1,4 +1,4 @@
-//! How long prompts are expected to take.
+//! Expected prefill times of prompts.
 
 use std::time::Duration;
 
@@ -9,8 +9,9 @@
     pairs_ms: 0.5,
 };
 
-/// A prompt twice as long takes more than twice as long, and what is held takes nothing again: without the
-/// second, a caller's next question would go to any idle engine and be read from its beginning.
+/// A prompt of twice the length takes more than twice the time, and tokens that are already held
+/// take none. Without the latter, a caller's next question would go to any idle engine and be
+/// prefilled from its start.
 #[test]
 fn prefill_time_grows_with_tokens_not_held() {
     assert_eq!(RATES.expected(4_000, 0), Duration::from_millis(108));
@@ -19,7 +20,7 @@
     assert_eq!(RATES.expected(8_000, 8_000), Duration::ZERO);
 }
 
-/// A caller names more shared tokens than its prompt has; the rest must not come out as less than nothing.
+/// A caller names more shared tokens than its prompt has. The remainder must not become negative.
 #[test]
 fn more_tokens_held_than_the_prompt_has_count_as_all() {
     assert_eq!(RATES.expected(4_000, 9_000), Duration::ZERO);
--- a/crates/zinniastall-gateway/tests/decide/service_time.rs
+++ b/crates/zinniastall-gateway/tests/decide/service_time.rs
@@ -1,4 +1,4 @@
-//! What is learned of plain services' work, and what it does to a region at its peak.
+//! What is learned about the service time of plain services.
 
 use std::time::Duration;
 
--- a/crates/zinniastall-gateway/tests/decide/slow_start.rs
+++ b/crates/zinniastall-gateway/tests/decide/slow_start.rs
@@ -1,15 +1,16 @@
-//! Cold targets get few requests, also from instances whose views differ.
+//! Slow start: cold targets get few requests, also from instances whose views differ.
 
 use std::time::{Duration, Instant};
 
 use zinniastall_gateway::decide::warm::{Pace, sender};
 
-/// Rate that a cold target bears, in thousandths of a request a second.
+/// Request rate that a cold target sustains, in thousandths of a request per second.
 const RATE_MILLI: u64 = 2_200;
-/// Requests within one second that a cold target bears: one and a half times the rate, and three.
+/// Most requests that a cold target sustains within one second: one and a half times the rate, and
+/// three.
 const MAX_PER_SECOND: usize = 6;
 
-/// Returns the most requests of any second.
+/// Returns the largest number of requests within any second.
 fn max_per_second(mut times: Vec<u64>) -> usize {
     times.sort_unstable();
     let within = |start: &u64| {
@@ -26,9 +27,9 @@
     (from..to).step_by(5).filter(open).collect()
 }
 
-/// A zone's targets come back cold while an instance restarts: the one that was chosen before goes on,
-/// and the one that is chosen now begins. Both together must stay under what the target bears, or it
-/// crashes again.
+/// A zone's targets come back cold while an instance restarts: the sender that was chosen before
+/// continues, and the one that is chosen now starts. Both together must stay under what the target
+/// sustains, or it crashes again.
 #[test]
 fn two_senders_together_stay_under_the_bound() {
     let base = Instant::now();
@@ -42,8 +43,8 @@
     }
 }
 
-/// The same where targets bear more: of two senders at nine tenths of the rate each, the sum passes one and a
-/// half times the rate and three from a rate of ten on.
+/// The same where targets sustain more. Two senders at nine tenths of the rate each would together
+/// exceed one and a half times the rate and three, from a rate of ten on.
 #[test]
 fn two_senders_stay_under_the_bound_at_any_rate() {
     let base = Instant::now();
@@ -64,22 +65,23 @@
     }
 }
 
-/// A sender looks whether a target may get a request before it sends one. If looking didn't begin the pace, no
-/// cold target would ever get any: a region whose targets all come back cold would serve nobody.
+/// A sender checks whether a target may get a request before it sends one. If the check didn't
+/// start the pace, no cold target would ever get a request, and a region whose targets all come
+/// back cold would serve nobody.
 #[test]
 fn checking_a_target_starts_its_pace() {
     let base = Instant::now();
     let mut pace = Pace::default();
     assert!(
         !pace.is_open(RATE_MILLI, base),
-        "another one may have sent just now"
+        "another sender may have sent just now"
     );
     assert!(pace.is_open(RATE_MILLI, base + Duration::from_secs(1)));
     assert!(pace.take(RATE_MILLI, base + Duration::from_secs(1)));
     assert!(!pace.is_open(RATE_MILLI, base + Duration::from_secs(1)));
 }
 
-/// A sender that was idle for long doesn't send what it saved at once.
+/// A sender that was idle for long doesn't send the requests that it didn't use as a burst.
 #[test]
 fn an_idle_sender_saves_no_burst() {
     let base = Instant::now();
@@ -89,7 +91,7 @@
     assert!(max_per_second(times) <= 3);
 }
 
-/// All instances pick the same sender, and another one only where it leaves.
+/// All instances pick the same sender for a target, and another one only if that sender leaves.
 #[test]
 fn all_instances_pick_the_same_sender() {
     let names = ["edge-1", "edge-2", "edge-3", "edge-4"];
@@ -104,7 +106,7 @@
         assert_eq!(
             sender(&target, rest),
             Some(chosen),
-            "who stays keeps its targets"
+            "a sender that stays keeps its targets"
         );
     }
 }
--- a/crates/zinniastall-gateway/tests/decide/steady.rs
+++ b/crates/zinniastall-gateway/tests/decide/steady.rs
@@ -1,36 +1,36 @@
-//! What becomes of streams at engines that read long prompts, played step by step.
+//! Pauses of streams at engines that prefill long prompts, simulated step by step.
 
 use std::{collections::VecDeque, time::Duration};
 
 use rand::{Rng, SeedableRng, rngs::StdRng};
 use zinniastall_gateway::decide::place::{Candidate, Choice, Patience, choose};
 
-/// Time of a step that reads nothing, in microseconds.
+/// Duration of a step without prefill.
 const STEP_US: u64 = 4_000;
-/// Most reading within one step, in microseconds: 4,096 tokens.
+/// Longest prefill within one step: 4,096 tokens.
 const MAX_PREFILL_US: u64 = 100_000;
-/// Steps that one event takes.
+/// Steps that produce one event.
 const STEPS_PER_EVENT: u32 = 7;
-/// Longest pause that callers bear, in microseconds.
+/// Longest pause that callers tolerate.
 const MAX_GAP_US: u64 = 600_000;
 /// Requests that an engine runs at once.
 const SLOTS: f64 = 64.0;
 /// Most instances that share the engines.
 const MAX_INSTANCES: usize = 12;
 
-/// Engines and the load that is played at them.
+/// Engines and the load on them.
 #[derive(Debug, Clone, Copy)]
 struct Scenario {
     engines: usize,
     instances: usize,
-    /// Time between two words of the instances to each other, in microseconds.
+    /// Time between two reports of the instances to each other, in microseconds.
     report_interval: u64,
     /// Time between two long prompts and between two short ones, in microseconds.
     long: u64,
     short: u64,
 }
 
-/// A region with long prompts for 1.3 times what its engines can read.
+/// A region with long prompts for 1.3 times what its engines can prefill.
 const OVERLOADED: Scenario = Scenario {
     engines: 4,
     instances: 4,
@@ -38,8 +38,8 @@
     long: 25_000,
     short: 83_000,
 };
-/// A large region with long prompts for seven tenths of what its engines can read; its instances are so many
-/// that each hears of the others only now and then.
+/// A large region with long prompts for seven tenths of what its engines can prefill. It has so
+/// many instances that each hears from the others only now and then.
 const LARGE: Scenario = Scenario {
     engines: 16,
     instances: 12,
@@ -54,10 +54,10 @@
     is_long: bool,
     /// Instance that sent it.
     by: usize,
-    /// Reading that the instance expects: it takes parts for held that the engine has dropped.
+    /// Prefill time that the instance expects: it takes parts for held that the engine has evicted.
     expected: u64,
-    /// What of the reading is left.
-    left: u64,
+    /// Prefill time that is left.
+    remaining: u64,
     tokens: u32,
     generated: u32,
     arrived: u64,
@@ -67,14 +67,14 @@
 }
 
 impl Request {
-    /// A long prompt with a short answer, or a short prompt with a long answer.
+    /// Returns a long prompt with a short response, or a short prompt with a long response.
     fn new(is_long: bool, by: usize, arrived: u64) -> Self {
         let reading = if is_long { 130_000 } else { 15_000 };
         Self {
             is_long,
             by,
             expected: reading * 3 / 4,
-            left: reading,
+            remaining: reading,
             tokens: if is_long { 49 } else { 294 },
             generated: 0,
             arrived,
@@ -100,7 +100,7 @@
     }
 }
 
-/// An engine that reads prompts in slices between the steps of the streams that run.
+/// An engine that prefills prompts in chunks, between the decode steps of running streams.
 #[derive(Debug, Default)]
 struct Engine {
     waiting: VecDeque<Request>,
@@ -110,10 +110,14 @@
 }
 
 impl Engine {
-    /// Runs all steps that end by a time.
+    /// Runs all steps that end by `until`.
     fn run(&mut self, until: u64) {
         while !(self.waiting.is_empty() && self.running.is_empty()) {
-            let prefill = self.waiting.iter().map(|request| request.left).sum::<u64>();
+            let prefill = self
+                .waiting
+                .iter()
+                .map(|request| request.remaining)
+                .sum::<u64>();
             let end = self.now + STEP_US + prefill.min(MAX_PREFILL_US);
             if end > until {
                 return;
@@ -132,10 +136,10 @@
         self.done.extend(self.running.extract_if(.., is_done));
         let mut prefill = MAX_PREFILL_US;
         while let Some(next) = self.waiting.front_mut() {
-            let read = next.left.min(prefill);
-            next.left -= read;
+            let read = next.remaining.min(prefill);
+            next.remaining -= read;
             prefill -= read;
-            if next.left > 0 {
+            if next.remaining > 0 {
                 return;
             }
             self.running.extend(self.waiting.pop_front());
@@ -147,15 +151,17 @@
         f64::from(u32::try_from(flights).unwrap()) / SLOTS
     }
 
-    /// Reading of an instance's requests whose answers have not begun, as it counts them.
-    fn reading(&self, by: usize) -> u64 {
+    /// Returns the prefill time of an instance's requests whose responses have not begun, as the
+    /// instance counts it.
+    fn pending_prefill(&self, by: usize) -> u64 {
         let all = self.waiting.iter().chain(&self.running);
         let its = all.filter(|request| request.by == by && request.last.is_none());
         its.map(|request| request.expected).sum()
     }
 }
 
-/// What the instances know of one engine: each its own requests, and the others' by their last word.
+/// What the instances know of one engine: each its own requests, and the others' from their last
+/// reports.
 #[derive(Debug, Default)]
 struct Reports {
     reported: [u64; MAX_INSTANCES],
@@ -164,7 +170,7 @@
 impl Reports {
     fn candidate(&self, engine: &Engine, request: &Request) -> Candidate {
         let others = self.reported.iter().sum::<u64>() - self.reported[request.by];
-        let before = Duration::from_micros(engine.reading(request.by) + others);
+        let before = Duration::from_micros(engine.pending_prefill(request.by) + others);
         Candidate {
             wait: before,
             before,
@@ -176,11 +182,11 @@
     }
 
     fn update(&mut self, engine: &Engine) {
-        self.reported = std::array::from_fn(|by| engine.reading(by));
+        self.reported = std::array::from_fn(|by| engine.pending_prefill(by));
     }
 }
 
-/// What became of the requests of a kind.
+/// Outcomes of the requests of one kind.
 #[derive(Debug, Default, Clone, Copy)]
 struct Share {
     asked: usize,
@@ -199,7 +205,8 @@
     }
 }
 
-/// Plays twenty seconds; refused requests don't come back. Returns what became of the long and of the short.
+/// Simulates twenty seconds without retries of refused requests. Returns the outcomes of the long
+/// prompts and of the short ones.
 fn simulate(scenario: Scenario, decide: impl Fn(&[Candidate], bool) -> Choice) -> [Share; 2] {
     let mut engines: Vec<(Engine, Reports)> =
         (0..scenario.engines).map(|_| Default::default()).collect();
@@ -254,10 +261,10 @@
     Duration::from_millis(if is_long { 1_000 } else { 800 })
 }
 
-/// More long prompts come than the engines can read, so they read without a break, a slice in each step, and
-/// an event takes seven steps. Callers see answers that began in time stand still for most of a second, which
-/// makes them as useless as late ones. With the queue bounded by what the streams bear, few of them do, and
-/// hardly fewer long prompts are answered in time.
+/// More long prompts arrive than the engines can prefill, so each step prefills a full chunk, and
+/// an event takes seven steps. Responses that began in time then pause for most of a second, which
+/// makes them as useless as late ones. With the queue bounded by the pause that streams tolerate,
+/// few of them pause for so long, and more long prompts are answered in time.
 #[test]
 fn streams_go_on_while_long_prompts_are_read() {
     let gap = Duration::from_micros(MAX_GAP_US);
@@ -266,17 +273,17 @@
     let bound = |targets: &[Candidate], is_long| choose(targets, &[], constraints(is_long, gap));
     let [long, short] = simulate(OVERLOADED, unbound);
     let [long_bound, short_bound] = simulate(OVERLOADED, bound);
-    println!("unbound: long {long:?}, short {short:?}");
-    println!("bound: long {long_bound:?}, short {short_bound:?}");
+    println!("unbounded: long {long:?}, short {short:?}");
+    println!("bounded: long {long_bound:?}, short {short_bound:?}");
     assert!(short.late * 2 > short.asked, "{short:?}");
     assert!(short_bound.late * 10 < short_bound.asked, "{short_bound:?}");
     assert!(short_bound.in_time * 10 > short_bound.asked * 7);
     assert!(long_bound.in_time > 3 * long.in_time);
 }
 
-/// Many instances share many engines and hear of each other late. If each turns to the engine that it takes for
-/// the best, all turn to the same one: a part of the engines reads long queues, in which streams stand still and
-/// answers are late, while others are idle.
+/// Many instances share many engines and hear from each other late. If each picks the engine that
+/// it takes for the best, all pick the same one: some engines build up long prefill queues, in
+/// which streams pause and responses are late, while others are idle.
 #[test]
 fn many_instances_do_not_all_pick_one_engine() {
     let gap = Duration::from_micros(MAX_GAP_US);
@@ -293,15 +300,15 @@
     let few = |targets: &[Candidate], is_long| choose(targets, &[], constraints(is_long, gap));
     let [long, short] = simulate(LARGE, all);
     let [long_few, short_few] = simulate(LARGE, few);
-    println!("all weighed: long {long:?}, short {short:?}");
-    println!("few weighed: long {long_few:?}, short {short_few:?}");
+    println!("all compared: long {long:?}, short {short:?}");
+    println!("few compared: long {long_few:?}, short {short_few:?}");
     assert!(long_few.in_time * 5 > long.in_time * 6);
     assert!(short_few.in_time > short.in_time * 4);
 }
 
-/// The longest prompts take longer to read than any stream's pause may be. They still get a target where
-/// nothing waits, however full its batch and whatever their rank; otherwise they would be refused for as long
-/// as a stream runs anywhere.
+/// The longest prompts take longer to prefill than any stream may pause. They still get a target
+/// whose queue is empty, however full its batch and whatever their rank; otherwise they would be
+/// refused for as long as any stream runs.
 #[test]
 fn a_prompt_that_takes_longer_than_any_pause_is_admitted() {
     let huge = |wait| Candidate {
@@ -325,8 +332,9 @@
     }
 }
 
-/// Guards against streams that stand still behind long prompts of an urgent account, and against short requests that
-/// an account's rank keeps from targets on which they would do no harm.
+/// Guards against streams that pause behind long prompts of an urgent account, and against short
+/// requests that an account's rank keeps from targets on which they would do no harm.
+/// ///
 #[test]
 fn an_accounts_rank_leaves_the_bound_on_pauses_alone() {
     let reading = Candidate {
--- a/crates/zinniastall-gateway/tests/events.rs
+++ b/crates/zinniastall-gateway/tests/events.rs
@@ -1,10 +1,10 @@
-//! Streams cut into events.
+//! Streams split into events.
 
 use zinniastall_gateway::path::events::Events;
 
-/// An engine crashes in the middle of an event. The rest of the stream comes from another engine and
-/// begins with a whole event. If the half one were kept, the caller would read an event made of
-/// halves of two runs, in the middle of an answer that looks whole.
+/// An engine crashes in the middle of an event. Another engine resumes the stream at the start of
+/// an event. If the partial event were kept, the caller would read an event made of parts of two
+/// runs, in a response that looks complete.
 #[test]
 fn a_partial_event_is_dropped_when_another_target_resumes() {
     let mut events = Events::default();
@@ -17,8 +17,8 @@
     assert_eq!(events.last(), Some("2"));
 }
 
-/// Events arrive in any pieces; what is passed on is the same bytes, and never a half event before
-/// the end.
+/// Events arrive in pieces of any size. The bytes that are passed on are the same, and before the
+/// end they never contain a partial event.
 #[test]
 fn events_are_whole_whatever_pieces_they_come_in() {
     let text: Vec<u8> = (1..40)
@@ -37,7 +37,7 @@
     }
 }
 
-/// An end of an event lies in two pieces, cut at any byte.
+/// The end of an event is split across two pieces, at any byte.
 #[test]
 fn an_end_is_found_across_pieces() {
     for end in ["\n\n", "\r\n\r\n"] {
@@ -52,7 +52,8 @@
     }
 }
 
-/// An event is longer than what is kept. It is passed on as it comes, and is torn until its end.
+/// An event is longer than the buffer. It is passed on as it arrives and counts as torn until its
+/// end.
 #[test]
 fn a_long_event_is_torn_until_its_end() {
     let mut events = Events::default();
@@ -64,7 +65,7 @@
     assert!(!events.is_torn());
 }
 
-/// Event sources may end lines with a carriage return.
+/// Event streams may end lines with a carriage return and a line feed.
 #[test]
 fn lines_may_end_with_a_carriage_return() {
     let mut events = Events::default();
@@ -73,7 +74,7 @@
     assert_eq!(events.last(), Some("7"));
 }
 
-/// A stream that a caller resumes goes on after the event that the caller names.
+/// A stream that a caller resumes continues after the event that the caller names.
 #[test]
 fn a_resumed_stream_starts_after_the_named_event() {
     let events = Events::after(Some("12".to_owned()));
--- a/crates/zinniastall-gateway/tests/figures.rs
+++ b/crates/zinniastall-gateway/tests/figures.rs
@@ -15,16 +15,14 @@
     values.sum()
 }
 
-/// The histograms and the counters speak of the same requests: whoever divides one by the other gets
-/// an average that means something.
-/// Guards against figures that grow with the number of accounts.
+/// Guards against a number of time series that grows with the number of accounts.
 #[test]
 fn quotas_are_counted_by_account_up_to_a_bound() {
-    let figures = Figures::new();
+    let metrics = Figures::new();
     for number in 0..200 {
-        figures.charge(&format!("account-{number}"), 10, number % 2 == 0);
+        metrics.charge(&format!("account-{number}"), 10, number % 2 == 0);
     }
-    let text = figures.text();
+    let text = metrics.text();
     let lines = text
         .lines()
         .filter(|line| line.contains("quota_units_total{"));
@@ -35,9 +33,11 @@
     );
 }
 
+/// Histograms and counters cover the same requests, so that dividing one by the other yields a
+/// meaningful average.
 #[test]
 fn sums_of_histograms_equal_the_requests_counted() {
-    let figures = Figures::new();
+    let metrics = Figures::new();
     for number in 0..250_u64 {
         let outcome = if number % 5 == 0 {
             "not-sent"
@@ -51,9 +51,9 @@
             took: Duration::from_millis(number * 2),
             ..End::untimed(outcome)
         };
-        figures.request(&format!("route-{}", number % 7), &end);
+        metrics.request(&format!("route-{}", number % 7), &end);
     }
-    let text = figures.text();
+    let text = metrics.text();
     assert_eq!(
         sum(&text, "zinniastall_gateway_requests_total").to_string(),
         "250"
@@ -70,18 +70,19 @@
         sum(&text, "zinniastall_gateway_pause_seconds_count").to_string(),
         "200"
     );
-    assert_eq!(figures.counted(), 250);
+    assert_eq!(metrics.counted(), 250);
     assert!(text.ends_with("# EOF\n"));
 }
 
-/// Operators add hundreds of routes. Figures of each would take megabytes in every instance.
+/// Operators add hundreds of routes. Time series for each of them would take megabytes in every
+/// instance.
 #[test]
-fn figures_are_kept_for_a_bounded_number_of_routes() {
-    let figures = Figures::new();
+fn series_are_kept_for_a_bounded_number_of_routes() {
+    let metrics = Figures::new();
     for number in 0..1_000 {
-        figures.request(&format!("route-{number}"), &End::untimed("answered"));
+        metrics.request(&format!("route-{number}"), &End::untimed("answered"));
     }
-    let text = figures.text();
+    let text = metrics.text();
     let series = text
         .lines()
         .filter(|line| line.starts_with("zinniastall_gateway_requests_total"));
--- a/crates/zinniastall-gateway/tests/groups.rs
+++ b/crates/zinniastall-gateway/tests/groups.rs
@@ -1,4 +1,4 @@
-//! Groups hold what a look at everything finds.
+//! Indexes return the same as a scan of all entries.
 
 use std::time::Instant;
 
@@ -64,7 +64,8 @@
 }
 
 proptest! {
-    /// A target that is missing in its group gets no requests; one of another service gets requests that it refuses.
+    /// A target that is missing from its group gets no requests; one in the group of another
+    /// service gets requests that it refuses.
     #[test]
     fn targets_are_found_by_service_and_region(
         all in prop::collection::vec((0..40u8, 0..3usize, 0..3usize), 0..60),
@@ -90,7 +91,7 @@
         }
     }
 
-    /// Requests are passed on to instances that are ready, and to no other region than the one that was chosen.
+    /// Requests are forwarded to ready instances only, and only in the region that was chosen.
     #[test]
     fn instances_are_found_by_region(
         all in prop::collection::vec((0..40u8, 0..3usize, any::<bool>()), 0..60),
@@ -103,7 +104,7 @@
         }
     }
 
-    /// Several words on one region and service are parts of its load.
+    /// Several reports on one region and service are parts of its load.
     #[test]
     fn loads_are_sums(
         all in prop::collection::vec((0..3usize, 0..3usize, 0..1_000u32), 0..30),
--- a/crates/zinniastall-gateway/tests/knowledge.rs
+++ b/crates/zinniastall-gateway/tests/knowledge.rs
@@ -1,4 +1,4 @@
-//! What replicas say, merged: late, doubled, contradicting words.
+//! How the reports of several replicas are merged: late, duplicate and contradictory ones.
 
 use std::time::{Duration, Instant};
 
@@ -72,8 +72,8 @@
     }
 }
 
-/// A target drains; a heartbeat from before arrives after that, over another replica. Were it believed,
-/// requests would go to a target that is about to end.
+/// A target drains, and an earlier heartbeat arrives later through another replica. If it were
+/// believed, requests would go to a target that is about to end.
 #[test]
 fn a_late_heartbeat_brings_no_draining_target_back() {
     let (mut known, now) = (state(), Instant::now());
@@ -83,7 +83,8 @@
     assert!(names(&mut known, now).is_empty());
 }
 
-/// A target signs off; a heartbeat of the same run with a higher number was still on its way.
+/// A target signs off while a heartbeat of the same run with a higher sequence number is on its
+/// way.
 #[test]
 fn a_target_that_signed_off_stays_gone_in_its_run() {
     let (mut known, now) = (state(), Instant::now());
@@ -93,8 +94,8 @@
     assert!(names(&mut known, now).is_empty());
 }
 
-/// A target crashes behind a cut and starts again under its old name, its numbers beginning anew. What
-/// its earlier run said arrives when the cut heals.
+/// A target crashes behind a partition and restarts under its old name, with sequence numbers that
+/// start over. Reports of its earlier run arrive when the partition heals.
 #[test]
 fn a_later_run_counts_its_reports_anew() {
     let (mut known, now) = (state(), Instant::now());
@@ -105,8 +106,8 @@
     assert_eq!(names(&mut known, now), ["t"]);
 }
 
-/// A new target runs at the address of one that crashed without a word. Requests for the old one would
-/// be sent there.
+/// A new target runs at the address of one that crashed without signing off. Requests for the old
+/// one would be sent there.
 #[test]
 fn a_new_target_at_an_address_ends_the_old_one() {
     let (mut known, now) = (state(), Instant::now());
@@ -117,12 +118,12 @@
     assert_eq!(
         names(&mut known, now),
         ["new"],
-        "a late heartbeat of the old one"
+        "a late heartbeat of the old target"
     );
 }
 
-/// A zone is taken back after an evacuation. Its targets may have become cold meanwhile; they are
-/// treated so until they say otherwise, or as long as a start takes.
+/// A zone is taken back after an evacuation. Its targets may have become cold meanwhile, so they
+/// count as cold until they report otherwise, for at most the time of a cold start.
 #[test]
 fn targets_of_a_zone_that_was_taken_back_count_as_cold() {
     let (mut known, now) = (state(), Instant::now());
@@ -138,7 +139,8 @@
     assert!(!cold(&mut known, now + Duration::from_secs(4)));
 }
 
-/// A replica restarts. For as long as it takes, its word on instances stands; with it gone, the others'.
+/// A replica restarts. Its list of instances stays valid for the time that takes; after that, only
+/// those of the others count.
 #[test]
 fn a_replicas_list_outlives_its_link_for_a_moment() {
     let (mut known, now) = (state(), Instant::now());
@@ -150,7 +152,7 @@
     assert_eq!(alive(&mut known, now), ["a", "b"]);
     let later = now + Duration::from_secs(4);
     assert_eq!(alive(&mut known, later), ["b"]);
-    // With no replica left, this instance is the one that is cut off.
+    // With no replica left, it is this instance that is partitioned.
     known.lose("r2", now);
     assert_eq!(alive(&mut known, later), ["a", "b"]);
 }
@@ -171,7 +173,8 @@
     );
 }
 
-/// Silence alone takes no target out for a long time: it may be cut off from the replicas alone.
+/// Silence alone takes no target out for a long time: the target may be partitioned from the
+/// replicas only.
 #[test]
 fn silence_alone_takes_no_target_out() {
     let (mut known, now) = (state(), Instant::now());
@@ -180,8 +183,8 @@
     assert!(names(&mut known, now + Duration::from_secs(40)).is_empty());
 }
 
-/// Of hundreds of instances one ends and one comes. A replica tells just that, and all others stay as they
-/// were.
+/// Of hundreds of instances, one ends and one starts. A replica sends only that change, and all
+/// other instances stay as they were.
 #[test]
 fn a_change_leaves_the_other_instances_as_they_were() {
     let (mut known, now) = (state(), Instant::now());
@@ -195,13 +198,13 @@
     };
     known.hear_instances("r1", change);
     assert_eq!(alive(&mut known, now), ["b", "c"]);
-    // A whole list leaves nothing of before.
+    // A whole list replaces everything before.
     known.hear_instances("r1", whole_list(vec![presence("d", 1, true)]));
     assert_eq!(alive(&mut known, now), ["d"]);
 }
 
-/// A nearer replica is asked from now on. Until its list has come, the farther one's stands: without it, callers
-/// would be told of no instance for a moment.
+/// The instance turns to a nearer replica. Until that replica's list has arrived, the farther one's
+/// stays valid: without it, callers would be directed to no instance for a moment.
 #[test]
 fn another_source_takes_over_without_a_gap() {
     let (mut known, now) = (state(), Instant::now());
@@ -215,8 +218,10 @@
     assert_eq!(alive(&mut known, now + Duration::from_secs(4)), ["b"]);
 }
 
-/// A farther replica's list is on its way when the instance turns to a nearer one. That replica tells no changes from
-/// then on; were its last list kept, an instance that was still starting by it would never be taken for ready.
+/// A farther replica's list is in transit when the instance turns to a nearer one. The farther
+/// replica sends no changes from then on. If its last list were kept, an instance that was still
+/// starting in it would never count as ready.
+/// ///
 #[test]
 fn a_list_that_comes_too_late_is_not_kept() {
     let (mut known, now) = (state(), Instant::now());
--- a/crates/zinniastall-gateway/tests/locate.rs
+++ b/crates/zinniastall-gateway/tests/locate.rs
@@ -1,4 +1,4 @@
-//! Which instances callers are sent to.
+//! Which instances callers are directed to.
 
 use std::sync::Arc;
 
@@ -12,7 +12,8 @@
 
 const HOST: &str = "maps.example";
 
-/// Makes a view of instances, named by region and number, each ready or not, and of routes with homes.
+/// Returns a view of instances, given by region, name and readiness, and of one route for each list
+/// of home regions.
 fn view(instances: &[(&str, &str, bool)], homes: &[&[&str]]) -> View {
     let routes = homes.iter().enumerate().map(|(at, homes)| {
         let prefix = format!("/{at}/");
@@ -60,8 +61,9 @@
     assert_eq!(located(&view), ["p1"]);
 }
 
-/// All instances of a region restart one after the other, and for a moment none of them is ready. Its
-/// callers are sent elsewhere; a region that their requests may not enter would see their bodies.
+/// All instances of a region restart one after the other, and for a moment none of them is ready.
+/// Callers are directed elsewhere, but only to home regions: any other region would see the bodies
+/// of requests that may not enter it.
 #[test]
 fn a_region_without_ready_instances_is_replaced_by_homes_only() {
     let instances = [
@@ -73,8 +75,8 @@
     assert_eq!(located(&both), ["a1"]);
 }
 
-/// Two routes of a host have no home in common, and the region's last instance drains. It still
-/// serves; each other region is closed to one of the routes.
+/// Two routes of a host have no home region in common, and the region's last instance drains. It
+/// still serves, whereas each other region is closed to one of the routes.
 #[test]
 fn a_draining_instance_comes_before_a_region_that_is_closed_to_some() {
     let instances = [
@@ -92,8 +94,8 @@
     assert_eq!(located(&view(&instances, &[&[]])), ["a1", "t1"]);
 }
 
-/// An instance that has just started knows instances before it knows routes, and with them homes. An
-/// answer then could send callers to a region that their requests may not enter.
+/// An instance that has just started learns of instances before it learns of routes and their home
+/// regions. A list given then could direct callers to a region that their requests may not enter.
 #[test]
 fn no_instance_is_listed_before_routes_are_known() {
     let mut early = view(&[("athens", "a1", true)], &[&["patras"]]);
--- a/crates/zinniastall-gateway/tests/neighbours.rs
+++ b/crates/zinniastall-gateway/tests/neighbours.rs
@@ -1,4 +1,4 @@
-//! What neighbours report of their requests at targets, in small regions and in large ones.
+//! Load reports that the instances of a region exchange, in small regions and in large ones.
 
 use std::{
     sync::Arc,
@@ -87,8 +87,8 @@
         }
     }
 
-    /// Plays one round in which each instance has one request at target "t"; those that `is_dead` neither
-    /// send nor hear.
+    /// Runs one round in which each instance has `flights` requests in flight at target "t".
+    /// Instances that `is_dead` neither send nor receive.
     fn round(&mut self, flights: u32, is_dead: impl Fn(&str) -> bool) {
         self.now += PACE;
         let mut all: Vec<(String, Outgoing)> = Vec::new();
@@ -128,7 +128,8 @@
     }
 }
 
-/// An instance dies with requests in progress. Its last report must not weigh on its targets for long.
+/// An instance dies with requests in flight. Its last report must not weigh on its targets for
+/// long.
 #[test]
 fn the_last_report_of_a_neighbour_expires() {
     let now = Instant::now();
@@ -151,8 +152,8 @@
     assert_eq!(neighbours.at("other", now), Load::default());
 }
 
-/// A region has more targets than one datagram holds. The parts of a report stand beside each other, and the
-/// next report replaces all of them: a target that it doesn't name has no requests any more.
+/// A region has more targets than one datagram holds. The parts of a report add up, and the next
+/// report replaces all of them: a target that it doesn't name has no requests in flight any more.
 #[test]
 fn parts_of_a_report_add_up() {
     let now = Instant::now();
@@ -165,7 +166,7 @@
     assert_eq!((at(&neighbours, "t1"), at(&neighbours, "t2")), (0, 5));
 }
 
-/// Four hundred targets are the size of a region that this is built for.
+/// Four hundred targets are the size of region that the datagrams are designed for.
 #[test]
 fn loads_at_four_hundred_targets_fit_into_datagrams() {
     let names: Vec<String> = (0..400).map(|number| format!("target-{number}")).collect();
@@ -183,15 +184,15 @@
 
 macro_rules! known_within {
     ($($name:ident: $instances:expr, $rounds:expr;)*) => {$(
-        /// Every instance of a region has a request at the same target. Each knows of all others' within some
-        /// rounds; while it doesn't, it takes the target for free and sends more.
+        /// Every instance of a region has a request at the same target. Each learns of all others'
+        /// within a few rounds; until then it takes the target for idle and sends more.
         #[test]
         fn $name() {
             let mut region = Region::new($instances);
             for _ in 0..$rounds {
                 region.round(1, |_| false);
             }
-            let others = u32::try_from($instances - 1).expect("few");
+            let others = u32::try_from($instances - 1).expect("fits into u32");
             for name in region.members.keys() {
                 assert_eq!(region.known(name), others, "{name}");
             }
@@ -211,8 +212,8 @@
     a_hundred_instances_know_of_each_other_within_three_rounds: 100, 3;
 }
 
-/// A region of a hundred instances sends ten times what one of ten does, not a hundred times; of that, hardly
-/// anything crosses between its zones, where bytes are dear.
+/// Ten times the instances send ten times the datagrams, not a hundred times. Hardly any of them
+/// cross zones, where traffic is expensive.
 #[test]
 fn datagrams_grow_no_faster_than_the_region() {
     let simulate = |instances: usize| {
@@ -228,8 +229,8 @@
     assert!(large.0 <= 10 * 200 * 4, "{large:?}");
 }
 
-/// The collector of a zone crashes. Until all lists of instances say so, its zone would place by what was true
-/// before; the second collector takes over after some rounds.
+/// The collector of a zone crashes. Until all membership lists say so, its zone would route by
+/// outdated loads; the second collector takes over after a few rounds.
 #[test]
 fn the_second_collector_takes_over() {
     let mut region = Region::new(40);
@@ -249,8 +250,8 @@
     }
 }
 
-/// Lists of instances differ for a moment: some don't contain the first collector yet. Two collect, and each
-/// sum is right.
+/// Membership lists differ for a moment: some don't contain the first collector yet. Two instances
+/// collect, and the sum of each is right.
 #[test]
 fn two_collectors_count_nothing_twice() {
     let mut region = Region::new(40);
--- a/crates/zinniastall-gateway/tests/path/accounts.rs
+++ b/crates/zinniastall-gateway/tests/path/accounts.rs
@@ -1,4 +1,5 @@
-//! Requests of client accounts: who is let in, what targets see, and what is said to the others.
+//! Requests of client accounts: which are admitted, what targets see, and what other instances are
+//! told.
 
 use std::{sync::Arc, time::Duration};
 
@@ -15,7 +16,7 @@
     harness::{Gateway, PLACE, Response, Target, get, instance, route, view},
 };
 
-/// A route for all who hold a key, and one for everybody.
+/// Returns a route for callers with a key, and a public one.
 fn routes() -> Vec<Route> {
     let mut open = route("/open/", Kind::Idempotent, 1);
     open.public = true;
@@ -64,7 +65,8 @@
     }
 }
 
-/// Checks that a request with some fields gets a status, runs nowhere and leaves its connection open.
+/// Checks that a request with these fields gets a status, runs nowhere and leaves its connection
+/// open.
 async fn refused(fields: &'static str, status: u16) {
     let (gateway, target) = gateway().await;
     let mut caller = gateway.connect().await;
@@ -73,7 +75,7 @@
     assert_eq!(target.requests().len(), 0);
     let fields = "Authorization: Bearer k-studio\r\n";
     let response = caller.call(&get("/plans/2", "b", fields)).await;
-    assert_eq!(response.status, 200, "the connection goes on");
+    assert_eq!(response.status, 200, "the connection stays usable");
 }
 
 async fn serves_a_public_route_without_a_key() {
@@ -100,7 +102,7 @@
     assert_eq!(request.header("account"), "", "only the gateway sets it");
 }
 
-/// Serves with a lease that ends before now, or was never given.
+/// Serves with a lease that has expired, or was never granted.
 async fn without_lease(confirmed: bool) -> (Response, Response, usize) {
     let target = Target::responding_with("fine").await;
     let view = with_accounts(
@@ -126,11 +128,11 @@
             assert_eq!(response.status, 503, "{}", response.body);
             assert!(!response.header("retry-after").is_empty());
         }
-        assert_eq!(ran, 1, "only the public one");
+        assert_eq!(ran, 1, "only the public request ran");
     }
 }
 
-/// A lease that ends while a request waits for a target.
+/// A lease expires while a request waits for a target.
 async fn checks_the_lease_before_each_attempt() {
     let target = Target::responding_with("fine").await;
     let mut view = with_accounts(
@@ -142,12 +144,12 @@
     let board = Board::new(view.clone()).leased(lease.clone());
     lease.extend(clock::now());
     let gateway = Gateway::on(board.clone()).await;
-    // The only target is known to be full for the moment, so that the request waits.
+    // The only target counts as full for the moment, so that the request waits.
     let now = std::time::Instant::now();
     {
-        let mut books = gateway.proxy.books.borrow_mut();
-        let account = books.target("target-0", crate::harness::SERVICE, now);
-        account.shut_until = Some(now + Duration::from_millis(150));
+        let mut tracker = gateway.proxy.books.borrow_mut();
+        let entry = tracker.target("target-0", crate::harness::SERVICE, now);
+        entry.shut_until = Some(now + Duration::from_millis(150));
     }
     view.targets = targets;
     board.publish(view);
@@ -156,7 +158,7 @@
     assert_eq!(target.requests().len(), 0);
 }
 
-/// Lets an instance know that it is alone, and that nobody used anything.
+/// Tells an instance that it is alone and that nobody used anything.
 fn confirm_no_other_use(gateway: &Gateway) {
     let mut quotas = gateway.proxy.quotas.borrow_mut();
     quotas.share_among(1);
@@ -188,7 +190,7 @@
     assert_eq!(target.requests().len(), 40 - refused);
 }
 
-/// Numbers of tokens that add up to more than any counter holds, and none at all.
+/// Token counts whose sum overflows any counter, and a count of zero.
 async fn survives_absurd_token_counts() {
     let quota = Quota {
         unit: Unit::Tokens { unstated: 200 },
@@ -211,7 +213,7 @@
     }
 }
 
-/// What was let in and has not run doesn't count.
+/// A request that was admitted and did not run doesn't count.
 async fn refunds_a_request_that_did_not_run() {
     let quota = Quota {
         unit: Unit::Requests,
@@ -251,7 +253,7 @@
     }
 }
 
-/// Passes a request on to an instance whose targets are in another region.
+/// Forwards a request to an instance of another region, which has the targets.
 async fn forwards_the_account_without_the_key() {
     let target = Target::responding_with("fine").await;
     let mut studio = Account::new("studio").key("k-studio");
@@ -277,7 +279,7 @@
     assert_eq!(request.header("authorization"), "");
 }
 
-/// A request that another instance passes on with an account that isn't known here, or with none.
+/// Another instance forwards a request with an account that isn't known here, or with none.
 async fn refuses_requests_of_another_configuration() {
     let (gateway, target) = gateway().await;
     for fields in [
@@ -295,42 +297,42 @@
 }
 
 cases! {
-    /// Guards against keys that reach targets, and accounts that a caller names itself.
+    /// Guards against keys that reach targets, and against accounts that a caller names itself.
     a_key_is_replaced_by_its_accounts_name => authenticates_and_strips_the_key(),
-    /// Guards against a request without a key being run.
+    /// Guards against running a request without a key.
     a_request_without_a_key_is_denied => refused("", 401),
-    /// Guards against a request being run whose key nobody holds.
+    /// Guards against running a request whose key no account holds.
     an_unknown_key_is_denied => refused("Authorization: Bearer k-other\r\n", 401),
-    /// Guards against two readers that take different ones of two keys.
+    /// Guards against two parsers that use different ones of two keys.
     two_keys_are_denied =>
         refused("Authorization: Bearer k-studio\r\nAuthorization: Bearer k-school\r\n", 401),
-    /// Guards against a key taken from another scheme.
+    /// Guards against a key taken from another authentication scheme.
     another_scheme_is_denied => refused("Authorization: Basic k-studio\r\n", 401),
-    /// Guards against an empty key that some account seems to hold.
+    /// Guards against an empty key that matches some account.
     an_empty_key_is_denied => refused("Authorization: Bearer  \r\n", 401),
-    /// Guards against a crash on bytes that are no text.
+    /// Guards against a crash on a key that is not ASCII.
     a_key_of_other_bytes_is_denied => refused("Authorization: Bearer \u{fc}\u{20ac}\r\n", 401),
     a_public_route_is_open_to_all => serves_a_public_route_without_a_key(),
-    /// Guards against a change for deployments without accounts.
+    /// Guards against a change of behaviour for deployments without accounts.
     without_accounts_the_field_is_the_targets => passes_credentials_on_without_accounts(),
-    /// Guards against a key that was taken away and still opens something where nobody could say so.
+    /// Guards against a revoked key that still grants access while the revocation can't arrive.
     stale_accounts_decide_nothing => refuses_without_a_valid_lease(),
-    /// Guards against a key taken away while its request waits.
+    /// Guards against a key that is revoked while its request waits.
     a_waiting_request_is_authorized_again => checks_the_lease_before_each_attempt(),
-    /// Guards against counters that overflow by what a caller states.
+    /// Guards against counters that overflow because of what a caller states.
     absurd_token_counts_are_survived => survives_absurd_token_counts(),
     quotas_are_enforced => enforces_a_quota_with_a_retry_delay(),
     /// Guards against a quota used up by requests that never ran.
     a_request_that_did_not_run_is_refunded => refunds_a_request_that_did_not_run(),
-    /// Guards against a request that runs outside its account's or its route's homes.
+    /// Guards against a request that runs outside the home regions of its account or its route.
     homes_of_route_and_account_both_apply => applies_homes_of_route_and_account(),
     /// Guards against a key that reaches another instance.
     the_account_is_forwarded_without_the_key => forwards_the_account_without_the_key(),
-    /// Guards against a request run for an account that its caller may no longer be.
+    /// Guards against running a request for an account that may no longer be its caller's.
     other_configurations_are_refused => refuses_requests_of_another_configuration(),
 }
 
-/// Guards against an answer that was held up and counts from its arrival.
+/// Guards against a delayed response that extends the lease from its arrival.
 #[test]
 fn a_lease_counts_from_the_question() {
     let second = Duration::from_secs(1);
@@ -345,7 +347,7 @@
     assert_eq!(
         freshness.confirmed(),
         Some(second * 10),
-        "an older one changes nothing"
+        "an older response changes nothing"
     );
 }
 
--- a/crates/zinniastall-gateway/tests/path/answers.rs
+++ b/crates/zinniastall-gateway/tests/path/answers.rs
@@ -1,4 +1,4 @@
-//! Answers of targets that fail in all the ways that are known.
+//! Responses of targets that fail in every known way.
 
 use std::{cell::Cell, rc::Rc, time::Duration};
 
@@ -32,7 +32,7 @@
     }
 }
 
-/// Fails the first request that any target of a pair sees, in the way given.
+/// Starts two targets, the first of whose requests fails in the way given.
 async fn pair(fail: impl Fn(&Request) -> Vec<Action> + 'static) -> (Gateway, Target, Target) {
     let first = Rc::new(Cell::new(true));
     let fail: Fail = Rc::new(fail);
@@ -46,8 +46,8 @@
     one.requests().len() + two.requests().len()
 }
 
-/// A request that may be repeated survives whatever its first target does; one that may not is told
-/// that nobody knows, and has been sent once.
+/// Checks that a request that may be repeated succeeds whatever its first target does, and that one
+/// that may not is sent once and reported as unknown.
 async fn survives(fail: impl Fn(&Request) -> Vec<Action> + Copy + 'static) {
     let (gateway, one, two) = pair(fail).await;
     let response = gateway
@@ -117,7 +117,7 @@
     assert_eq!(
         connections,
         [0, 0, 1],
-        "a connection with a stray answer is not used again"
+        "a connection with a stray response is not used again"
     );
 }
 
@@ -230,7 +230,7 @@
     );
 }
 
-/// Makes an address at which connections neither open nor fail: its queue of new ones is full.
+/// Returns an address at which connections neither open nor fail: its backlog is full.
 async fn unresponsive_address() -> (
     std::net::SocketAddr,
     Vec<tokio::net::TcpStream>,
@@ -267,23 +267,23 @@
     let one = Target::start(script(&order)).await;
     let two = Target::start(script(&order)).await;
     let (address, _held, _listener) = unresponsive_address().await;
-    let mut shown = view(routes(), &[&one, &two]);
-    let mut targets = shown.targets.by_name().clone();
-    // Left alone at first, as a target that was silent for long, so that the other two come before it.
+    let mut view = view(routes(), &[&one, &two]);
+    let mut targets = view.targets.by_name().clone();
+    // Skipped at first, as a target that was silent for long, so that the other two come before it.
     let mut third = crate::harness::known_target("target-2", address);
     third.heard = third.heard.checked_sub(Duration::from_secs(10)).unwrap();
     targets.insert("target-2".to_owned(), third);
-    shown.targets = std::sync::Arc::new(targets.into_iter().collect());
-    let gateway = Gateway::start(shown).await;
+    view.targets = std::sync::Arc::new(targets.into_iter().collect());
+    let gateway = Gateway::start(view).await;
     let text = get("/plans/1", "a", "deadline-ms: 250\r\n");
     let response = gateway.connect().await.call(&text).await;
-    assert_eq!(order.get(), 2, "the first two were asked");
+    assert_eq!(order.get(), 2, "the first two targets got the request");
     assert_eq!(response.status, 504, "{}", response.body);
 }
 
 async fn early_response_ends_the_connection() {
-    // The answer comes before the body is read; what is sent next on that connection would be taken
-    // for the rest of the body.
+    // The response comes before the body is read. What is sent next on that connection would be
+    // taken for the rest of the body.
     let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
     let taken = Rc::new(Cell::new(0));
@@ -302,19 +302,19 @@
         }
     });
     let target = Target::responding_with("unused").await;
-    let mut shown = view(routes(), &[&target]);
+    let mut view = view(routes(), &[&target]);
     let known = crate::harness::known_target("target-0", address);
-    shown.targets = std::sync::Arc::new([("target-0".to_owned(), known)].into_iter().collect());
-    // Longer than what the kernel takes for a connection that nobody reads.
+    view.targets = std::sync::Arc::new([("target-0".to_owned(), known)].into_iter().collect());
+    // Longer than what the kernel buffers for a connection that nobody reads.
     let body = "x".repeat(24 << 20);
-    let mut table = shown.table().cloned().unwrap();
+    let mut table = view.table().cloned().unwrap();
     table.limits.body_bytes = 32 << 20;
-    shown.configuration = Some(std::sync::Arc::new(Configuration {
+    view.configuration = Some(std::sync::Arc::new(Configuration {
         revision: 2,
         table: Some(table),
         evacuated: Vec::new(),
     }));
-    let gateway = Gateway::start(shown).await;
+    let gateway = Gateway::start(view).await;
     for _ in 0..2 {
         let response = gateway
             .connect()
@@ -339,39 +339,41 @@
 }
 
 cases! {
-    /// What passes through is what was sent: path, query, body, status and the target's own fields.
+    /// Path, query, body, status and the target's own header fields pass through as they were sent.
     a_complete_response_passes_unchanged => passes_response_unchanged(),
-    /// A target sends an answer that belongs to an earlier request of another caller. Were it taken, a
-    /// caller would read a stranger's answer.
+    /// A target sends a response that belongs to an earlier request of another caller. If it were
+    /// passed on, a caller would read a stranger's response.
     a_stray_response_is_skipped => skips_a_stray_response(),
-    /// A target answers twice. The second answer must not meet the next request on that connection.
+    /// A target responds twice. The second response must not meet the next request on that
+    /// connection.
     bytes_after_a_response_end_the_connection => closes_after_extra_bytes(),
-    /// A full target says that it has not run the request. The caller is told so, and when to return.
+    /// A full target says that it has not run the request. The caller learns so, and when to retry.
     a_refusal_before_the_run_is_reported => refused_before_it_ran(),
-    /// A full target says so, names no length and keeps its connection open. Whoever waits for the end of its
-    /// words holds the caller to the deadline for an answer that is known.
+    /// A full target refuses without a length and keeps its connection open. Waiting for the end of
+    /// its body would hold the caller until its deadline for an outcome that is known.
     a_refusal_without_an_end_is_reported_at_once => refused_without_an_end(),
-    /// A late refusal of an earlier request arrives without an id. Taken for this request's, it would
-    /// promise that a request never runs that is running.
+    /// A late refusal of an earlier request arrives without an id. If it were taken for this
+    /// request's, it would promise that a running request never runs.
     a_refusal_without_an_id_promises_nothing => ignores_a_stray_refusal(),
-    /// A target closes without an answer; the next one refuses, which says nothing of the first. The caller
-    /// must not be told that the request has not run.
+    /// A target closes without a response; the next one refuses, which says nothing about the
+    /// first. The caller must not be told that the request has not run.
     a_later_refusal_does_not_hide_an_unknown_run => later_refusal_keeps_outcome_unknown(),
-    /// A target's own failure is its answer, signature and all, also after a repeat.
+    /// A target's own failure is its response, signature included, also for requests that may be
+    /// repeated.
     a_targets_own_failure_is_passed_on => passes_target_failures_on(),
-    /// A target answers before it has read a long body, and reads on later.
+    /// A target responds before it has read a long body, and reads on later.
     a_connection_with_an_unread_body_is_not_used_again => early_response_ends_the_connection(),
-    /// A caller closes its connection while its request runs. The work would go on for nobody.
+    /// A caller disconnects while its request runs. The target would go on working for nobody.
     a_caller_that_disconnects_cancels_its_request => disconnect_cancels_the_request(),
-    /// A target closes without an answer; the request may have run.
+    /// A target closes without a response; the request may have run.
     a_closed_connection_is_survived => survives(|_| vec![Action::Close]),
-    /// A target's answer is cut in the middle of its body.
+    /// A target's response is cut off in the middle of its body.
     a_truncated_response_is_survived => survives(|request| {
         vec![Action::Send(with_length(100, "half", request.id())), Action::Close]
     }),
-    /// A target sends bytes that are no answer.
+    /// A target sends bytes that are no response.
     garbage_is_survived => survives(|_| vec![Action::Send(b"\0\x01garbage\r\n\r\n".to_vec())]),
-    /// A target's chunk is malformed.
+    /// A target sends a malformed chunk.
     a_malformed_chunk_is_survived => survives(|request| {
         let id = request.id();
         let text = format!(
@@ -379,7 +381,7 @@
         );
         vec![Action::Send(text.into_bytes())]
     }),
-    /// A target names two lengths for one body.
+    /// A target states two lengths for one body.
     two_lengths_are_survived => survives(|request| {
         let id = request.id();
         let text = format!(
--- a/crates/zinniastall-gateway/tests/path/bounds.rs
+++ b/crates/zinniastall-gateway/tests/path/bounds.rs
@@ -1,4 +1,4 @@
-//! Where requests may go: routes, zones, regions, time, budgets.
+//! Limits on where requests may go: routes, zones, regions, deadlines, retry budgets.
 
 use std::{
     sync::Arc,
@@ -41,14 +41,14 @@
 
 async fn skips_an_evacuated_zone() {
     let target = Target::responding_with("fine").await;
-    let mut shown = view(routes(), &[&target]);
-    let table = shown.table().cloned();
-    shown.configuration = Some(Arc::new(Configuration {
+    let mut view = view(routes(), &[&target]);
+    let table = view.table().cloned();
+    view.configuration = Some(Arc::new(Configuration {
         revision: 2,
         table,
         evacuated: vec![PLACE.1.to_owned()],
     }));
-    let gateway = Gateway::start(shown).await;
+    let gateway = Gateway::start(view).await;
     let response = gateway
         .connect()
         .await
@@ -58,21 +58,22 @@
     assert_eq!(target.requests().len(), 0);
 }
 
-/// The only target has just come back cold and bears five requests a second; a caller asks for fifty.
+/// The only target has just come back cold and sustains five requests a second; a caller sends
+/// fifty.
 async fn paces_a_cold_target() {
     let target = Target::responding_with("fine").await;
-    let mut shown = view(routes(), &[]);
-    let mut table = shown.table().cloned().unwrap();
+    let mut view = view(routes(), &[]);
+    let mut table = view.table().cloned().unwrap();
     table.services[0].cold_rate_milli = 5_000;
-    shown.configuration = Some(Arc::new(Configuration {
+    view.configuration = Some(Arc::new(Configuration {
         revision: 2,
         table: Some(table),
         evacuated: Vec::new(),
     }));
     let mut cold = known_target("target-0", target.address);
     cold.cold_until = Some(Instant::now() + Duration::from_mins(1));
-    shown.targets = Arc::new([("target-0".to_owned(), cold)].into_iter().collect());
-    let gateway = Gateway::start(shown).await;
+    view.targets = Arc::new([("target-0".to_owned(), cold)].into_iter().collect());
+    let gateway = Gateway::start(view).await;
     let mut caller = gateway.connect().await;
     let since = Instant::now();
     let mut served = 0;
@@ -112,8 +113,8 @@
     assert!(since.elapsed() < Duration::from_millis(500));
 }
 
-/// Shows an instance of another region, at the address of a scripted target, to a stage that has no
-/// targets itself but knows of one there.
+/// Starts a gateway without targets that knows of an instance and a target in another region. Both
+/// are one scripted target.
 async fn with_remote_region(
     script: impl Fn(&crate::harness::Request) -> Vec<Action> + 'static,
     homes: &[&str],
@@ -121,17 +122,17 @@
     let far = Target::start(script).await;
     let mut routes = routes();
     routes[0].homes = homes.iter().map(|home| (*home).to_owned()).collect();
-    let mut shown = view(routes, &[]);
+    let mut view = view(routes, &[]);
     let mut target = known_target("target-far", far.address);
     target.report.place = Place::new("athens", "athens-a");
-    shown.targets = Arc::new([("target-far".to_owned(), target)].into_iter().collect());
+    view.targets = Arc::new([("target-far".to_owned(), target)].into_iter().collect());
     let address = far.address.to_string();
     let instances = [
         instance("edge-1", PLACE, "127.0.0.1:1"),
         instance("edge-far", ("athens", "athens-a"), &address),
     ];
-    shown.instances = Arc::new(instances.into_iter().collect());
-    (Gateway::start(shown).await, far)
+    view.instances = Arc::new(instances.into_iter().collect());
+    (Gateway::start(view).await, far)
 }
 
 async fn forwards_to_another_region() {
@@ -158,7 +159,11 @@
         (response.status, response.header("zs-outcome")),
         (503, "not-sent")
     );
-    assert_eq!(far.requests().len(), 1, "a request crossed two borders");
+    assert_eq!(
+        far.requests().len(),
+        1,
+        "a request was forwarded between regions twice"
+    );
 }
 
 async fn stays_in_its_homes() {
@@ -243,7 +248,7 @@
     let since = now.checked_sub(Duration::from_secs(4)).unwrap();
     let end = now + Duration::from_secs(3);
     gateway.proxy.board.drain(Drain { since, end });
-    // The route's time of five seconds is longer than what is left, the caller's own is shorter.
+    // The route's timeout of five seconds exceeds what is left; the caller's own deadline doesn't.
     let response = gateway
         .connect()
         .await
@@ -273,33 +278,37 @@
         assert!([502, 503].contains(&response.status));
     }
     let sent = target.requests().len() + other.requests().len();
-    // A fifth of 300 requests, and the 100 of the stage's own setting, at most.
+    // At most a fifth of 300 requests, and the slack of 100 that the harness sets.
     assert!(sent <= 300 + 60 + 100, "{sent}");
-    assert!(sent > 300, "no request was repeated");
+    assert!(sent > 300, "no request was retried");
 }
 
 cases! {
-    /// All targets of a zone come back cold at once; they have to get some requests, and not more than they bear.
+    /// All targets of a zone come back cold at once. They must get some requests, and no more than
+    /// they sustain.
     a_cold_target_gets_no_more_than_its_rate => paces_a_cold_target(),
-    /// A path that no route serves is told apart from an instance that knows no routes yet.
+    /// A path that no route serves is told apart from an instance that has no configuration yet.
     missing_routes_and_missing_configuration_differ => unknown_and_unconfigured(),
-    /// Operators empty a zone, and a machine there is about to be switched off.
+    /// Operators evacuate a zone because a machine there is about to be switched off.
     an_evacuated_zone_gets_nothing => skips_an_evacuated_zone(),
-    /// A target hangs. The caller has its final answer when the route's time is over.
+    /// A target hangs. The caller gets its final response when the route's timeout expires.
     a_request_is_answered_at_its_routes_timeout => answers_at_the_routes_timeout(),
     /// No target is left. The caller is told at once instead of at its deadline.
     a_request_without_a_target_is_refused_at_once => refuses_at_once_without_a_target(),
-    /// A region has lost its targets; another one serves, and never passes the request on again.
+    /// A region has lost its targets. Another one serves its requests and never forwards them
+    /// again.
     another_region_serves_once => forwards_to_another_region(),
-    /// A request is bound to its home, which has no target: it may not leave, and neither may its body.
+    /// A request is bound to its home region, which has no target: neither it nor its body may
+    /// leave.
     a_request_stays_in_its_homes => stays_in_its_homes(),
-    /// Another instance says how a request ended there; "not run" must not be said of the unknown.
+    /// Another instance reports how a request ended there; an unknown outcome must not become "not
+    /// run".
     the_outcome_of_another_instance_is_kept => keeps_the_forwarded_outcome(),
-    /// An instance is told to stop. Kept connections are served and closed, none is cut.
+    /// A draining instance serves and closes kept connections; it cuts none.
     a_stopping_instance_closes_after_the_answer => closes_kept_connections_while_draining(),
-    /// An instance ends in three seconds. A request that may take five would be cut in the middle of its
-    /// answer; refused at once, it is served whole by another instance.
+    /// An instance ends in three seconds. A request that may take five would be cut off in the
+    /// middle of its response; refused at once, it is served by another instance.
     a_stopping_instance_refuses_what_it_would_cut => refuses_what_would_be_cut(),
-    /// All targets fail, and each request tried again would add to what they can't bear.
+    /// All targets fail, and each retry would add to a load that they can't bear.
     repeats_stay_within_the_budget => repeats_within_the_budget(),
 }
--- a/crates/zinniastall-gateway/tests/path/caller.rs
+++ b/crates/zinniastall-gateway/tests/path/caller.rs
@@ -1,4 +1,4 @@
-//! Raw callers: connections that send bytes and read answers.
+//! Raw callers: connections that send bytes and read responses.
 
 use std::net::SocketAddr;
 
@@ -15,7 +15,7 @@
     input: Vec<u8>,
 }
 
-/// An answer as a caller reads it.
+/// A response as a caller reads it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct Response {
     /// Status.
@@ -37,12 +37,12 @@
     }
 }
 
-/// Writes a request without a body.
+/// Returns a request without a body.
 pub(crate) fn get(path: &str, id: &str, fields: &str) -> String {
     format!("GET {path} HTTP/1.1\r\nHost: {HOST}\r\nrequest-id: {id}\r\n{fields}\r\n")
 }
 
-/// Writes a request with a body.
+/// Returns a request with a body.
 pub(crate) fn post(path: &str, id: &str, body: &str) -> String {
     let length = body.len();
     format!(
@@ -64,7 +64,7 @@
         self.stream.write_all(text.as_bytes()).await.unwrap();
     }
 
-    /// Reads one answer, or nothing where the connection ends before one.
+    /// Reads one response, or nothing if the connection ends before one.
     pub(crate) async fn read_response(&mut self) -> Option<Response> {
         loop {
             if let Some(response) = parse(&mut self.input, false) {
@@ -76,15 +76,15 @@
         }
     }
 
-    /// Sends a request and reads its answer.
+    /// Sends a request and reads its response.
     pub(crate) async fn call(&mut self, text: &str) -> Response {
         self.send(text).await;
         self.read_response()
             .await
-            .expect("the connection ended without an answer")
+            .expect("the connection ended without a response")
     }
 
-    /// Waits until a text has arrived; what arrived stays to be read as an answer.
+    /// Reads until a text has arrived, which stays to be read as part of a response.
     pub(crate) async fn read_until(&mut self, text: &str) {
         while !String::from_utf8_lossy(&self.input).contains(text) {
             assert!(self.read().await, "the connection ended before {text:?}");
@@ -108,7 +108,7 @@
     }
 }
 
-/// Takes an answer off the front of bytes, a cut one only where the connection has ended.
+/// Takes a response off the front of the input, a truncated one only at the end of the connection.
 fn parse(input: &mut Vec<u8>, at_eof: bool) -> Option<Response> {
     let end = input.windows(4).position(|four| four == b"\r\n\r\n")?;
     let head = String::from_utf8(input[..end].to_vec()).unwrap();
@@ -135,7 +135,7 @@
     Some(response)
 }
 
-/// Decodes chunks; returns the text, the bytes used and whether the last chunk was there.
+/// Decodes chunks. Returns the text, the bytes used and whether the last chunk was there.
 fn decode_chunks(body: &[u8]) -> (Vec<u8>, usize, bool) {
     let (mut text, mut at) = (Vec::new(), 0);
     loop {
--- a/crates/zinniastall-gateway/tests/path/harness.rs
+++ b/crates/zinniastall-gateway/tests/path/harness.rs
@@ -1,4 +1,4 @@
-//! A gateway's request path between scripted targets and raw callers, in one thread.
+//! A gateway's request path between scripted targets and raw callers, on one thread.
 
 use std::{cell::RefCell, future::Future, net::SocketAddr, rc::Rc, sync::Arc, time::Duration};
 
@@ -25,7 +25,7 @@
 };
 use zinniastall_wire::hub::Configuration;
 
-/// Longest time that any step of a test may take.
+/// Longest time that a test, or a step of it, may take.
 const TIMEOUT: Duration = Duration::from_secs(20);
 /// Host of all routes.
 pub(crate) const HOST: &str = "maps.example";
@@ -34,12 +34,12 @@
 /// Region and zone of the gateway.
 pub(crate) const PLACE: (&str, &str) = ("patras", "patras-a");
 
-/// What a target saw of one request.
+/// A request as a target received it.
 #[derive(Debug, Clone)]
 pub(crate) struct Request {
-    /// Requests that this target saw before.
+    /// Number of requests that this target received before.
     pub(crate) index: usize,
-    /// Connection on which it came.
+    /// Index of the connection on which it came.
     pub(crate) connection: usize,
     /// Head as text.
     pub(crate) head: String,
@@ -58,7 +58,7 @@
     Close,
     /// Ends the target's process: all connections are closed and new ones are refused.
     Crash,
-    /// Loses power: nothing is closed, nothing comes any more, and no connection opens.
+    /// Loses power: nothing is closed, nothing is sent any more, and no connection opens.
     PowerLoss,
 }
 
@@ -75,13 +75,13 @@
         self.header("request-id")
     }
 
-    /// Makes a whole answer to this request.
+    /// Returns a complete response to this request.
     pub(crate) fn response(&self, body: &str) -> Vec<u8> {
         response(200, self.id(), body)
     }
 }
 
-/// Makes a whole answer.
+/// Returns a complete response.
 pub(crate) fn response(status: u16, id: &str, body: &str) -> Vec<u8> {
     let length = body.len();
     format!("HTTP/1.1 {status} Some\r\nrequest-id: {id}\r\nsigned: yes\r\ncontent-length: {length}\r\n\r\n{body}")
@@ -100,13 +100,13 @@
 type Script = dyn Fn(&Request) -> Vec<Action>;
 
 impl Target {
-    /// Starts a target that acts on each request as a script says.
+    /// Starts a target that handles each request as a script says.
     pub(crate) async fn start(script: impl Fn(&Request) -> Vec<Action> + 'static) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         Self::start_on(listener, script)
     }
 
-    /// Starts a target that can act as if it lost power: its queue of new connections is short enough to be
+    /// Starts a target that can lose power: its backlog of new connections is short enough to be
     /// filled.
     pub(crate) fn with_short_backlog(script: impl Fn(&Request) -> Vec<Action> + 'static) -> Self {
         let socket = TcpSocket::new_v4().unwrap();
@@ -155,12 +155,12 @@
         target
     }
 
-    /// Starts a target that answers everything with its body.
+    /// Starts a target that responds to every request with the same body.
     pub(crate) async fn responding_with(body: &'static str) -> Self {
         Self::start(move |request| vec![Action::Send(request.response(body))]).await
     }
 
-    /// Returns the requests seen so far.
+    /// Returns the requests received so far.
     pub(crate) fn requests(&self) -> Vec<Request> {
         self.requests.borrow().clone()
     }
@@ -171,7 +171,7 @@
     }
 }
 
-/// Opens connections to a listener that accepts none, until it takes no more.
+/// Opens connections to a listener that accepts none, until its backlog is full.
 async fn fill_backlog(address: SocketAddr) -> Vec<TcpStream> {
     let mut unaccepted = Vec::new();
     let longest = Duration::from_millis(50);
@@ -203,7 +203,7 @@
                     }
                 }
                 Action::Wait(time) => {
-                    // The other end may leave meanwhile, which ends the connection.
+                    // The peer may disconnect meanwhile, which ends the connection.
                     let mut byte = [0; 1];
                     tokio::select! {
                         () = time::sleep(time) => {}
@@ -259,17 +259,17 @@
     }
 }
 
-/// A gateway's request path.
+/// A running request path of a gateway.
 pub(crate) struct Gateway {
     /// Address for callers.
     pub(crate) callers: SocketAddr,
     /// Address for other instances.
     pub(crate) forward: SocketAddr,
-    /// The path itself.
+    /// The request path itself.
     pub(crate) proxy: Rc<Traffic>,
 }
 
-/// Makes a route to the one service.
+/// Returns a route to the one service.
 pub(crate) fn route(prefix: &str, kind: Kind, attempts: u32) -> Route {
     let mut route = Route::new(prefix.trim_matches('/'), HOST, prefix, kind).to(Share {
         service: SERVICE.to_owned(),
@@ -280,7 +280,7 @@
     route
 }
 
-/// Makes a view of a place with routes and targets.
+/// Returns a view with routes and targets, as an instance in `PLACE` has it.
 pub(crate) fn view(routes: Vec<Route>, targets: &[&Target]) -> View {
     let table = Table::new(1, routes, vec![Service::new(SERVICE)]);
     let mut view = View::new("edge-1".to_owned(), Place::new(PLACE.0, PLACE.1));
@@ -302,7 +302,7 @@
     view
 }
 
-/// Makes a gateway instance as others see it.
+/// Returns a gateway instance as other instances see it.
 pub(crate) fn instance(name: &str, place: (&str, &str), forward: &str) -> (String, Presence) {
     let presence = Presence {
         instance: name.to_owned(),
@@ -316,7 +316,7 @@
     (name.to_owned(), presence)
 }
 
-/// Makes a target as the gateway knows it.
+/// Returns a target as the gateway sees it.
 pub(crate) fn known_target(name: &str, address: SocketAddr) -> KnownTarget {
     KnownTarget {
         report: Report {
@@ -339,12 +339,12 @@
 }
 
 impl Gateway {
-    /// Starts the path of an instance that sees this view.
+    /// Starts the request path of an instance that has a fixed view.
     pub(crate) async fn start(view: View) -> Self {
         Self::on(Board::new(view)).await
     }
 
-    /// Starts the path of an instance that reads a board.
+    /// Starts the request path of an instance whose view may change.
     pub(crate) async fn on(board: Board) -> Self {
         let names = Names {
             reserved: vec![http::HeaderName::from_static("secret")],
@@ -372,14 +372,14 @@
     }
 }
 
-/// Runs a test on one thread, within a generous time.
+/// Runs a test on one thread, within `TIMEOUT`.
 pub(crate) fn run(test: impl Future<Output = ()>) {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
         .unwrap();
     let local = LocalSet::new();
-    let bounded = async { time::timeout(TIMEOUT, test).await.expect("the test hangs") };
+    let bounded = async { time::timeout(TIMEOUT, test).await.expect("test timed out") };
     local.block_on(&runtime, bounded);
 }
 
@@ -387,7 +387,7 @@
 pub(crate) async fn wait_until(what: &str, holds: impl Fn() -> bool) {
     let since = time::Instant::now();
     while !holds() {
-        assert!(since.elapsed() < TIMEOUT, "waited too long until {what}");
+        assert!(since.elapsed() < TIMEOUT, "timed out waiting until {what}");
         time::sleep(Duration::from_millis(2)).await;
     }
 }
--- a/crates/zinniastall-gateway/tests/path/heads.rs
+++ b/crates/zinniastall-gateway/tests/path/heads.rs
@@ -1,4 +1,4 @@
-//! Heads that callers send: smuggled, oversized, forged.
+//! Malicious request heads: smuggled requests, oversized heads, forged fields.
 
 use zinniastall_model::routing::Kind;
 
@@ -14,7 +14,7 @@
     (gateway, target)
 }
 
-/// Sends bytes that must be refused with a status, and a request behind them that must not be read.
+/// Checks that a request is refused with a status, and that the request sent behind it isn't read.
 async fn refused(text: String, status: u16) {
     let (gateway, target) = gateway().await;
     let mut caller = gateway.connect().await;
@@ -61,7 +61,7 @@
     let mut caller = gateway.connect().await;
     let head = with("Transfer-Encoding: chunked");
     caller.send(&head).await;
-    // Five chunks of a megabyte are more than the four that a body may have.
+    // Five chunks of a megabyte exceed the four that a body may have.
     let chunk = format!("100000\r\n{}\r\n", "x".repeat(1 << 20));
     for _ in 0..5 {
         caller.send(&chunk).await;
@@ -113,36 +113,36 @@
 cases! {
     /// A caller sets fields that only the gateway may set, to reach what isn't its own.
     reserved_fields_are_dropped => strips_reserved_fields(),
-    /// A head without an end would fill the memory.
+    /// A head without an end would exhaust the memory.
     a_long_head_is_refused => rejects_a_long_head(),
-    /// A body without an end would fill the memory.
+    /// A body without an end would exhaust the memory.
     a_long_body_is_refused => rejects_a_long_body(),
-    /// A body in chunks is passed on whole, with its length.
+    /// A chunked body is passed on whole, with its length.
     a_body_in_chunks_is_passed_on => accepts_chunks(),
-    /// A caller vanishes in the middle of its body: nothing must run.
+    /// A caller disconnects in the middle of its body: nothing must run.
     a_partial_body_is_never_sent => partial_body_runs_nothing(),
-    /// Callers may send the next request before the answer is there.
+    /// Callers may send the next request before the response has arrived.
     pipelined_requests_are_answered_in_order => serves_pipelined_requests(),
-    /// Two lengths: a target that believes the other one would find a request inside the body.
+    /// Two lengths: a target that uses the other one would find a request inside the body.
     two_lengths_are_refused => refused(with("Content-Length: 4\r\nContent-Length: 90"), 400),
-    /// A length beside chunks, which two readers may rank in two ways.
+    /// A length beside chunks, of which two parsers may prefer different ones.
     a_length_beside_chunks_is_refused =>
         refused(with("Content-Length: 4\r\nTransfer-Encoding: chunked"), 400),
-    /// A transfer coding that only one of two readers knows.
+    /// A transfer coding that only one of two parsers knows.
     an_unknown_coding_is_refused => refused(with("Transfer-Encoding: xchunked"), 400),
-    /// A list of codings.
+    /// A list of transfer codings.
     two_codings_are_refused => refused(with("Transfer-Encoding: gzip, chunked"), 400),
     /// A length with a sign.
     a_signed_length_is_refused => refused(with("Content-Length: +4"), 400),
     /// A line that ends without a carriage return.
     a_bare_line_end_is_refused => refused(with("x-a: 1\nx-b: 2"), 400),
-    /// A space before the colon hides a field from some readers.
+    /// A space before the colon hides a field from some parsers.
     a_space_before_the_colon_is_refused => refused(with("Content-Length : 4"), 400),
-    /// A continued line.
+    /// A folded header line.
     a_folded_line_is_refused => refused(with("x-a: 1\r\n Content-Length: 4"), 400),
-    /// Two hosts lead to two routes.
+    /// Two hosts match two routes.
     two_hosts_are_refused => refused(with("Host: other.example"), 400),
-    /// A size of a chunk that isn't hexadecimal.
+    /// A chunk size that isn't hexadecimal.
     a_malformed_chunk_is_refused =>
         refused(with("Transfer-Encoding: chunked") + "+3\r\nabc\r\n0\r\n\r\n", 400),
 }
--- a/crates/zinniastall-gateway/tests/path/main.rs
+++ b/crates/zinniastall-gateway/tests/path/main.rs
@@ -2,7 +2,7 @@
 
 #![expect(
     clippy::unwrap_used,
-    reason = "helpers of tests fail the test, as its own lines do"
+    reason = "a failing helper fails its test, as the test's own lines do"
 )]
 
 mod accounts;
@@ -15,7 +15,7 @@
 mod request_log;
 mod streams;
 
-/// Names tests that run on one thread: `cases! { name => async function, ... }`.
+/// Defines tests that run on one thread: `cases! { name => async function, ... }`.
 macro_rules! cases {
     ($($(#[$about:meta])* $name:ident => $test:expr,)*) => {
         $($(#[$about])* #[test] fn $name() { crate::harness::run($test); })*
--- a/crates/zinniastall-gateway/tests/path/quarantine.rs
+++ b/crates/zinniastall-gateway/tests/path/quarantine.rs
@@ -21,9 +21,9 @@
     },
 };
 
-/// Body of a request that crashes whoever runs it.
+/// Body of a request that crashes any target that runs it.
 const POISON: &str = "poison";
-/// Targets that one request may take down.
+/// Targets that one request may crash.
 const MAX_CRASHES: usize = 3;
 
 fn routes() -> Vec<Route> {
@@ -43,7 +43,7 @@
     vec![Action::Send(request.response("fine"))]
 }
 
-/// Targets that crash under the poison.
+/// Starts targets that crash when they run the poison request.
 async fn targets(count: usize) -> Vec<Target> {
     let mut targets = Vec::new();
     for _ in 0..count {
@@ -52,7 +52,7 @@
     targets
 }
 
-/// Returns how many targets have run the poison.
+/// Returns the number of targets that have run the poison request.
 fn crash_count(targets: &[Target]) -> usize {
     let ran = |target: &&Target| {
         let request = target.requests();
@@ -67,7 +67,7 @@
     gateway.connect().await.call(&post(path, id, body)).await
 }
 
-/// A caller sends the poison again and again, each time on a connection and under an id of its own.
+/// A caller sends the poison request repeatedly, each time on a new connection and under a new id.
 async fn crashes_three_at_most(path: &'static str) {
     let targets = targets(9).await;
     let known: Vec<&Target> = targets.iter().collect();
@@ -84,17 +84,17 @@
     assert!(last.body.contains("quarantined"), "{}", last.body);
 }
 
-/// Starts an instance without targets of its own, beside one in another region that has some.
+/// Starts an instance without targets of its own, and one in another region that has some.
 async fn two_regions(targets: &[&Target]) -> (Gateway, Gateway) {
     let far = ("athens", "athens-a");
-    let mut shown = view(routes(), targets);
+    let mut view = view(routes(), targets);
     let in_athens = |(name, mut known): (String, zinniastall_gateway::view::Target)| {
         known.report.place = Place::new(far.0, far.1);
         (name, known)
     };
-    let known = shown.targets.by_name().clone().into_iter();
-    shown.targets = Arc::new(known.map(in_athens).collect());
-    let mut there = shown.clone();
+    let known = view.targets.by_name().clone().into_iter();
+    view.targets = Arc::new(known.map(in_athens).collect());
+    let mut there = view.clone();
     "edge-2".clone_into(&mut there.instance);
     there.place = Place::new(far.0, far.1);
     let there = Gateway::start(there).await;
@@ -103,11 +103,11 @@
         instance("edge-1", PLACE, "127.0.0.1:1"),
         instance("edge-2", far, &forward),
     ];
-    shown.instances = Arc::new(instances.into_iter().collect());
-    (Gateway::start(shown).await, there)
+    view.instances = Arc::new(instances.into_iter().collect());
+    (Gateway::start(view).await, there)
 }
 
-/// The caller's instance has no targets and passes the poison on. No datagram is exchanged.
+/// The caller's instance has no targets and forwards the poison request. No datagram is exchanged.
 async fn shares_crashes_across_regions() {
     let targets = targets(6).await;
     let known: Vec<&Target> = targets.iter().collect();
@@ -130,7 +130,7 @@
     assert_eq!(send(&here, "/pay/1", "o", "x").await.status, 200);
 }
 
-/// What one instance knows goes along with a request that it passes on.
+/// A forwarded request carries what the forwarding instance knows of it.
 async fn forwards_suspicion() {
     let targets = targets(4).await;
     let known: Vec<&Target> = targets.iter().collect();
@@ -146,8 +146,8 @@
     assert_eq!(send(&there, "/pay/1", "q", POISON).await.status, 400);
 }
 
-/// Copies of a request run on all targets when most of these crash for another reason; it comes once more while the
-/// copies on the others still run, so that none has finished.
+/// Copies of a request run on all targets when most of these crash for another reason. It comes
+/// once more while the copies on the others still run, so that none has finished.
 async fn keeps_popular_requests() {
     let script = |request: &Request| match request.body.as_slice() {
         b"popular" => vec![
@@ -202,7 +202,7 @@
     assert_eq!(gateway.proxy.suspects.borrow().quarantined(), 0);
 }
 
-/// All targets but one crash in the same moment, each under a request of its own.
+/// All targets but one crash at the same moment, each under a request of its own.
 async fn skips_crashed_targets() {
     let script = |request: &Request| {
         if request.body.starts_with(b"crash") {
@@ -232,7 +232,7 @@
     }
 }
 
-/// Targets break off every answer to a request and go on serving others.
+/// Targets cut off every response to a request and keep serving others.
 async fn ignores_cut_requests() {
     let script = |request: &Request| {
         if request.body == b"cut" {
@@ -251,25 +251,26 @@
     assert!(gateway.proxy.suspects.borrow().is_empty());
 }
 
-/// Targets end as they said they would, with requests that they didn't finish.
+/// Targets end as announced, with requests that they didn't finish.
 async fn ignores_planned_terminations() {
     let targets = targets(3).await;
     let known: Vec<&Target> = targets.iter().collect();
-    let mut shown = view(routes(), &known);
+    let mut view = view(routes(), &known);
     let leaving = |(name, mut known): (String, zinniastall_gateway::view::Target)| {
         known.gone_at = Some(Instant::now() + Duration::from_secs(10));
         (name, known)
     };
-    let all = shown.targets.by_name().clone().into_iter();
-    shown.targets = Arc::new(all.map(leaving).collect());
-    let gateway = Gateway::start(shown).await;
+    let all = view.targets.by_name().clone().into_iter();
+    view.targets = Arc::new(all.map(leaving).collect());
+    let gateway = Gateway::start(view).await;
     for at in 0..3 {
         send(&gateway, "/pay/1", &format!("p{at}"), POISON).await;
     }
     assert!(gateway.proxy.suspects.borrow().is_empty());
 }
 
-/// A strong suspect comes ten times at once: one copy is tried, the others wait for what becomes of it.
+/// A strong suspect comes ten times at once: one copy is tried, and the others wait for its
+/// outcome.
 async fn tries_one_copy_at_a_time() {
     let script = |request: &Request| {
         if request.body == POISON.as_bytes() {
@@ -307,22 +308,22 @@
 }
 
 cases! {
-    /// A request takes down one target after the other, and the service with them.
+    /// A request crashes one target after the other, and the service with them.
     a_request_that_crashes_targets_crashes_three_at_most => crashes_three_at_most("/plans/1"),
     a_request_that_may_run_once_crashes_three_at_most => crashes_three_at_most("/pay/1"),
     a_stream_that_may_be_resumed_crashes_three_at_most => crashes_three_at_most("/stream/1"),
-    /// A request that crashes the targets of one region comes to the instances of another.
+    /// A request that crashes the targets of one region is sent to the instances of another.
     crashes_are_shared_across_regions => shares_crashes_across_regions(),
     /// A region that hasn't heard of a suspect runs it as if it were the first time.
     a_forwarded_request_carries_its_suspicion => forwards_suspicion(),
-    /// A popular request is turned away because many targets crashed with it.
+    /// A popular request is rejected because many targets crashed while running it.
     a_popular_request_is_not_quarantined => keeps_popular_requests(),
     /// A request is refused because it is offered to one crashed target after the other.
     a_target_that_crashed_is_skipped => skips_crashed_targets(),
-    /// A request whose answers are cut is taken for one that crashes targets.
+    /// A request whose responses are cut off is taken for one that crashes targets.
     a_request_that_is_cut_off_is_not_suspected => ignores_cut_requests(),
-    /// A release makes suspects of all requests that it cut.
+    /// A deployment makes suspects of all requests that it cuts off.
     a_planned_termination_makes_no_suspects => ignores_planned_terminations(),
-    /// Callers that repeat a request at once take down a target each.
+    /// Callers that send a request several times at once crash one target with each copy.
     a_strong_suspect_is_tried_one_copy_at_a_time => tries_one_copy_at_a_time(),
 }
--- a/crates/zinniastall-gateway/tests/path/request_log.rs
+++ b/crates/zinniastall-gateway/tests/path/request_log.rs
@@ -1,4 +1,4 @@
-//! Log lines on requests: what an engineer finds of one, and how many there may be.
+//! Log lines on requests: what an engineer finds on one, and how many there may be.
 
 use std::{
     cell::{Cell, RefCell},
@@ -16,17 +16,17 @@
     harness::{Action, Gateway, Request, Target, get, post, route, view},
 };
 
-/// Most lines a second on requests that fail.
+/// Most lines per second on failed requests.
 const MAX_FAILURE_LINES_PER_S: usize = 300;
-/// Most lines a second on requests that go well.
+/// Most lines per second on successful requests.
 const MAX_SUCCESS_LINES_PER_S: usize = 60;
 
 thread_local! {
-    /// What the tests of this thread have logged; each test has a thread of its own.
+    /// What this thread has logged; each test has a thread of its own.
     static LOGGED: RefCell<Vec<u8>> = const { RefCell::new(Vec::new()) };
 }
 
-/// Writes to the log of the thread that logs.
+/// Writes to the log of the current thread.
 struct Writer;
 
 impl io::Write for Writer {
@@ -40,15 +40,15 @@
     }
 }
 
-/// Starts to keep what is logged, once for all threads: a subscriber of one thread alone misses the lines whose
-/// place in the code another thread has come by first.
+/// Installs the subscriber once, for all threads: one for a single thread misses lines from
+/// callsites that another thread has registered first.
 fn keep_log() {
     static START: Once = Once::new();
     START.call_once(|| {
         let layer = tracing_logfmt::builder().layer().with_writer(|| Writer);
         let subscriber = tracing_subscriber::registry().with(layer);
         tracing::subscriber::set_global_default(subscriber).unwrap();
-        // Places that a thread came by while the subscriber was being set.
+        // Callsites that a thread registered while the subscriber was being set.
         tracing::callsite::rebuild_interest_cache();
     });
 }
@@ -63,7 +63,7 @@
     lines.map(str::to_owned).collect()
 }
 
-/// Checks that one line has these words, and a value for each of these fields.
+/// Checks that exactly one line has these words, and that it has a value for each of these fields.
 fn check_line(words: &[&str], fields: &[&str]) {
     let found = lines(words);
     let [line] = &found[..] else {
@@ -124,9 +124,9 @@
     check_line(&end, &times);
 }
 
-/// A target stalls between two events, as one does whose engine reads a long prompt or moved the request
-/// out of its memory. The caller sees an answer that began at once and is worthless all the same; without
-/// the pause in the line, nothing there tells it from a good one.
+/// A target stalls between two events, as an engine does that prefills a long prompt or has
+/// preempted the request. The caller sees a response that began at once and is useless all the
+/// same; without the pause in the log line, nothing there tells it from a good one.
 async fn paused_between_events() {
     keep_log();
     let pause = Duration::from_millis(400);
@@ -185,7 +185,7 @@
     );
 }
 
-/// Sends a request under two ids, each time to a target that ends while it runs it.
+/// Sends a request under two ids, each time to a target that crashes while running it.
 async fn crashed_twice() {
     keep_log();
     let crashing = |_: &Request| vec![Action::Crash];
@@ -206,7 +206,7 @@
     assert_eq!(fingerprint("a"), fingerprint("b"));
 }
 
-/// A target closes a connection within an answer and goes on serving others.
+/// A target closes a connection before it has responded, and keeps serving others.
 async fn cut_off_without_a_crash() {
     keep_log();
     let target = Target::start(|_| vec![Action::Close]).await;
@@ -261,26 +261,31 @@
         successes <= MAX_SUCCESS_LINES_PER_S * windows,
         "{successes} in {windows} s"
     );
-    // The next window tells what this one left out.
+    // The next window reports what this one left out.
     tokio::time::sleep(Duration::from_secs(1)).await;
     caller.call(&post("/pay/1", "last", "x")).await;
     let summary = lines(&["event=lines-left-out", "kind=badly"]);
-    assert!(!summary.is_empty(), "what was left out is told");
+    assert!(
+        !summary.is_empty(),
+        "the number of lines left out is logged"
+    );
 }
 
 cases! {
-    /// A caller asks why a request went where it went; its lines must say on what it was decided.
+    /// An engineer asks why a request went where it went; its lines must show the basis of the
+    /// decision.
     a_successful_request_has_its_lines => placed_and_ended(),
-    /// An answer began at once and then stood still for longer than its caller can use.
+    /// A response began at once and then paused for longer than its caller can use.
     a_pause_is_logged_with_its_length => paused_between_events(),
     /// A request was slow because its first target failed it.
     a_retry_has_its_lines => retried(),
-    /// A caller was told that nobody knows whether a request ran.
+    /// A caller was told that the outcome of a request is unknown.
     an_unknown_outcome_has_its_line => given_up(),
-    /// Two targets ended under one request that came twice: its lines must tell so.
+    /// Two targets crashed under one request that came twice; its lines must show that.
     a_crash_names_its_request => crashed_twice(),
-    /// A broken connection taken for a crash.
+    /// A broken connection is taken for a crash.
     a_cut_connection_is_not_a_crash => cut_off_without_a_crash(),
-    /// Every request fails. Lines without a bound would cost more than the requests, and fill the disk.
+    /// Every request fails. Unbounded log lines would cost more than the requests and fill the
+    /// disk.
     lines_are_rate_limited_when_everything_fails => rate_limited(),
 }
--- a/crates/zinniastall-gateway/tests/path/streams.rs
+++ b/crates/zinniastall-gateway/tests/path/streams.rs
@@ -30,8 +30,8 @@
     format!("id: {id}\ndata: {id}\n\n")
 }
 
-/// Sends events from the one after `Last-Event-Id` to the last one, and breaks off in the middle of an
-/// event where told to.
+/// Sends the events after `Last-Event-Id` up to `last`, and breaks off in the middle of event
+/// `break_at`.
 fn script(request: &Request, last: u32, break_at: Option<u32>) -> Vec<Action> {
     let from = request.header("last-event-id").parse().unwrap_or(0) + 1;
     let mut actions = vec![Action::Send(head(request.id()).into_bytes())];
@@ -81,7 +81,7 @@
         .call(&get("/stream/1", "a", ""))
         .await;
     assert!(!response.is_complete);
-    assert_eq!(response.body, all(3), "a half event was passed on");
+    assert_eq!(response.body, all(3), "a partial event was passed on");
     assert_eq!(target.requests().len(), 1);
 }
 
@@ -113,7 +113,7 @@
     assert_eq!((one.requests().len(), two.requests().len()), (1, 1));
 }
 
-/// Breaks the first stream off after three events, and lets the target at which it goes on act as told.
+/// Breaks the first stream off after three events; the target that resumes it acts as `then` says.
 async fn fails_to_resume(then: impl Fn(&Request) -> Vec<Action> + Clone + 'static) {
     let script = move |request: &Request| {
         if request.header("last-event-id").is_empty() {
@@ -130,12 +130,13 @@
     assert_eq!(response.body, all(3));
     assert!(
         caller.reads_eof().await,
-        "bytes of another answer came behind"
+        "bytes of another response followed"
     );
     assert_eq!((one.requests().len(), two.requests().len()), (1, 1));
 }
 
-/// Lets both targets go dark after four events of a first run, on a route.
+/// Requests a stream from targets that lose power after four events of a first run. Returns the
+/// response and the number of runs.
 async fn loses_power(path: &str) -> (crate::harness::Response, usize) {
     let script = |request: &Request| {
         if !request.header("last-event-id").is_empty() {
@@ -264,40 +265,45 @@
 }
 
 cases! {
-    /// An event waits for nothing: a caller shows it as it is made.
+    /// Events are not held back: a caller shows each one as it is produced.
     events_arrive_as_they_are_produced => passes_events_on_at_once(),
-    /// An engine crashes in the middle of a stream that must not run twice. The caller must see that
-    /// it is broken, and no half event.
+    /// An engine crashes in the middle of a stream that must not run twice. The caller must see
+    /// that the stream is broken, and no partial event.
     a_broken_stream_never_looks_complete => truncates_a_broken_stream(),
-    /// An engine crashes in the middle of an event of a stream that may be resumed. The caller reads
-    /// one stream, whole and without a doubled event.
+    /// An engine crashes in the middle of an event of a resumable stream. The caller reads one
+    /// stream, complete and without a duplicate event.
     a_broken_stream_resumes_at_another_target => resumes_elsewhere(),
-    /// An engine's machine loses power: its connections stay open and nothing comes any more. The caller would
-    /// wait for the rest until its deadline, though another engine can go on.
+    /// An engine's machine loses power: its connections stay open and nothing arrives any more. The
+    /// caller would wait for the rest until its deadline, although another engine can resume the
+    /// stream.
     a_stream_resumes_after_its_target_loses_power => resumes_after_power_loss(),
-    /// The same where the stream may run only once. What the engine did is not known, so it is not sent again.
+    /// The same for a stream that may run only once. What the engine did is unknown, so the request
+    /// is not sent again.
     a_stream_that_may_run_once_is_not_rerun_after_a_power_loss => runs_once_despite_power_loss(),
-    /// An engine reads long prompts and sends nothing for two seconds. It is there, and a second run elsewhere
-    /// would cost as much again and come later.
+    /// An engine prefills long prompts and sends nothing for two seconds. It is alive, and a second
+    /// run elsewhere would cost as much again and come later.
     a_silent_but_reachable_target_keeps_its_stream => waits_for_a_reachable_target(),
-    /// The target at which a broken stream is to go on fails it. Written behind the events that the caller
-    /// has, its answer would be garbage in the middle of a stream.
+    /// The target that should resume a broken stream fails. Written after the events that the
+    /// caller has, its response would be garbage in the middle of a stream.
     a_failure_never_follows_a_begun_stream => fails_to_resume(|request| {
         vec![Action::Send(crate::harness::response(500, request.id(), "broke"))]
     }),
-    /// The target at which a broken stream is to go on answers with something that is no stream.
+    /// The target that should resume a broken stream responds with something that is no stream.
     another_response_never_follows_a_begun_stream => fails_to_resume(|request| {
         vec![Action::Send(crate::harness::response(404, request.id(), "what stream?"))]
     }),
-    /// The target at which a broken stream is to go on closes without an answer.
+    /// The target that should resume a broken stream closes without a response.
     a_refusal_never_follows_a_begun_stream => fails_to_resume(|_| vec![Action::Close]),
-    /// An engine crashes in the middle of an event that is too long to be kept until it is whole. Gone on after
-    /// the event before, the caller would read one event made of halves of two runs.
+    /// An engine crashes in the middle of an event that is too long to be buffered as a whole. If
+    /// the stream resumed after the event before, the caller would read one event made of parts of
+    /// two runs.
     a_long_event_that_is_broken_off_ends_the_stream => part_of_a_long_event_is_not_resumed(),
     /// A caller resumes a stream itself.
     a_stream_starts_after_the_named_event => starts_after_the_named_event(),
     /// An engine crashes after its head and before the first event: the run may have begun.
     a_stream_cut_before_its_first_event_is_unknown => outcome_is_unknown_before_the_first_event(),
-    /// A stream goes on beyond its route's time; the caller gets its end then, and the engine too.
+    /// A stream runs beyond its route's timeout. The caller's connection and the engine's are then
+    /// closed.
+    ///     ///
     a_stream_ends_with_its_routes_time => ends_at_the_route_timeout(),
 }
--- a/crates/zinniastall-gateway/tests/quotas.rs
+++ b/crates/zinniastall-gateway/tests/quotas.rs
@@ -1,11 +1,11 @@
-//! Quotas of client accounts over many instances: what is let in, and what is refused, while the instances hear of
-//! each other late or not at all.
+//! Quotas of client accounts over many instances: what is admitted and what is refused while the
+//! instances hear from each other late or not at all.
 
 #![expect(
     clippy::cast_precision_loss,
     clippy::cast_possible_truncation,
     clippy::cast_sign_loss,
-    reason = "tokens of a play are few"
+    reason = "token counts of a simulation are small"
 )]
 
 use std::{
@@ -30,25 +30,26 @@
 };
 
 const REGIONS: [&str; 3] = ["patras", "athens", "thessaloniki"];
-/// Instances of each availability zone; each region has two.
+/// Instances of each availability zone; each region has two zones.
 const INSTANCES_PER_ZONE: usize = 14;
-/// Window over which use is bounded, by how much it may be exceeded in part, and by how many tokens.
+/// Window over which use is bounded, the share by which the bound may be exceeded, and the tokens
+/// by which it may be exceeded on top.
 const WINDOW_MS: u64 = 8_000;
 const OVERSHOOT: f64 = 0.1;
 const SLACK: f64 = 110_000.0;
-/// A large account's rate, and one of the smallest.
+/// Rate of a large account and of one of the smallest, in tokens per second.
 const LARGE_RATE: u64 = 1_860_000;
 const SMALL_RATE: u64 = 29_000;
 const DURATION_S: u64 = 24;
 
-/// What callers do and what breaks, by time in milliseconds.
+/// Demand and failures, by time in milliseconds.
 struct Scenario {
     rate: u64,
-    /// Tokens asked for a second, as a part of the rate, in a region at a time.
+    /// Demand in a region at a time, as a share of the account's rate.
     demand: fn(region: usize, at: u64) -> f64,
-    /// Whether a region hears no other one.
+    /// Whether a region is partitioned from the others.
     is_partitioned: fn(region: usize, at: u64) -> bool,
-    /// When all instances lose what they know.
+    /// Time at which all instances lose their state.
     restart: Option<u64>,
 }
 
@@ -60,7 +61,7 @@
     phase: u64,
 }
 
-/// What an account was let in for and what it was refused, in tokens by millisecond.
+/// Tokens that an account was admitted with and refused, by millisecond.
 #[derive(Default)]
 struct Outcome {
     admitted: BTreeMap<u64, u64>,
@@ -68,7 +69,7 @@
 }
 
 impl Outcome {
-    /// Returns the most that was let in within any window.
+    /// Returns the most tokens admitted within any window.
     fn max_admitted_in_window(&self) -> u64 {
         let sum = |end: &u64| {
             let from = end.saturating_sub(WINDOW_MS - 1);
@@ -84,7 +85,7 @@
         tokens.range(from..to).map(|(_, tokens)| tokens).sum()
     }
 
-    /// Returns which part of what was asked for within a time was refused.
+    /// Returns the share of the demand within a time span that was refused.
     fn refused_part(&self, from: u64, to: u64) -> f64 {
         let (admitted, refused) = (
             Self::sum(&self.admitted, from, to),
@@ -215,7 +216,7 @@
     sends.collect()
 }
 
-/// What an instance knows of the one account.
+/// What an instance knows of the account.
 struct Account {
     key: Key,
     rate: u64,
@@ -232,7 +233,7 @@
     }
 }
 
-/// Makes requests of a region's callers: a third of them long.
+/// Sends the requests of a region's callers, a quarter of them long.
 fn send_requests(
     nodes: &mut [Node],
     region: usize,
@@ -270,7 +271,7 @@
     }
 }
 
-/// Names a play of some seeds; each ends with a check of the bound on every window.
+/// Defines tests that each run a scenario with several seeds and check the bound on every window.
 macro_rules! simulations {
     ($($(#[$about:meta])* $name:ident: $scenario:expr, $check:expr;)*) => {$(
         $(#[$about])*
@@ -283,7 +284,7 @@
                 let bound = (rate * 8.0 + rate) * (1.0 + OVERSHOOT) + SLACK;
                 let max_admitted = outcome.max_admitted_in_window() as f64;
                 println!("worst window {:.3} of the bound", max_admitted / bound);
-                assert!(max_admitted <= bound, "seed {seed}: {max_admitted} of {bound} let in within a window");
+                assert!(max_admitted <= bound, "seed {seed}: {max_admitted} of {bound} admitted within a window");
                 let check: fn(&Outcome) = $check;
                 check(&outcome);
             }
@@ -291,7 +292,7 @@
     )*};
 }
 
-/// Parts of an account's usual use by region, which changes places with the hours.
+/// Usual demand of an account by region; the busy region changes over time.
 fn usual_demand(region: usize, at: u64) -> f64 {
     let busy = usize::try_from(at / 8_000 % 3).unwrap_or(0);
     let part = if region == busy { 0.9 } else { 0.05 };
@@ -326,12 +327,12 @@
         demand: |region, at| usual_demand(region, at) * if (6_000..15_000).contains(&at) { 7.5 } else { 1.0 },
     }, |outcome| {
         let admitted = Outcome::sum(&outcome.admitted, 6_000, 15_000) as f64 / LARGE_RATE as f64 / 9.0;
-        println!("let in {admitted:.3} of the rate");
+        println!("admitted {admitted:.3} of the rate");
         assert!(admitted > 0.9, "{admitted}");
         assert!(outcome.refused_part(19_000, DURATION_S * 1_000) < 0.001, "once it is over");
     };
 
-    /// Guards against requests refused for which something of the last window is left.
+    /// Guards against requests refused although some of the last window's quota is left.
     a_peak_within_the_window_is_admitted: Scenario {
         rate: LARGE_RATE, is_partitioned: never, restart: None,
         demand: |region, at| usual_demand(region, at) * if (12_000..13_800).contains(&at) { 4.0 } else { 0.8 },
@@ -339,23 +340,23 @@
         assert!(outcome.refused_part(10_000, 16_000) < 0.001);
     };
 
-    /// Guards against a quota exceeded by a small account, of which each request is a large part.
+    /// Guards against a quota exceeded by a small account, of which each request is a large share.
     a_small_hot_account_is_held_to_its_quota: Scenario {
         rate: SMALL_RATE, is_partitioned: never, restart: None,
         demand: |region, at| usual_demand(region, at) * if (6_000..15_000).contains(&at) { 7.5 } else { 1.0 },
     }, |outcome| {
         let admitted = Outcome::sum(&outcome.admitted, 6_000, 15_000) as f64 / SMALL_RATE as f64 / 9.0;
-        println!("let in {admitted:.3} of the rate");
+        println!("admitted {admitted:.3} of the rate");
         assert!(admitted > 0.8, "{admitted}");
     };
 
-    /// Guards against regions that each use the whole quota while they can't hear each other.
+    /// Guards against regions that each use the whole quota while they can't hear from each other.
     a_hot_account_is_held_to_its_quota_in_partitioned_regions: Scenario {
         rate: LARGE_RATE, restart: None, is_partitioned: |_, at| (6_000..14_000).contains(&at),
         demand: |_, at| if at < 6_500 { 0.55 / 3.0 } else { 4.0 / 3.0 },
     }, |_| {};
 
-    /// Guards against refusals in regions that are cut off and go on as before.
+    /// Guards against refusals in partitioned regions whose use doesn't change.
     usual_use_continues_in_partitioned_regions: Scenario {
         rate: LARGE_RATE, restart: None, is_partitioned: |region, at| region == 1 && (6_000..14_000).contains(&at),
         demand: |_, _| 0.55 / 3.0,
@@ -365,15 +366,15 @@
         assert!(refused < 0.01);
     };
 
-    /// Guards against a quota spent a second time by instances that lost what they knew.
+    /// Guards against a quota spent a second time by instances that lost their state.
     a_hot_account_is_held_to_its_quota_over_a_restart_of_all: Scenario {
         rate: LARGE_RATE, is_partitioned: never, restart: Some(9_000),
         demand: |region, at| usual_demand(region, at) * if at < 6_000 { 1.0 } else { 7.5 },
     }, |_| {};
 }
 
-/// Guards against an account that gets nothing for seconds because operators have lowered its quota: what it used by
-/// the quota of before is no debt.
+/// Guards against an account that gets nothing for seconds after operators lowered its quota: what
+/// it used under the former quota is no debt.
 #[test]
 fn a_lowered_quota_is_given_at_once() {
     const ASKED: u64 = 1_000_000;
@@ -395,19 +396,19 @@
             let claim = claim(random.random());
             quotas.admit(account, &quota(rate), claim, now).is_ok()
         });
-        // What is let in shows in the totals a moment later.
+        // What is admitted shows in the totals a moment later.
         let admitted = admitted.count() as u64 * ASKED / 200;
         used = (used * 4 + admitted) / 5;
         if (110..150).contains(&round) {
             total_admitted += admitted / 10;
         }
     }
-    println!("let in {total_admitted} within four seconds");
+    println!("admitted {total_admitted} within four seconds");
     assert!(total_admitted > ASKED / 10 * 2, "{total_admitted}");
     assert!(total_admitted < ASKED / 10 * 8, "{total_admitted}");
 }
 
-/// Returns what a first collector sends of many accounts that all have the same use.
+/// Returns what a first collector sends for many accounts that all have the same use.
 fn totals_of_many(accounts: u32, usage: Usage, known: &dyn Accounts) -> Vec<Datagram> {
     let mut nodes = nodes(&mut StdRng::seed_from_u64(1));
     let first = nodes.iter_mut().find(|node| node.roster.is_first());
@@ -419,7 +420,8 @@
     sends.into_iter().map(|sent| sent.datagram).collect()
 }
 
-/// Guards against totals of many accounts that count in part: an account of a later datagram would seem to use nothing.
+/// Guards against totals of many accounts that are applied in part: an account of a later datagram
+/// would seem to use nothing.
 #[test]
 fn totals_of_many_accounts_are_applied_as_a_whole() {
     let usage = Usage {
@@ -433,18 +435,21 @@
     };
     let mut totals = totals_of_many(100, usage, &known);
     totals.retain(|datagram| matches!(datagram, Datagram::AllUsed { .. }));
-    assert!(totals.len() > 1, "one datagram can't hold them");
+    assert!(totals.len() > 1, "one datagram can't hold the totals");
     let mut heard = Exchange::default();
-    let last = totals.pop().expect("the last one");
+    let last = totals.pop().expect("a last datagram");
     for datagram in totals {
-        assert!(!heard.hear(datagram, Instant::now()), "some are missing");
+        assert!(
+            !heard.hear(datagram, Instant::now()),
+            "some totals are missing"
+        );
     }
     assert!(heard.hear(last, Instant::now()));
     let used = heard.totals().values().map(|total| total.usage.used);
     assert_eq!(used.sum::<u64>(), 100 * 60);
 }
 
-/// Accounts of which absurd numbers are known.
+/// Accounts with absurdly large numbers.
 struct Absurd;
 
 impl Accounts for Absurd {
--- a/crates/zinniastall-gateway/tests/suspects.rs
+++ b/crates/zinniastall-gateway/tests/suspects.rs
@@ -1,8 +1,9 @@
-//! Suspected requests over many instances: how soon all know of a crash, and what an instance learns that missed it.
+//! Suspected requests over many instances: how soon all learn of a crash, and what an instance
+//! learns that missed it.
 
 #![expect(
     clippy::unwrap_used,
-    reason = "helpers of tests fail the test, as its own lines do"
+    reason = "a failing helper fails its test, as the test's own lines do"
 )]
 
 use std::{
@@ -24,14 +25,14 @@
 };
 use zinniastall_model::{fingerprint::Fingerprint, place::Place, presence::Presence};
 
-/// Time between two rounds, and for which news is gathered, in milliseconds.
+/// Time between two rounds, and the time for which news is batched.
 const ROUND_MS: u64 = 100;
 const GATHER_MS: u64 = 10;
-/// One-way trips within a region and between two, in milliseconds.
+/// One-way latencies within a region and between regions.
 const LATENCIES_MS: (u64, u64) = (1, 55);
-/// Part of the datagrams that is lost.
+/// Share of the datagrams that is lost.
 const LOSS_RATE: f64 = 0.02;
-/// Requests that ride on a target.
+/// Requests that run on a target.
 const BATCH: u8 = 64;
 
 struct Node {
@@ -52,7 +53,7 @@
     sent: BTreeMap<(u64, u64), (usize, usize, Datagram)>,
     datagrams: u64,
     bytes: usize,
-    /// Region that hears nobody and is heard by nobody.
+    /// Region that is partitioned from all others.
     partitioned: Option<String>,
 }
 
@@ -110,7 +111,7 @@
         self.start + Duration::from_millis(self.at)
     }
 
-    /// A target crashes that had requests of one instance.
+    /// Crashes a target that ran requests of one instance.
     fn crash(&mut self, node: usize, requests: impl Iterator<Item = u8>, run: u64) {
         let now = self.now();
         let suspects = &mut self.nodes[node].suspects;
@@ -193,7 +194,7 @@
         }
     }
 
-    /// Plays until a condition holds at all instances; returns the milliseconds that it took.
+    /// Runs until a condition holds at all instances. Returns the milliseconds that it took.
     fn run_until(&mut self, timeout: u64, condition: impl Fn(&Suspects) -> bool) -> u64 {
         let since = self.at;
         while !self.nodes.iter().all(|node| condition(&node.suspects)) {
@@ -215,7 +216,7 @@
     (0..BATCH).all(|number| suspects.crashes(request(number)) > 0)
 }
 
-/// A target crashes with a full batch, whose requests came over several instances.
+/// Crashes a target with a full batch, whose requests came through several instances.
 fn check_crash_propagation(instances: usize, regions: usize, zones: usize, seeds: u64) {
     for seed in 0..seeds {
         let mut simulation = Simulation::new(seed, instances, regions, zones);
@@ -224,7 +225,7 @@
         let senders = simulation.nodes.len().min(8);
         let each = BATCH / u8::try_from(senders).unwrap();
         for sender in 0..senders {
-            // Instances of one region: those that have the crashed target.
+            // Instances of one region, which is the crashed target's.
             let node = sender * regions % instances;
             let from = each * u8::try_from(sender).unwrap();
             simulation.crash(node, from..from + each, 1);
@@ -235,7 +236,7 @@
         simulation.run_for(2 * ROUND_MS);
         let each = |sum: u64| sum / u64::try_from(instances).unwrap();
         println!(
-            "all know after {took} ms; {} datagrams and {} bytes an instance",
+            "all instances know after {took} ms; {} datagrams and {} bytes per instance",
             each(simulation.datagrams - datagrams),
             each(u64::try_from(simulation.bytes - bytes).unwrap())
         );
@@ -245,7 +246,8 @@
 macro_rules! sizes {
     ($($name:ident: $instances:expr, $regions:expr, $zones:expr, $seeds:expr;)*) => {
         $(
-            /// A request that crashes targets goes on elsewhere, where nobody has heard of it.
+            /// A request that crashes targets is retried elsewhere, where no instance has heard of
+            /// the crash.
             #[test]
             fn $name() {
                 check_crash_propagation($instances, $regions, $zones, $seeds);
@@ -262,7 +264,7 @@
     seventeen_hundred_instances_hear_of_a_crash_within_a_second: 1_700, 23, 3, 1;
 }
 
-/// An instance that starts, or was suspended, runs what all others have quarantined.
+/// An instance that has just started, or was suspended, would run what all others have quarantined.
 #[test]
 fn a_restarted_instance_learns_what_is_quarantined() {
     let mut simulation = Simulation::new(7, 83, 3, 2);
@@ -275,11 +277,12 @@
         simulation.nodes[node].suspects = Suspects::default();
         simulation.nodes[node].exchange = Exchange::default();
     }
-    // One round, an answer, and one more of each in case a datagram is lost.
+    // One round, a response, and another one of each in case a datagram is lost.
     simulation.run_until(1_500, |suspects| suspects.crashes(request(0)) >= LIMIT);
 }
 
-/// Both sides of a cut learn what the other one has found out meanwhile, and count it together.
+/// Each side of a partition learns what the other one has found out meanwhile, and both are counted
+/// together.
 #[test]
 fn regions_that_were_partitioned_add_up_their_crashes() {
     let mut simulation = Simulation::new(8, 83, 3, 2);
@@ -298,7 +301,7 @@
     simulation.run_until(5_000, |suspects| suspects.crashes(request(0)) >= LIMIT);
 }
 
-/// A request that was cleared stays suspected where the news was missed.
+/// A request that was cleared stays suspected where the news was lost.
 #[test]
 fn a_cleared_request_is_cleared_everywhere() {
     let mut simulation = Simulation::new(9, 83, 3, 2);
@@ -314,7 +317,7 @@
     simulation.run_until(5_000, |suspects| suspects.crashes(request(0)) == 0);
 }
 
-/// Nothing is sent but comparisons while no target crashes.
+/// Only checksums are exchanged while no target crashes.
 #[test]
 fn idle_instances_compare_once_a_second() {
     let mut simulation = Simulation::new(10, 83, 3, 2);
--- a/crates/zinniastall-gateway/tests/words.rs
+++ b/crates/zinniastall-gateway/tests/words.rs
@@ -1,4 +1,4 @@
-//! Words between the instances of a region, over real datagrams.
+//! Load reports between the instances of a region, over UDP sockets.
 
 use std::{cell::RefCell, rc::Rc, sync::Arc, time::Duration};
 
@@ -14,7 +14,7 @@
 };
 use zinniastall_model::{place::Place, presence::Presence};
 
-/// Targets of a large region; their names are as long as names mostly are.
+/// Targets of a large region, with names of the usual length.
 const TARGETS: usize = 150;
 
 fn presence(name: &str, address: String) -> Presence {
@@ -29,8 +29,8 @@
     }
 }
 
-/// A region has 150 targets, all of them busy. Were all told in one datagram, it would be too long to be
-/// sent, and the instances of the largest regions would place blindly.
+/// A region has 150 targets, all of them busy. A single datagram with all of them would be too long
+/// to send, and the instances of the largest regions would route without any load.
 #[test]
 fn the_load_of_many_targets_arrives() {
     actix::System::new().block_on(async {
@@ -87,6 +87,6 @@
         };
         time::timeout(Duration::from_secs(20), whole)
             .await
-            .expect("all of it is heard");
+            .expect("all loads arrive in time");
     });
 }
