--- a/crates/zinniastall-gateway/tests/decide/place.rs
+++ b/crates/zinniastall-gateway/tests/decide/place.rs
@@ -189,9 +189,7 @@
     };
     let (before, _) = simulate(200, least);
     let (after, late) = simulate(200, |candidates| choose(candidates, &[], CONSTRAINTS));
-    println!(
-        "answered in time, of 2,000 with a capacity of 1,000: {before} without a bound, {after} with it, {late} late"
-    );
+    println!("in time of 2,000, capacity 1,000: {before} unbounded, {after} bounded, {late} late");
     assert!(before < 250, "{before}");
     assert!(after > 850, "{after}");
     assert!(late < 100, "{late}");
@@ -377,9 +375,7 @@
     let percent = |share: Share| share.in_time * 100 / share.asked;
     let [urgent, others] = simulate_ranks(100, 70, 0).map(percent);
     let [urgent_first, others_first] = simulate_ranks(100, 70, 1).map(percent);
-    println!(
-        "percent in time, urgent and others: {urgent} and {others} with equal ranks, {urgent_first} and {others_first} by rank"
-    );
+    println!("percent in time: {urgent}, {others} alike; {urgent_first}, {others_first} by rank");
     assert!(urgent < 80, "{urgent}");
     assert!(urgent_first > 97, "{urgent_first}");
     assert!(others_first > 30, "{others_first}");
--- a/crates/zinniastall-gateway/tests/decide/slow_start.rs
+++ b/crates/zinniastall-gateway/tests/decide/slow_start.rs
@@ -6,7 +6,7 @@
 
 /// Request rate that a cold target sustains, in thousandths of a request per second.
 const RATE_MILLI: u64 = 2_200;
-/// Most requests that a cold target sustains within one second: one and a half times the rate, and
+/// Most requests that a cold target sustains within one second: one and a half times the rate, plus
 /// three.
 const MAX_PER_SECOND: usize = 6;
 
@@ -44,7 +44,7 @@
 }
 
 /// The same where targets sustain more. Two senders at nine tenths of the rate each would together
-/// exceed one and a half times the rate and three, from a rate of ten on.
+/// exceed one and a half times the rate plus three, from a rate of ten on.
 #[test]
 fn two_senders_stay_under_the_bound_at_any_rate() {
     let base = Instant::now();
--- a/crates/zinniastall-gateway/tests/decide/steady.rs
+++ b/crates/zinniastall-gateway/tests/decide/steady.rs
@@ -23,29 +23,29 @@
 struct Scenario {
     engines: usize,
     instances: usize,
-    /// Time between two reports of the instances to each other, in microseconds.
-    report_interval: u64,
-    /// Time between two long prompts and between two short ones, in microseconds.
-    long: u64,
-    short: u64,
+    /// Time between two reports of the instances to each other.
+    report_interval_us: u64,
+    /// Time between two long prompts, and between two short ones.
+    long_interval_us: u64,
+    short_interval_us: u64,
 }
 
 /// A region with long prompts for 1.3 times what its engines can prefill.
 const OVERLOADED: Scenario = Scenario {
     engines: 4,
     instances: 4,
-    report_interval: 100_000,
-    long: 25_000,
-    short: 83_000,
+    report_interval_us: 100_000,
+    long_interval_us: 25_000,
+    short_interval_us: 83_000,
 };
 /// A large region with long prompts for seven tenths of what its engines can prefill. It has so
 /// many instances that each hears from the others only now and then.
 const LARGE: Scenario = Scenario {
     engines: 16,
     instances: 12,
-    report_interval: 300_000,
-    long: 11_600,
-    short: 20_000,
+    report_interval_us: 300_000,
+    long_interval_us: 11_600,
+    short_interval_us: 20_000,
 };
 
 /// A request at an engine.
@@ -211,7 +211,8 @@
     let mut engines: Vec<(Engine, Reports)> =
         (0..scenario.engines).map(|_| Default::default()).collect();
     let times = |each: u64, is_long| (0..20_000_000 / each).map(move |at| (at * each, is_long));
-    let times = times(scenario.long, true).chain(times(scenario.short, false));
+    let times =
+        times(scenario.long_interval_us, true).chain(times(scenario.short_interval_us, false));
     let mut due: Vec<(u64, bool)> = times.collect();
     due.sort_unstable();
     let mut shares = [Share::default(); 2];
@@ -219,7 +220,7 @@
     let mut random = StdRng::seed_from_u64(1);
     for (at, (now, is_long)) in due.into_iter().enumerate() {
         shares[usize::from(!is_long)].asked += 1;
-        let is_report_due = now >= last_report + scenario.report_interval;
+        let is_report_due = now >= last_report + scenario.report_interval_us;
         last_report = if is_report_due { now } else { last_report };
         for (engine, reports) in &mut engines {
             engine.run(now);
@@ -228,11 +229,11 @@
             }
         }
         let request = Request::new(is_long, at % scenario.instances, now);
-        let weighed = engines.iter().map(|(engine, reports)| Candidate {
+        let compared = engines.iter().map(|(engine, reports)| Candidate {
             tie: random.random(),
             ..reports.candidate(engine, &request)
         });
-        let candidates: Vec<Candidate> = weighed.collect();
+        let candidates: Vec<Candidate> = compared.collect();
         if let Choice::Here(at) = decide(&candidates, is_long) {
             engines[at].0.waiting.push_back(request);
         }
@@ -334,7 +335,6 @@
 
 /// Guards against streams that pause behind long prompts of an urgent account, and against short
 /// requests that an account's rank keeps from targets on which they would do no harm.
-/// ///
 #[test]
 fn an_accounts_rank_leaves_the_bound_on_pauses_alone() {
     let reading = Candidate {
--- a/crates/zinniastall-gateway/tests/knowledge.rs
+++ b/crates/zinniastall-gateway/tests/knowledge.rs
@@ -221,7 +221,6 @@
 /// A farther replica's list is in transit when the instance turns to a nearer one. The farther
 /// replica sends no changes from then on. If its last list were kept, an instance that was still
 /// starting in it would never count as ready.
-/// ///
 #[test]
 fn a_list_that_comes_too_late_is_not_kept() {
     let (mut known, now) = (state(), Instant::now());
--- a/crates/zinniastall-gateway/tests/path/harness.rs
+++ b/crates/zinniastall-gateway/tests/path/harness.rs
@@ -142,7 +142,9 @@
                     tokio::select! {
                         biased;
                         _ = crashed.wait_for(|crashed| *crashed) => {}
-                        () = serve_connection(stream, connection, &*script, &requests, (&power_loss, &crash)) => {}
+                        () = serve_connection(
+                            stream, connection, &*script, &requests, (&power_loss, &crash),
+                        ) => {}
                     }
                     *closed.borrow_mut() += 1;
                 });
@@ -384,9 +386,9 @@
 }
 
 /// Waits until a condition holds.
-pub(crate) async fn wait_until(what: &str, holds: impl Fn() -> bool) {
+pub(crate) async fn wait_until(what: &str, condition: impl Fn() -> bool) {
     let since = time::Instant::now();
-    while !holds() {
+    while !condition() {
         assert!(since.elapsed() < TIMEOUT, "timed out waiting until {what}");
         time::sleep(Duration::from_millis(2)).await;
     }
--- a/crates/zinniastall-gateway/tests/path/quarantine.rs
+++ b/crates/zinniastall-gateway/tests/path/quarantine.rs
@@ -308,22 +308,25 @@
 }
 
 cases! {
-    /// A request crashes one target after the other, and the service with them.
+    /// Guards against a request that takes down one target after the other, and the service with
+    /// them.
     a_request_that_crashes_targets_crashes_three_at_most => crashes_three_at_most("/plans/1"),
     a_request_that_may_run_once_crashes_three_at_most => crashes_three_at_most("/pay/1"),
     a_stream_that_may_be_resumed_crashes_three_at_most => crashes_three_at_most("/stream/1"),
     /// A request that crashes the targets of one region is sent to the instances of another.
     crashes_are_shared_across_regions => shares_crashes_across_regions(),
-    /// A region that hasn't heard of a suspect runs it as if it were the first time.
+    /// Guards against a region that runs a suspect it hasn't heard of as if it were the first time.
     a_forwarded_request_carries_its_suspicion => forwards_suspicion(),
-    /// A popular request is rejected because many targets crashed while running it.
+    /// Guards against rejecting a popular request because many targets crashed while running it.
     a_popular_request_is_not_quarantined => keeps_popular_requests(),
-    /// A request is refused because it is offered to one crashed target after the other.
+    /// Guards against refusing a request because it is offered to one crashed target after the
+    /// other.
     a_target_that_crashed_is_skipped => skips_crashed_targets(),
-    /// A request whose responses are cut off is taken for one that crashes targets.
+    /// Guards against taking a request whose responses are cut off for one that crashes targets.
     a_request_that_is_cut_off_is_not_suspected => ignores_cut_requests(),
-    /// A deployment makes suspects of all requests that it cuts off.
+    /// Guards against a rollout that makes suspects of all requests that it cuts off.
     a_planned_termination_makes_no_suspects => ignores_planned_terminations(),
-    /// Callers that send a request several times at once crash one target with each copy.
+    /// Guards against callers that send a request several times at once and crash a target with
+    /// each copy.
     a_strong_suspect_is_tried_one_copy_at_a_time => tries_one_copy_at_a_time(),
 }
--- a/crates/zinniastall-gateway/tests/path/request_log.rs
+++ b/crates/zinniastall-gateway/tests/path/request_log.rs
@@ -283,7 +283,7 @@
     an_unknown_outcome_has_its_line => given_up(),
     /// Two targets crashed under one request that came twice; its lines must show that.
     a_crash_names_its_request => crashed_twice(),
-    /// A broken connection is taken for a crash.
+    /// Guards against taking a broken connection for a crash.
     a_cut_connection_is_not_a_crash => cut_off_without_a_crash(),
     /// Every request fails. Unbounded log lines would cost more than the requests and fill the
     /// disk.
--- a/crates/zinniastall-gateway/tests/path/streams.rs
+++ b/crates/zinniastall-gateway/tests/path/streams.rs
@@ -280,8 +280,8 @@
     /// The same for a stream that may run only once. What the engine did is unknown, so the request
     /// is not sent again.
     a_stream_that_may_run_once_is_not_rerun_after_a_power_loss => runs_once_despite_power_loss(),
-    /// An engine prefills long prompts and sends nothing for two seconds. It is alive, and a second
-    /// run elsewhere would cost as much again and come later.
+    /// An engine prefills long prompts and sends nothing for two seconds. It can be reached, and a
+    /// second run elsewhere would cost as much again and come later.
     a_silent_but_reachable_target_keeps_its_stream => waits_for_a_reachable_target(),
     /// The target that should resume a broken stream fails. Written after the events that the
     /// caller has, its response would be garbage in the middle of a stream.
@@ -302,8 +302,7 @@
     a_stream_starts_after_the_named_event => starts_after_the_named_event(),
     /// An engine crashes after its head and before the first event: the run may have begun.
     a_stream_cut_before_its_first_event_is_unknown => outcome_is_unknown_before_the_first_event(),
-    /// A stream runs beyond its route's timeout. The caller's connection and the engine's are then
-    /// closed.
-    ///     ///
+    /// A stream runs beyond its route's timeout. The caller's stream then ends, and the connection
+    /// to the engine closes.
     a_stream_ends_with_its_routes_time => ends_at_the_route_timeout(),
 }
--- a/crates/zinniastall-gateway/tests/quotas.rs
+++ b/crates/zinniastall-gateway/tests/quotas.rs
@@ -61,7 +61,8 @@
     phase: u64,
 }
 
-/// Tokens that an account was admitted with and refused, by millisecond.
+/// Tokens admitted and refused for an account, by millisecond.
+/// ///
 #[derive(Default)]
 struct Outcome {
     admitted: BTreeMap<u64, u64>,
--- a/crates/zinniastall-gateway/tests/suspects.rs
+++ b/crates/zinniastall-gateway/tests/suspects.rs
@@ -246,8 +246,8 @@
 macro_rules! sizes {
     ($($name:ident: $instances:expr, $regions:expr, $zones:expr, $seeds:expr;)*) => {
         $(
-            /// A request that crashes targets is retried elsewhere, where no instance has heard of
-            /// the crash.
+            /// Guards against a request that crashes targets and is retried where no instance has
+            /// heard of it.
             #[test]
             fn $name() {
                 check_crash_propagation($instances, $regions, $zones, $seeds);
@@ -264,7 +264,8 @@
     seventeen_hundred_instances_hear_of_a_crash_within_a_second: 1_700, 23, 3, 1;
 }
 
-/// An instance that has just started, or was suspended, would run what all others have quarantined.
+/// Guards against an instance that has just started, or was suspended, and runs what all others
+/// have quarantined.
 #[test]
 fn a_restarted_instance_learns_what_is_quarantined() {
     let mut simulation = Simulation::new(7, 83, 3, 2);
@@ -301,7 +302,7 @@
     simulation.run_until(5_000, |suspects| suspects.crashes(request(0)) >= LIMIT);
 }
 
-/// A request that was cleared stays suspected where the news was lost.
+/// Guards against a cleared request that stays suspected where the news was lost.
 #[test]
 fn a_cleared_request_is_cleared_everywhere() {
     let mut simulation = Simulation::new(9, 83, 3, 2);
