--- a/crates/zinniastall-gateway/src/path/placement.rs
+++ b/crates/zinniastall-gateway/src/path/placement.rs
@@ -418,10 +418,12 @@
             let queued = per_target.in_flight.saturating_sub(slots);
             let prefill_time = Duration::from_micros(per_target.reading_us);
             return Some(
-                prefill_time + DELAY_PER_QUEUED * queued + DELAY_PER_RUNNING * per_target.in_flight);
+                prefill_time + DELAY_PER_QUEUED * queued + DELAY_PER_RUNNING * per_target.in_flight,
+            );
         }
         let work = self
-            .tracker.borrow()
+            .tracker
+            .borrow()
             .service_time(&job.service, self.policy.default_service_time);
         Some(work * per_target.in_flight / slots)
     }
--- a/crates/zinniastall-gateway/src/path/serve.rs
+++ b/crates/zinniastall-gateway/src/path/serve.rs
@@ -269,7 +269,8 @@
         let mut quotas = self.quotas.borrow_mut();
         let admitted = quotas.admit(charge.account, &charge.quota, claim, job.arrived);
         let account = job.account().map_or("", |account| account.name.as_str());
-        self.metrics.count_units(account, charge.cost, admitted.is_ok());
+        self.metrics
+            .count_units(account, charge.cost, admitted.is_ok());
         admitted.map_err(|excess| {
             self.request_log.exceeded(job, charge, excess);
             (
