--- a/crates/zinniastall-coord/src/election.rs
+++ b/crates/zinniastall-coord/src/election.rs
@@ -2,7 +2,7 @@
 //!
 //! A follower that heard a leader refuses votes for [`Timing::election`]; a leader's lease is
 //! shorter than that by [`Timing::margin`]. This order of the two times keeps a leader that was cut
-//! off from answering reads beside its successor, so it is checked before a replica starts.
+//! off from answering beside its successor, so it is checked before a replica starts.
 
 use std::time::Duration;
 
--- a/crates/zinniastall-coord/src/lease.rs
+++ b/crates/zinniastall-coord/src/lease.rs
@@ -1,4 +1,4 @@
-//! The leader's lease: how long it may answer reads without asking the others.
+//! The leader's lease: how long it may act without asking the others.
 //!
 //! A lease starts when the leader *sent* the heartbeats that a majority has since acknowledged, and
 //! lasts less than the time for which a follower refuses votes after hearing a leader. While it
--- a/crates/zinniastall-coord/src/lib.rs
+++ b/crates/zinniastall-coord/src/lib.rs
@@ -11,7 +11,7 @@
 //! | [`log`] | entries and the in-memory log |
 //! | [`voters`] | voters and learners, and single-server changes of them |
 //! | [`election`] | election timing and vote counting |
-//! | [`lease`] | the time during which a leader may answer reads alone |
+//! | [`lease`] | the time during which a leader may act alone |
 //! | [`membership`] | failure detection, by evidence for both directions of a link |
 //! | [`digest`] | facts about groups, flooded within a budget and expired |
 //! | [`fence`] | fencing tokens, and the gate that refuses old ones |
--- a/crates/zinniastall-coord/src/replica/quorum.rs
+++ b/crates/zinniastall-coord/src/replica/quorum.rs
@@ -10,7 +10,7 @@
 use crate::voters::Voters;
 
 impl Replica {
-    /// Returns the lease of a leader that may answer reads without asking the others.
+    /// Returns the lease of a leader that may act without asking the others.
     ///
     /// A new leader has no lease before it has applied an entry of its own term: until then it
     /// doesn't know which of its predecessors' entries are committed, and a read could miss one
--- a/crates/zinniastall-coord/tests/membership.rs
+++ b/crates/zinniastall-coord/tests/membership.rs
@@ -391,8 +391,12 @@
             prop_assert!(a == b || net.frozen.contains(&b) || !net.alive(b, a));
         }
         for node in net.frozen.clone() {
-            let thawed = |peer: &usize| !net.frozen.contains(peer);
-            prop_assert!((0..NODES).filter(thawed).all(|peer| !net.alive(peer, node)));
+            let running = |peer: &usize| !net.frozen.contains(peer);
+            prop_assert!(
+                (0..NODES)
+                    .filter(running)
+                    .all(|peer| !net.alive(peer, node))
+            );
         }
         net.cut.clear();
         net.frozen.clear();
