--- a/crates/zinniastall-gateway/src/decide/concurrency.rs
+++ b/crates/zinniastall-gateway/src/decide/concurrency.rs
@@ -24,8 +24,8 @@
     /// Lowers the limit after the target refused a request behind `in_flight` others; the limit
     /// never falls below its slots.
     pub fn on_refused(&mut self, in_flight: u32, slots: u32) {
-        let in_flight = f64::from(in_flight.max(slots));
-        self.limit = Some(self.limit.map_or(in_flight, |limit| limit.min(in_flight)));
+        let accepted = f64::from(in_flight.max(slots));
+        self.limit = Some(self.limit.map_or(accepted, |limit| limit.min(accepted)));
     }
 
     /// Raises the limit if the target accepted a request at it, behind `in_flight` others.
--- a/crates/zinniastall-gateway/src/decide/fetch.rs
+++ b/crates/zinniastall-gateway/src/decide/fetch.rs
@@ -39,18 +39,18 @@
 /// are prefilled.
 const MIN_TOKENS: u64 = 500;
 
-/// Chooses the target from which `chosen` copies the tokens it lacks; `read` returns the prefill
-/// time of a number of tokens.
+/// Chooses the target from which `chosen` copies the tokens it lacks; `prefill_time` returns
+/// the prefill time of a number of tokens.
 pub fn source(
     holders: &[Holder],
     chosen: usize,
     link: Link,
-    read: impl Fn(u64) -> Duration,
+    prefill_time: impl Fn(u64) -> Duration,
 ) -> Option<usize> {
     let own = holders[chosen].known;
     let others = (0..holders.len()).filter(|at| *at != chosen);
     let best = others.max_by_key(|at| (holders[*at].expected, holders[*at].known))?;
     let missing = holders[best].expected.saturating_sub(own);
-    let is_worthwhile = link.mbps > 0 && link.time(missing) * MIN_SPEEDUP <= read(missing);
+    let is_worthwhile = link.mbps > 0 && link.time(missing) * MIN_SPEEDUP <= prefill_time(missing);
     (missing >= MIN_TOKENS && is_worthwhile).then_some(best)
 }
--- a/crates/zinniastall-gateway/src/decide/outlier.rs
+++ b/crates/zinniastall-gateway/src/decide/outlier.rs
@@ -8,10 +8,10 @@
 
 /// Consecutive failures that eject a target. A single failure may be the request's own fault, or a
 /// connection that broke while idle.
-const MAX_CONSECUTIVE_FAILURES: u32 = 3;
+const EJECTION_FAILURES: u32 = 3;
 /// Failure rate that ejects a target. A service may fail a seventh of its requests for reasons of
 /// its own.
-const MAX_FAILURE_RATE: f64 = 0.45;
+const EJECTION_FAILURE_RATE: f64 = 0.45;
 /// Weight of the newest result in the failure rate.
 const SMOOTHING: f64 = 0.15;
 /// Duration of the first ejection; each further one is twice as long.
@@ -41,8 +41,8 @@
     pub fn failure(&mut self, now: Instant) -> Option<Duration> {
         self.consecutive_failures += 1;
         self.failure_rate += SMOOTHING * (1.0 - self.failure_rate);
-        if self.consecutive_failures < MAX_CONSECUTIVE_FAILURES
-            && self.failure_rate < MAX_FAILURE_RATE
+        if self.consecutive_failures < EJECTION_FAILURES
+            && self.failure_rate < EJECTION_FAILURE_RATE
         {
             return None;
         }
--- a/crates/zinniastall-gateway/src/decide/place.rs
+++ b/crates/zinniastall-gateway/src/decide/place.rs
@@ -251,14 +251,14 @@
 }
 
 fn best_target(candidates: &[Candidate]) -> Option<usize> {
-    let indexes = candidates.iter().enumerate();
+    let indexed = candidates.iter().enumerate();
     let rank = |target: &Candidate| (target.is_ejected, target.cost(), target.tie_breaker);
-    let best = indexes.min_by_key(|(_, candidate)| rank(candidate));
+    let best = indexed.min_by_key(|(_, candidate)| rank(candidate));
     best.map(|(at, _)| at)
 }
 
 fn best_region(regions: &[Region]) -> Option<usize> {
-    let indexes = regions.iter().enumerate();
-    let best = indexes.min_by_key(|(_, region)| region.wait + region.round_trip);
+    let indexed = regions.iter().enumerate();
+    let best = indexed.min_by_key(|(_, region)| region.wait + region.round_trip);
     best.map(|(at, _)| at)
 }
--- a/crates/zinniastall-gateway/src/decide/prefill.rs
+++ b/crates/zinniastall-gateway/src/decide/prefill.rs
@@ -25,16 +25,16 @@
 }
 
 impl Rates {
-    /// Returns the expected prefill time of a prompt of `tokens` tokens, `kept` of which are
-    /// cached.
+    /// Returns the expected prefill time of a prompt of `tokens` tokens, of which the first
+    /// `cached` are cached.
     ///
     /// Each token is processed once and compared with all tokens before it, so the second term
     /// grows with the square of the length.
-    pub fn expected(&self, tokens: u64, kept: u64) -> Duration {
+    pub fn expected(&self, tokens: u64, cached: u64) -> Duration {
         #[expect(clippy::cast_precision_loss, reason = "tokens are far below 2^52")]
-        let (all, kept) = (tokens as f64, kept.min(tokens) as f64);
-        let each = (all - kept) / self.tokens_per_ms;
-        let pairs = (all * all - kept * kept) / 1e6 * self.pairs_ms;
-        Duration::from_secs_f64((each + pairs) / 1_000.0)
+        let (all, cached) = (tokens as f64, cached.min(tokens) as f64);
+        let linear = (all - cached) / self.tokens_per_ms;
+        let quadratic = (all * all - cached * cached) / 1e6 * self.pairs_ms;
+        Duration::from_secs_f64((linear + quadratic) / 1_000.0)
     }
 }
--- a/crates/zinniastall-gateway/src/path/attempt.rs
+++ b/crates/zinniastall-gateway/src/path/attempt.rs
@@ -194,14 +194,14 @@
             }
             return ended;
         }
-        let stream = job.is_stream() && response.status.is_success();
-        if responder.has_begun() && !stream {
+        let is_stream = job.is_stream() && response.status.is_success();
+        if responder.has_begun() && !is_stream {
             return Ended::Broken(format!(
                 "status {} instead of the resumed stream",
                 response.status
             ));
         }
-        let ended = if stream {
+        let ended = if is_stream {
             self.forward_stream(
                 attempt,
                 &response,
@@ -216,7 +216,7 @@
             let ended = self
                 .forward_whole(job, &response, &mut connection, responder)
                 .await;
-            self.note_work(attempt, &ended, now.elapsed());
+            self.record_service_time(attempt, &ended, now.elapsed());
             ended
         };
         if is_clean && matches!(ended, Ended::Delivered | Ended::Failing(_)) {
@@ -272,7 +272,7 @@
                 || !length_known
                 || !drain_body(reader, Decoder::new(framing)).await
             {
-                return Err("too many answers to other requests".to_owned());
+                return Err("answers to other requests".to_owned());
             }
         };
         Ok((response, is_written && stray_answers == 0))
@@ -320,7 +320,7 @@
     }
 
     /// Updates the service time of a plain service from an answer.
-    fn note_work(&self, attempt: &Attempt<'_>, ended: &Ended, took: Duration) {
+    fn record_service_time(&self, attempt: &Attempt<'_>, ended: &Ended, took: Duration) {
         let Place::Target { slots, .. } = attempt.place else {
             return;
         };
--- a/crates/zinniastall-gateway/src/path/crash.rs
+++ b/crates/zinniastall-gateway/src/path/crash.rs
@@ -28,7 +28,7 @@
 
 /// Time within which another region's report of a crash arrives: the transit between the
 /// regions, plus batching.
-const NEWS_DELAY: Duration = Duration::from_millis(80);
+const CRASH_REPORT_DELAY: Duration = Duration::from_millis(80);
 
 /// Whether a request may be sent despite the suspicion against it.
 #[derive(Debug)]
@@ -140,10 +140,10 @@
 
     /// Returns whether an instance of another region reported a crash that was unknown before.
     async fn has_crashed_elsewhere(&self, job: &Job, is_broken: bool, before: usize) -> bool {
-        // An interrupted stream doesn't say what interrupted it, which only matters if the stream
-        // may resume.
+        // An interrupted stream carries no report of a crash, so the separate report is awaited;
+        // it matters only if the stream may resume.
         if is_broken && job.route().resumable {
-            time::sleep(NEWS_DELAY).await;
+            time::sleep(CRASH_REPORT_DELAY).await;
         }
         self.crashes(job) > before
     }
--- a/crates/zinniastall-gateway/src/path/events.rs
+++ b/crates/zinniastall-gateway/src/path/events.rs
@@ -54,13 +54,13 @@
             }
             return Bytes::new();
         };
-        let whole = self.input.split_to(end).freeze();
+        let complete = self.input.split_to(end).freeze();
         self.searched = self.input.len();
         self.is_mid_event = false;
-        if let Some(id) = last_id(&whole) {
+        if let Some(id) = last_id(&complete) {
             self.last_id = Some(id);
         }
-        whole
+        complete
     }
 
     /// Returns the remaining bytes after a clean end of the stream.
--- a/crates/zinniastall-gateway/src/path/placement.rs
+++ b/crates/zinniastall-gateway/src/path/placement.rs
@@ -83,8 +83,8 @@
 impl LocalTargets<'_> {
     /// Returns the basis of the target with the least cost.
     fn best_basis(&self) -> Basis {
-        let places = self.candidates.iter().enumerate();
-        let best = places.min_by_key(|(_, candidate)| candidate.cost());
+        let indexed = self.candidates.iter().enumerate();
+        let best = indexed.min_by_key(|(_, candidate)| candidate.cost());
         let basis = best.map(|(at, candidate)| Basis {
             wait: candidate.wait,
             read: candidate.prefill,
@@ -216,8 +216,8 @@
             token_bytes: engine.token_bytes,
             mbps: engine.link_mbps,
         };
-        let read = |tokens| self.policy.rates.expected(tokens, 0);
-        let source = fetch::source(&local.holders, at, link, read)?;
+        let prefill_time = |tokens| self.policy.rates.expected(tokens, 0);
+        let source = fetch::source(&local.holders, at, link, prefill_time)?;
         Some(local.targets[source].report.address.clone())
     }
 
@@ -293,13 +293,13 @@
         let others = self.neighbours.borrow().at(&report.target, now);
         let others = others.plus(claimed);
         let mut tracker = self.tracker.borrow_mut();
-        let work = tracker.work(&job.service, self.policy.work);
+        let service_time = tracker.work(&job.service, self.policy.work);
         let account = tracker.target(&report.target, &job.service, now);
         let is_silent = now.saturating_duration_since(target.heard) > MAX_REPORT_AGE;
         let flights = account.flights + others.flights;
         let Some(slots) = job.engine_slots() else {
             let candidate = Candidate {
-                wait: work * flights / report.slots.max(1),
+                wait: service_time * flights / report.slots.max(1),
                 prefill_ahead: Duration::ZERO,
                 occupancy: 0.0,
                 prefill: Duration::ZERO,
@@ -421,8 +421,8 @@
                 prefill_time + DELAY_PER_QUEUED * queued + DELAY_PER_RUNNING * per_target.flights,
             );
         }
-        let work = self.tracker.borrow().work(&job.service, self.policy.work);
-        Some(work * per_target.flights / slots)
+        let service_time = self.tracker.borrow().work(&job.service, self.policy.work);
+        Some(service_time * per_target.flights / slots)
     }
 }
 
