--- a/crates/zinniastall-gateway/src/cluster_state.rs
+++ b/crates/zinniastall-gateway/src/cluster_state.rs
@@ -187,8 +187,8 @@
         self.loads = Arc::new(loads.into_iter().collect());
     }
 
-    /// Records that a replica sends no more changes, because its link broke or others are
-    /// subscribed to.
+    /// Records that a replica sends no more changes, because its link broke or other replicas are
+    /// subscribed to instead.
     pub fn unsubscribe(&mut self, replica: &str, now: Instant) {
         if let Some(list) = self.lists.get_mut(replica) {
             list.is_subscribed = false;
--- a/crates/zinniastall-gateway/src/freshness.rs
+++ b/crates/zinniastall-gateway/src/freshness.rs
@@ -59,7 +59,7 @@
         self.set_current(held);
     }
 
-    /// Sets the revision in force.
+    /// Sets the revision in force, which confirms the answers that awaited it.
     pub fn set_current(&mut self, held: id::Revision) {
         self.awaited.retain(|reached, moment| {
             let is_held = *reached <= held;
--- a/crates/zinniastall-gateway/src/index.rs
+++ b/crates/zinniastall-gateway/src/index.rs
@@ -35,7 +35,7 @@
 pub struct Total {
     /// Requests in flight.
     pub in_flight: u32,
-    /// Expected time to read the prompts of requests without a first byte yet, in microseconds.
+    /// Expected time to read the prompts of requests whose answers have not begun, in microseconds.
     pub reading_us: u64,
 }
 
--- a/crates/zinniastall-gateway/src/neighbours/suspicions.rs
+++ b/crates/zinniastall-gateway/src/neighbours/suspicions.rs
@@ -37,7 +37,7 @@
     pub fn round(&mut self, roster: &Roster, suspects: &Suspects) -> Option<Outgoing> {
         let round = self.round;
         let others = if roster.is_collector() {
-            peer_collectors(roster)
+            all_other_collectors(roster)
         } else {
             roster.peer_collectors()
         };
@@ -96,7 +96,7 @@
     if !roster.is_collector() {
         return messages(&roster.peer_collectors(), &global, true);
     }
-    let mut outgoing = messages(&peer_collectors(roster), &global, false);
+    let mut outgoing = messages(&all_other_collectors(roster), &global, false);
     outgoing.extend(messages(roster.zone_members(), &global, false));
     outgoing.extend(messages(roster.zone_members(), &local, false));
     outgoing
@@ -126,7 +126,7 @@
 }
 
 /// Returns the other collectors, of this zone and of all others.
-fn peer_collectors(roster: &Roster) -> Vec<id::Instance> {
+fn all_other_collectors(roster: &Roster) -> Vec<id::Instance> {
     let beside = roster.peer_collectors().into_iter();
     let others = roster.region_collectors().iter();
     let others = others.chain(roster.remote_collectors());
--- a/crates/zinniastall-gateway/src/neighbours/usage.rs
+++ b/crates/zinniastall-gateway/src/neighbours/usage.rs
@@ -202,13 +202,13 @@
                     continue;
                 };
                 let last = report.usages.get(key).copied().unwrap_or_default().used;
-                let system_usages = report
+                let system_used = report
                     .system_usages
                     .get(key)
                     .copied()
                     .unwrap_or_default()
                     .used;
-                let spare = rate.saturating_sub(system_usages) / sharing.max(1) as u64;
+                let spare = rate.saturating_sub(system_used) / sharing.max(1) as u64;
                 let held = reserved.entry(*key).or_default();
                 *held = held.saturating_add(last.saturating_add(spare));
             }
--- a/crates/zinniastall-gateway/src/suspects.rs
+++ b/crates/zinniastall-gateway/src/suspects.rs
@@ -14,7 +14,7 @@
 use crate::decide::warm;
 
 /// Maximum number of suspects, which take about a quarter of a megabyte. A crash adds one suspect
-/// for each request in flight at its target.
+/// for each slot of its target.
 const MAX_SUSPECTS: usize = 2_048;
 /// Number of times that each piece of news is sent, because single datagrams get lost.
 const SENDS_PER_NEWS: u8 = 2;
@@ -70,7 +70,7 @@
 }
 
 impl Suspects {
-    /// Returns whether there are no suspects.
+    /// Returns whether no request was ever suspected.
     pub fn is_empty(&self) -> bool {
         self.table.is_empty()
     }
@@ -193,7 +193,8 @@
         !self.pending.is_empty()
     }
 
-    /// Returns the news to send now; each piece is returned [`SENDS_PER_NEWS`] times in all.
+    /// Returns the news to send now; each piece is returned `SENDS_PER_NEWS` times in all, because
+    /// single datagrams get lost.
     pub fn news(&mut self) -> Vec<(Scope, Fingerprint, Suspicion)> {
         let table = &self.table;
         let news = self.pending.iter().filter_map(|(request, pending)| {
--- a/crates/zinniastall-gateway/src/tracker.rs
+++ b/crates/zinniastall-gateway/src/tracker.rs
@@ -126,14 +126,15 @@
             .or_insert_with(|| Budget::new(retry_bound))
     }
 
-    /// Returns the expected service time of a plain service, or `assumed` before the first
+    /// Returns the expected service time of a plain service; `assumed` weighs as much as one
     /// observation.
     pub fn service_time(&self, service: &str, assumed: Duration) -> Duration {
         let work = self.service_times.get(service).copied().unwrap_or_default();
         work.expected(assumed)
     }
 
-    /// Records the time that a plain service took for a request; see [`Work::note`].
+    /// Records the time that a plain service took for a request that found `ahead` others in flight
+    /// at a target with `slots` slots.
     pub fn record_service_time(&mut self, service: &str, took: Duration, ahead: u32, slots: u32) {
         let work = self.service_times.entry(service.to_owned()).or_default();
         work.note(took, ahead, slots);
--- a/crates/zinniastall-gateway/src/uplink.rs
+++ b/crates/zinniastall-gateway/src/uplink.rs
@@ -56,7 +56,7 @@
 /// covers for the first while that restarts or is cut off from some instances.
 const SUBSCRIBED_REPLICAS: usize = 2;
 
-/// Returns the current presence of this instance.
+/// Function that returns the current presence of this instance.
 pub type PresenceSource = Rc<dyn Fn() -> Presence>;
 
 /// Links to all known control replicas.
--- a/crates/zinniastall-gateway/src/view.rs
+++ b/crates/zinniastall-gateway/src/view.rs
@@ -80,7 +80,7 @@
 pub struct Drain {
     /// Time at which the drain began.
     pub since: Instant,
-    /// Time at which the process ends.
+    /// Time at which the drain ends at the latest.
     pub end: Instant,
 }
 
