--- a/crates/zinniastall-coord/src/fence.rs
+++ b/crates/zinniastall-coord/src/fence.rs
@@ -21,7 +21,7 @@
 
 /// The term doesn't fit into a token beside the sequence.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
-#[error("term {term} does not fit into a fencing token")]
+#[error("term {term} does not fit into a fencing number")]
 pub struct Overflow {
     /// Term that doesn't fit.
     pub term: Term,
@@ -29,7 +29,7 @@
 
 /// A token lower than one that was admitted before.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
-#[error("fencing token {} is lower than {}", offered.to_u64(), held.to_u64())]
+#[error("fencing number {} is lower than {}", offered.to_u64(), held.to_u64())]
 pub struct Stale {
     /// Highest token admitted so far.
     pub held: Fence,
--- a/crates/zinniastall-coord/src/replica/refusal.rs
+++ b/crates/zinniastall-coord/src/replica/refusal.rs
@@ -18,10 +18,10 @@
     #[error("the leader has not committed in its own term yet")]
     Unready,
     /// A leadership transfer is in progress.
-    #[error("a leadership transfer is in progress")]
+    #[error("leadership is being handed over")]
     Transferring,
     /// Too many bytes are waiting to be committed.
-    #[error("{bytes} bytes are waiting to be committed, the limit is {limit}")]
+    #[error("{bytes} bytes wait to be committed, the limit is {limit}")]
     Busy {
         /// Bytes that are waiting.
         bytes: usize,
@@ -37,7 +37,7 @@
         limit: usize,
     },
     /// The previous change of voters is not committed yet.
-    #[error("the change of voters at index {index} is not committed yet")]
+    #[error("the change of voters at {index} is not committed yet")]
     Pending {
         /// Index of that change.
         index: Index,
@@ -46,7 +46,7 @@
     #[error(transparent)]
     Voters(#[from] Error),
     /// The learner has not caught up.
-    #[error("the learner holds entries up to {matched}, but {commit} is committed")]
+    #[error("the learner holds entries up to {matched}, committed is {commit}")]
     Behind {
         /// Last index that the learner holds.
         matched: Index,
@@ -60,7 +60,7 @@
         id: Id,
     },
     /// The new set would have no reachable majority.
-    #[error("only {reachable} voters of the new set answer, but {needed} are needed")]
+    #[error("only {reachable} voters of the new set answer, {needed} are needed")]
     Unreachable {
         /// Voters of the new set that answered within an election timeout.
         reachable: usize,
--- a/crates/zinniastall-coord/src/voters.rs
+++ b/crates/zinniastall-coord/src/voters.rs
@@ -56,13 +56,13 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum Error {
     /// The replica is already a member.
-    #[error("replica {0} is already a member")]
+    #[error("replica {0} is a member already")]
     Member(Id),
     /// The replica isn't a member.
-    #[error("replica {0} is not a member")]
+    #[error("replica {0} is no member")]
     Unknown(Id),
     /// The replica isn't a learner.
-    #[error("replica {0} is not a learner")]
+    #[error("replica {0} is no learner")]
     Learner(Id),
     /// The replica is the last voter.
     #[error("replica {0} is the last voter")]
--- a/crates/zinniastall-entry/src/callers/accept.rs
+++ b/crates/zinniastall-entry/src/callers/accept.rs
@@ -62,7 +62,7 @@
 async fn collect(mut payload: web::Payload, limit: usize) -> Result<Bytes, Reason> {
     let mut body = BytesMut::new();
     while let Some(part) = payload.next().await {
-        let part = part.map_err(|_| Reason::Body("incomplete".to_owned()))?;
+        let part = part.map_err(|_| Reason::Body("it is incomplete".to_owned()))?;
         if body.len() + part.len() > limit {
             return Err(Reason::Large(limit));
         }
--- a/crates/zinniastall-entry/src/callers/target.rs
+++ b/crates/zinniastall-entry/src/callers/target.rs
@@ -111,7 +111,7 @@
 ) -> Result<Reply, Refusal> {
     let url = format!("http://{}{}", target.address, call.path);
     let method = awc::http::Method::from_bytes(call.method.as_bytes())
-        .map_err(|_| Refusal::not_run(Reason::Body("unknown HTTP method".to_owned())))?;
+        .map_err(|_| Refusal::not_run(Reason::Body("the method is not known".to_owned())))?;
     let client = clients.client(call.request.idempotent);
     let mut request = client.request(method, url);
     for (name, value) in &call.headers {
