--- a/crates/zinniastall-route/src/admit.rs
+++ b/crates/zinniastall-route/src/admit.rs
@@ -14,19 +14,19 @@
 use zinniastall_model::id;
 
 use crate::{
-    lane::Lane,
+    fair_queue::FairQueue,
     outcome::{Reason, Refusal},
 };
 
 /// Every so many starts the last class with waiting requests goes first, so that a long peak of a
 /// higher class cannot stop it altogether.
-const LAST_GOES: u64 = 8;
+const LOWEST_CLASS_INTERVAL: u64 = 8;
 /// Share of the queue from which on no client may hold more than its own share of it.
-const CROWDED: f64 = 0.5;
+const CROWDED_SHARE: f64 = 0.5;
 
 /// Part of the time left that wait and work may take. Expected times are means: a request that just
 /// fits is late half of the time, and then it has cost a target work for nothing.
-const SAFE: f64 = 0.8;
+const FEASIBLE_SHARE: f64 = 0.8;
 
 /// Number of a waiting request.
 pub type Id = u64;
@@ -51,7 +51,7 @@
 /// Requests that wait for one model or service.
 #[derive(Debug)]
 pub struct Queue {
-    lanes: BTreeMap<usize, Lane>,
+    classes: BTreeMap<usize, FairQueue>,
     limit: usize,
     length: usize,
     starts: u64,
@@ -61,7 +61,7 @@
     /// Creates a queue of at most `limit` requests.
     pub const fn new(limit: usize) -> Self {
         Self {
-            lanes: BTreeMap::new(),
+            classes: BTreeMap::new(),
             limit,
             length: 0,
             starts: 0,
@@ -89,20 +89,20 @@
     pub fn arrive(
         &mut self,
         waiter: &Waiter,
-        pace: Duration,
+        start_interval: Duration,
         now: Instant,
     ) -> Result<Duration, Refusal> {
-        let all = pace.saturating_mul(count(self.length));
+        let total_wait = start_interval.saturating_mul(count(self.length));
         if self.length >= self.limit {
-            return Err(Refusal::not_run(Reason::Full).retry(all));
+            return Err(Refusal::not_run(Reason::Full).retry(total_wait));
         }
-        let wait = pace.saturating_mul(count(self.ahead_of(waiter)));
+        let wait = start_interval.saturating_mul(count(self.ahead_of(waiter)));
         if self.exceeds_share(waiter) {
-            return Err(Refusal::not_run(Reason::Share).retry(wait.max(pace)));
+            return Err(Refusal::not_run(Reason::Share).retry(wait.max(start_interval)));
         }
-        let left = waiter.deadline.saturating_duration_since(now);
-        if wait + waiter.service > left.mul_f64(SAFE) {
-            return Err(Refusal::not_run(Reason::Late).retry(wait.max(pace)));
+        let time_left = waiter.deadline.saturating_duration_since(now);
+        if wait + waiter.service > time_left.mul_f64(FEASIBLE_SHARE) {
+            return Err(Refusal::not_run(Reason::Late).retry(wait.max(start_interval)));
         }
         self.push(waiter);
         Ok(wait)
@@ -116,13 +116,14 @@
 
     /// Returns up to `count` requests out of those that go next, the one whose turn it is first.
     pub fn first(&self, count: usize) -> Vec<Id> {
-        self.lane().map_or_else(Vec::new, |lane| lane.first(count))
+        self.next_class()
+            .map_or_else(Vec::new, |class| class.peek(count))
     }
 
     /// Takes one of the requests out that [`Queue::first`] named, in place of the one whose turn it
     /// is; it counts against its own client's share.
     pub fn take(&mut self, id: Id) -> bool {
-        let taken = self.lanes.values_mut().any(|lane| lane.take(id));
+        let taken = self.classes.values_mut().any(|class| class.take(id));
         self.starts += u64::from(taken);
         self.length -= usize::from(taken);
         taken
@@ -130,23 +131,23 @@
 
     /// Takes a request out that does not want to wait any longer.
     pub fn remove(&mut self, id: Id) -> bool {
-        let removed = self.lanes.values_mut().any(|lane| lane.remove(id));
+        let removed = self.classes.values_mut().any(|class| class.remove(id));
         self.length -= usize::from(removed);
         removed
     }
 
     /// Returns how many waiting requests go before one, which may be a new one.
     pub fn ahead_of(&self, waiter: &Waiter) -> usize {
-        let higher = self.lanes.range(..waiter.rank);
-        let higher: usize = higher.map(|(_, lane)| lane.length).sum();
-        let lane = self.lanes.get(&waiter.rank);
-        higher + lane.map_or(0, |lane| lane.ahead(waiter))
+        let higher = self.classes.range(..waiter.rank);
+        let higher: usize = higher.map(|(_, class)| class.length).sum();
+        let class = self.classes.get(&waiter.rank);
+        higher + class.map_or(0, |class| class.ahead(waiter))
     }
 
     /// Returns the class whose turn it is.
-    fn lane(&self) -> Option<&Lane> {
-        let mut waiting = self.lanes.values().filter(|lane| lane.length > 0);
-        if (self.starts + 1).is_multiple_of(LAST_GOES) {
+    fn next_class(&self) -> Option<&FairQueue> {
+        let mut waiting = self.classes.values().filter(|class| class.length > 0);
+        if (self.starts + 1).is_multiple_of(LOWEST_CLASS_INTERVAL) {
             waiting.next_back()
         } else {
             waiting.next()
@@ -156,19 +157,19 @@
     /// Returns whether a client has its share of a crowded queue.
     #[expect(clippy::cast_precision_loss, reason = "counts of requests")]
     fn exceeds_share(&self, waiter: &Waiter) -> bool {
-        if (self.length as f64) < self.limit as f64 * CROWDED {
+        if (self.length as f64) < self.limit as f64 * CROWDED_SHARE {
             return false;
         }
         let waiting = |client: &str| {
-            let lanes = self.lanes.values();
-            let shares = lanes.filter_map(|lane| lane.shares.get(client));
-            shares.map(|share| share.waiting.len()).sum::<usize>()
+            let classes = self.classes.values();
+            let flows = classes.filter_map(|class| class.flows.get(client));
+            flows.map(|flow| flow.waiting.len()).sum::<usize>()
         };
         let mut weights: IndexMap<&str, f64> = IndexMap::new();
-        let lanes = self.lanes.values();
-        for (client, share) in lanes.flat_map(|lane| &lane.shares) {
-            if !share.waiting.is_empty() {
-                weights.insert(client, share.weight);
+        let classes = self.classes.values();
+        for (client, flow) in classes.flat_map(|class| &class.flows) {
+            if !flow.waiting.is_empty() {
+                weights.insert(client, flow.weight);
             }
         }
         let own = f64::from(waiter.weight.max(1));
@@ -178,7 +179,7 @@
     }
 
     fn push(&mut self, waiter: &Waiter) {
-        self.lanes.entry(waiter.rank).or_default().push(waiter);
+        self.classes.entry(waiter.rank).or_default().push(waiter);
         self.length += 1;
     }
 }
--- a/crates/zinniastall-route/src/budget.rs
+++ b/crates/zinniastall-route/src/budget.rs
@@ -5,32 +5,35 @@
 //! a budget that requests fill: over any longer time they are at most a share of the requests.
 
 /// Retries that may be saved up, so that single failures at low load are always retried.
-const MOST: f64 = 10.0;
+const MAX_BALANCE: f64 = 10.0;
 
 /// The budget of retries.
 #[derive(Debug, Clone)]
 pub struct Budget {
-    share: f64,
-    saved: f64,
+    retry_ratio: f64,
+    balance: f64,
 }
 
 impl Budget {
     /// Creates a full budget; `share` is the number of retries that one request pays for.
-    pub const fn new(share: f64) -> Self {
-        Self { share, saved: MOST }
+    pub const fn new(retry_ratio: f64) -> Self {
+        Self {
+            retry_ratio,
+            balance: MAX_BALANCE,
+        }
     }
 
     /// Takes note of a request.
     pub fn request(&mut self) {
-        self.saved = (self.saved + self.share).min(MOST);
+        self.balance = (self.balance + self.retry_ratio).min(MAX_BALANCE);
     }
 
     /// Takes one retry out, if there is one.
     pub fn retry(&mut self) -> bool {
-        if self.saved < 1.0 {
+        if self.balance < 1.0 {
             return false;
         }
-        self.saved -= 1.0;
+        self.balance -= 1.0;
         true
     }
 }
--- a/crates/zinniastall-route/src/choose.rs
+++ b/crates/zinniastall-route/src/choose.rs
@@ -17,13 +17,13 @@
 };
 
 /// Load over the mean up to which a target keeps its affinity.
-const BOUND: f64 = 1.25;
+const MAX_AFFINITY_LOAD: f64 = 1.25;
 /// Share of a request's time by which a full batch slows it down.
-const BATCH: f64 = 0.05;
+const FULL_BATCH_SLOWDOWN: f64 = 0.05;
 /// Costs within this factor and this many milliseconds of the least count as equal: means are not
 /// known better than that, and always taking the least would use one target only.
-const TIE: f64 = 1.05;
-const TIE_MILLIS: f64 = 1.0;
+const TIE_FACTOR: f64 = 1.05;
+const TIE_MARGIN_MS: f64 = 1.0;
 
 /// A target that may be chosen.
 #[derive(Debug, Clone, Copy)]
@@ -37,7 +37,7 @@
 /// The choice of one instance; it remembers its turn.
 #[derive(Debug, Default)]
 pub struct Chooser {
-    turn: usize,
+    next_turn: usize,
 }
 
 impl Chooser {
@@ -52,10 +52,10 @@
     ) -> Option<id::Target> {
         let chosen = match policy.choice {
             Choice::Random => candidates.choose(random),
-            Choice::RoundRobin => self.round(candidates),
-            Choice::LeastInFlight => least(candidates, random),
+            Choice::RoundRobin => self.round_robin(candidates),
+            Choice::LeastInFlight => least_in_flight(candidates, random),
             Choice::PrefixHash => match prefixes.first() {
-                Some(first) => home(candidates, *first),
+                Some(first) => rendezvous(candidates, *first),
                 None => candidates.choose(random),
             },
             Choice::Cost => cheapest(policy, prefixes, candidates, now, random),
@@ -63,9 +63,12 @@
         chosen.map(|candidate| candidate.target.to_owned())
     }
 
-    fn round<'a, 'b>(&mut self, candidates: &'a [Candidate<'b>]) -> Option<&'a Candidate<'b>> {
-        let turn = self.turn.checked_rem(candidates.len())?;
-        self.turn = self.turn.wrapping_add(1);
+    fn round_robin<'a, 'b>(
+        &mut self,
+        candidates: &'a [Candidate<'b>],
+    ) -> Option<&'a Candidate<'b>> {
+        let turn = self.next_turn.checked_rem(candidates.len())?;
+        self.next_turn = self.next_turn.wrapping_add(1);
         candidates.get(turn)
     }
 }
@@ -73,7 +76,8 @@
 /// Returns the cost of a target for a prompt, in milliseconds.
 pub fn cost(policy: &Policy, prefixes: &[u64], load: &Load, now: Instant) -> f64 {
     let service = millis(load.service());
-    let wait = millis(load.wait(now)) + service * BATCH * load.fill(now).min(1.0);
+    let wait = millis(load.expected_wait(now))
+        + service * FULL_BATCH_SLOWDOWN * load.utilization(now).min(1.0);
     let weights = &policy.weights;
     weights.wait * wait + miss(policy, prefixes, load, now) + weights.price * load.price() * service
 }
@@ -81,7 +85,7 @@
 /// Returns the part of the cost that is due to blocks which the target has not cached.
 #[expect(clippy::cast_precision_loss, reason = "at most a few hundred blocks")]
 pub fn miss(policy: &Policy, prefixes: &[u64], load: &Load, now: Instant) -> f64 {
-    let uncached = prefixes.len() as f64 - load.cached(prefixes, now);
+    let uncached = prefixes.len() as f64 - load.cached_blocks(prefixes, now);
     policy.weights.cache * uncached * millis(policy.block)
 }
 
@@ -92,26 +96,28 @@
     now: Instant,
     random: &mut impl Rng,
 ) -> Option<&'a Candidate<'b>> {
-    let mut few: Vec<_> = candidates.choose_multiple(random, 2).collect();
-    few.extend(affine(prefixes, candidates, now));
-    let costs = few
+    let mut sampled: Vec<_> = candidates.choose_multiple(random, 2).collect();
+    sampled.extend(affinity_candidates(prefixes, candidates, now));
+    let costs = sampled
         .iter()
         .map(|candidate| cost(policy, prefixes, candidate.load, now));
     let costs: Vec<f64> = costs.collect();
     let least = costs.iter().copied().min_by(f64::total_cmp)?;
-    let equal = few.into_iter().zip(costs);
-    let equal = equal.filter(|(_, cost)| *cost <= least * TIE + TIE_MILLIS);
+    let equal = sampled.into_iter().zip(costs);
+    let equal = equal.filter(|(_, cost)| *cost <= least * TIE_FACTOR + TIE_MARGIN_MS);
     let equal: Vec<_> = equal.map(|(candidate, _)| candidate).collect();
     // Where no target is better, all instances agree on one, and the others' caches stay as they are.
-    let home = prefixes.first().and_then(|first| home(candidates, *first));
-    let at_home =
+    let home = prefixes
+        .first()
+        .and_then(|first| rendezvous(candidates, *first));
+    let is_home =
         |candidate: &&&Candidate<'_>| home.is_some_and(|home| home.target == candidate.target);
-    let chosen = equal.iter().find(at_home);
+    let chosen = equal.iter().find(is_home);
     chosen.or_else(|| equal.choose(random)).copied()
 }
 
 /// Returns the targets that a prompt's prefix belongs to, unless they have too much to do.
-fn affine<'a, 'b>(
+fn affinity_candidates<'a, 'b>(
     prefixes: &[u64],
     candidates: &'a [Candidate<'b>],
     now: Instant,
@@ -119,25 +125,30 @@
     let Some(first) = prefixes.first() else {
         return Vec::new();
     };
-    let warm = candidates.iter().max_by(|a, b| {
-        let (a, b) = (a.load.cached(prefixes, now), b.load.cached(prefixes, now));
+    let most_cached = candidates.iter().max_by(|a, b| {
+        let (a, b) = (
+            a.load.cached_blocks(prefixes, now),
+            b.load.cached_blocks(prefixes, now),
+        );
         a.total_cmp(&b)
     });
-    let bound = bound(candidates, now);
-    let fits = |candidate: &&Candidate<'_>| candidate.load.fill(now) <= bound;
-    let both = [warm, home(candidates, *first)];
+    let bound = load_bound(candidates, now);
+    let fits = |candidate: &&Candidate<'_>| candidate.load.utilization(now) <= bound;
+    let both = [most_cached, rendezvous(candidates, *first)];
     both.into_iter().flatten().filter(fits).collect()
 }
 
 #[expect(clippy::cast_precision_loss, reason = "counts of targets")]
-fn bound(candidates: &[Candidate<'_>], now: Instant) -> f64 {
-    let fills = candidates.iter().map(|candidate| candidate.load.fill(now));
-    let mean = fills.sum::<f64>() / candidates.len() as f64;
+fn load_bound(candidates: &[Candidate<'_>], now: Instant) -> f64 {
+    let utilizations = candidates
+        .iter()
+        .map(|candidate| candidate.load.utilization(now));
+    let mean = utilizations.sum::<f64>() / candidates.len() as f64;
     // Below a full batch there is no wait to avoid.
-    (mean * BOUND).max(1.0)
+    (mean * MAX_AFFINITY_LOAD).max(1.0)
 }
 
-fn least<'a, 'b>(
+fn least_in_flight<'a, 'b>(
     candidates: &'a [Candidate<'b>],
     random: &mut impl Rng,
 ) -> Option<&'a Candidate<'b>> {
@@ -154,13 +165,13 @@
 
 /// Returns the target that a digest hashes to (highest random weight; Thaler and Ravishankar,
 /// 1998). When targets come and go, only the prefixes of these move.
-fn home<'a, 'b>(candidates: &'a [Candidate<'b>], digest: u64) -> Option<&'a Candidate<'b>> {
+fn rendezvous<'a, 'b>(candidates: &'a [Candidate<'b>], digest: u64) -> Option<&'a Candidate<'b>> {
     candidates
         .iter()
-        .max_by_key(|candidate| weight(candidate.target, digest))
+        .max_by_key(|candidate| rendezvous_weight(candidate.target, digest))
 }
 
-fn weight(target: &str, digest: u64) -> u64 {
+fn rendezvous_weight(target: &str, digest: u64) -> u64 {
     let mut hasher = blake3::Hasher::new();
     hasher
         .update(&digest.to_le_bytes())
--- a/crates/zinniastall-route/src/eject.rs
+++ b/crates/zinniastall-route/src/eject.rs
@@ -8,30 +8,30 @@
 use std::time::{Duration, Instant};
 
 /// Failures in a row that eject a target.
-const FAILURES: u32 = 3;
+const FAILURE_THRESHOLD: u32 = 3;
 /// First ejection.
-const FIRST: Duration = Duration::from_secs(1);
+const BASE_EJECTION_TIME: Duration = Duration::from_secs(1);
 /// Longest ejection.
-const LONGEST: Duration = Duration::from_secs(30);
+const MAX_EJECTION_TIME: Duration = Duration::from_secs(30);
 
 /// One target's record of failures.
 #[derive(Debug, Clone, Default)]
-pub struct Outlier {
+pub struct Detector {
     failures: u32,
     ejections: u32,
-    until: Option<Instant>,
+    ejected_until: Option<Instant>,
 }
 
-impl Outlier {
+impl Detector {
     /// Takes note of a failure that is the target's: lost, unreachable or late.
     pub fn failed(&mut self, now: Instant) {
         self.failures += 1;
-        if self.failures >= FAILURES {
-            let doubled = FIRST.saturating_mul(1 << self.ejections.min(8));
-            self.until = Some(now + doubled.min(LONGEST));
+        if self.failures >= FAILURE_THRESHOLD {
+            let backoff = BASE_EJECTION_TIME.saturating_mul(1 << self.ejections.min(8));
+            self.ejected_until = Some(now + backoff.min(MAX_EJECTION_TIME));
             self.ejections += 1;
             // One more failure after the ejection is enough for the next.
-            self.failures = FAILURES - 1;
+            self.failures = FAILURE_THRESHOLD - 1;
         }
     }
 
@@ -41,8 +41,8 @@
     }
 
     /// Returns when the target may be used again; `None` when it may be used now.
-    pub fn until(&self, now: Instant) -> Option<Instant> {
-        self.until.filter(|until| *until > now)
+    pub fn ejected_until(&self, now: Instant) -> Option<Instant> {
+        self.ejected_until.filter(|until| *until > now)
     }
 }
 
@@ -50,12 +50,12 @@
 ///
 /// At least `floor` of them may, those whose ejection ends first; the result has the order of the
 /// input.
-pub fn usable(ejected: &[Option<Instant>], floor: f64) -> Vec<bool> {
-    let least = least(ejected.len(), floor);
-    let mut order: Vec<usize> = (0..ejected.len()).collect();
-    order.sort_by_key(|index| ejected[*index]);
-    let mut usable: Vec<bool> = ejected.iter().map(Option::is_none).collect();
-    for index in order.into_iter().take(least) {
+pub fn usable(ejected_until: &[Option<Instant>], floor: f64) -> Vec<bool> {
+    let count = min_usable(ejected_until.len(), floor);
+    let mut order: Vec<usize> = (0..ejected_until.len()).collect();
+    order.sort_by_key(|index| ejected_until[*index]);
+    let mut usable: Vec<bool> = ejected_until.iter().map(Option::is_none).collect();
+    for index in order.into_iter().take(count) {
         usable[index] = true;
     }
     usable
@@ -67,6 +67,6 @@
     clippy::cast_precision_loss,
     reason = "a share of a count of targets"
 )]
-fn least(count: usize, floor: f64) -> usize {
+fn min_usable(count: usize, floor: f64) -> usize {
     (count as f64 * floor).ceil() as usize
 }
--- a/crates/zinniastall-route/src/hops.rs
+++ b/crates/zinniastall-route/src/hops.rs
@@ -14,14 +14,15 @@
 ///
 /// [`Reason::Hops`].
 pub fn check(hops: &[Place]) -> Result<(), Reason> {
-    let again = |(index, place): (usize, &Place)| hops[..index].contains(place);
-    let regions = crossings(hops, |a, b| a.region != b.region);
-    let zones = |region: &str| crossings(hops, |a, b| a.region == region && b.region == region);
-    let fits = !hops.is_empty()
-        && !hops.iter().enumerate().any(again)
-        && regions <= 1
-        && hops.iter().all(|place| zones(&place.region) <= 1);
-    if fits { Ok(()) } else { Err(Reason::Hops) }
+    let is_repeated = |(index, place): (usize, &Place)| hops[..index].contains(place);
+    let region_crossings = crossings(hops, |a, b| a.region != b.region);
+    let zone_crossings =
+        |region: &str| crossings(hops, |a, b| a.region == region && b.region == region);
+    let is_valid = !hops.is_empty()
+        && !hops.iter().enumerate().any(is_repeated)
+        && region_crossings <= 1
+        && hops.iter().all(|place| zone_crossings(&place.region) <= 1);
+    if is_valid { Ok(()) } else { Err(Reason::Hops) }
 }
 
 /// Checks whether a request that has passed `hops` may go on to a place, as its sender does.
@@ -35,13 +36,13 @@
     if hops.len() != 1 {
         return Err(Reason::Hops);
     }
-    let mut longer = hops.to_vec();
+    let mut extended = hops.to_vec();
     // Passing a ticket to its issuer in the same zone crosses no border.
     if hops.last() != Some(next) {
-        longer.push(next.clone());
+        extended.push(next.clone());
     }
-    check(&longer)?;
-    Ok(longer)
+    check(&extended)?;
+    Ok(extended)
 }
 
 /// Checks the places of a request that arrived from a sender's place, as its receiver does.
@@ -52,17 +53,17 @@
 /// # Errors
 ///
 /// [`Reason::Hops`].
-pub fn check_arrived(hops: &[Place], sender: &Place, here: &Place) -> Result<(), Reason> {
+pub fn check_arrived(hops: &[Place], sender: &Place, local: &Place) -> Result<(), Reason> {
     check(hops)?;
-    if hops.len() > 2 || hops.first() != Some(sender) || hops.last() != Some(here) {
+    if hops.len() > 2 || hops.first() != Some(sender) || hops.last() != Some(local) {
         return Err(Reason::Hops);
     }
     Ok(())
 }
 
-fn crossings(hops: &[Place], border: impl Fn(&Place, &Place) -> bool) -> usize {
+fn crossings(hops: &[Place], is_border: impl Fn(&Place, &Place) -> bool) -> usize {
     let steps = hops.windows(2);
     steps
-        .filter(|step| step[0] != step[1] && border(&step[0], &step[1]))
+        .filter(|step| step[0] != step[1] && is_border(&step[0], &step[1]))
         .count()
 }
--- a/crates/zinniastall-route/src/identify.rs
+++ b/crates/zinniastall-route/src/identify.rs
@@ -79,13 +79,13 @@
     ///
     /// [`Reason::NoRoute`].
     pub fn route(&self, path: &str, model: Option<&str>) -> Result<&Route, Reason> {
-        let fits = |route: &&Route| match &route.subject {
+        let matches_route = |route: &&Route| match &route.subject {
             Subject::Model(name) => Some(name.as_str()) == model && covers(&route.prefix, path),
             Subject::Service(_) => covers(&route.prefix, path),
         };
-        self.routes.iter().find(fits).ok_or_else(|| {
-            let model = model.map(|model| format!(" with model {}", shorten(model)));
-            Reason::NoRoute(format!("{}{}", shorten(path), model.unwrap_or_default()))
+        self.routes.iter().find(matches_route).ok_or_else(|| {
+            let model = model.map(|model| format!(" with model {}", truncate(model)));
+            Reason::NoRoute(format!("{}{}", truncate(path), model.unwrap_or_default()))
         })
     }
 
@@ -141,7 +141,7 @@
 }
 
 /// Cuts what a caller sent before it goes into an error, so that errors stay short.
-fn shorten(text: &str) -> String {
-    const LONGEST: usize = 80;
-    text.chars().take(LONGEST).collect()
+fn truncate(text: &str) -> String {
+    const MAX_CHARS: usize = 80;
+    text.chars().take(MAX_CHARS).collect()
 }
--- a/crates/zinniastall-route/src/load.rs
+++ b/crates/zinniastall-route/src/load.rs
@@ -8,20 +8,20 @@
 use indexmap::IndexMap;
 use zinniastall_model::id;
 
-use crate::{cache::Cache, eject::Outlier, limit::Limit};
+use crate::{cache::Cache, eject::Detector, limit::Limit};
 
 /// Age at which half of what others had in progress counts as finished.
-const HALF_LIFE: f64 = 2.0;
+const OTHERS_HALF_LIFE_SECS: f64 = 2.0;
 /// Weight of the newest value in a mean.
-const NEWEST: f64 = 0.1;
+const SERVICE_TIME_WEIGHT: f64 = 0.1;
 /// Weight of the newest report in the mean of what others have in progress. A report is late and own
 /// requests are counted to the moment, so that a single difference of the two is mostly noise.
-const REPORTED: f64 = 0.3;
+const REPORT_WEIGHT: f64 = 0.3;
 /// Time of a request while nothing at all is known.
-const UNKNOWN: f64 = 0.2;
+const DEFAULT_SERVICE_SECS: f64 = 0.2;
 /// Share by which each answer of another target moves a target's mean towards the common one. A
 /// target that was slow once and gets no requests for it would otherwise never be tried again.
-const DRIFT: f64 = 0.01;
+const DRIFT_WEIGHT: f64 = 0.01;
 
 /// What a target announced.
 #[derive(Debug, Clone)]
@@ -50,14 +50,14 @@
     incarnation: id::Incarnation,
     sequence: u64,
     slots: u32,
-    others: f64,
+    others_in_flight: f64,
     heard: Instant,
     price: f64,
     cache: Cache,
     in_flight: u32,
     limit: Limit,
-    outlier: Outlier,
-    service: f64,
+    detector: Detector,
+    service_secs: f64,
 }
 
 /// How one request at a target ended, as its load is concerned.
@@ -78,7 +78,7 @@
 pub struct Table {
     loads: IndexMap<id::Target, Load>,
     /// Mean time of a request over all targets, in seconds.
-    common: Option<f64>,
+    mean_service_secs: Option<f64>,
 }
 
 impl Table {
@@ -88,7 +88,10 @@
             Some(load) if load.incarnation == report.incarnation => load,
             Some(load) if load.incarnation > report.incarnation => return,
             _ => {
-                let load = Load::new(report, self.common.unwrap_or(UNKNOWN));
+                let load = Load::new(
+                    report,
+                    self.mean_service_secs.unwrap_or(DEFAULT_SERVICE_SECS),
+                );
                 self.loads.insert(target.to_owned(), load);
                 return;
             }
@@ -115,29 +118,29 @@
             return 0;
         };
         load.in_flight += 1;
-        load.cache.remember(prefixes, now);
+        load.cache.record_sent(prefixes, now);
         load.incarnation
     }
 
     /// Ends the count of a request at a run of a target.
-    pub fn end(&mut self, target: &str, run: id::Incarnation, end: End, now: Instant) {
+    pub fn end(&mut self, target: &str, incarnation: id::Incarnation, end: End, now: Instant) {
         let Some(load) = self.loads.get_mut(target) else {
             return;
         };
         // Requests at an earlier run are gone with its counts.
-        if load.incarnation != run {
+        if load.incarnation != incarnation {
             return;
         }
         let before = load.in_flight;
         load.in_flight = before.saturating_sub(1);
         match end {
-            End::Answered(took) => {
+            End::Answered(elapsed) => {
                 load.limit.answered(before);
-                load.outlier.answered();
-                self.took(target, took);
+                load.detector.answered();
+                self.record_service_time(target, elapsed);
             }
             End::Refused => load.limit.refused(now),
-            End::Failed => load.outlier.failed(now),
+            End::Failed => load.detector.failed(now),
             End::Cancelled => {}
         }
     }
@@ -145,38 +148,40 @@
 
 impl Table {
     /// Takes note of the time of a request; all other means drift a little towards the common one.
-    fn took(&mut self, target: &str, took: Duration) {
-        let took = took.as_secs_f64();
+    fn record_service_time(&mut self, target: &str, elapsed: Duration) {
+        let elapsed = elapsed.as_secs_f64();
         // What the first answer says of one target is the best guess for all.
-        let common = *self.common.get_or_insert_with(|| {
-            self.loads.values_mut().for_each(|load| load.service = took);
-            took
+        let mean = *self.mean_service_secs.get_or_insert_with(|| {
+            self.loads
+                .values_mut()
+                .for_each(|load| load.service_secs = elapsed);
+            elapsed
         });
-        self.common = Some(common + (took - common) * NEWEST);
+        self.mean_service_secs = Some(mean + (elapsed - mean) * SERVICE_TIME_WEIGHT);
         for (name, load) in &mut self.loads {
             if name == target {
-                load.service += (took - load.service) * NEWEST;
+                load.service_secs += (elapsed - load.service_secs) * SERVICE_TIME_WEIGHT;
             } else {
-                load.service += (common - load.service) * DRIFT;
+                load.service_secs += (mean - load.service_secs) * DRIFT_WEIGHT;
             }
         }
     }
 }
 
 impl Load {
-    fn new(report: &Report, service: f64) -> Self {
+    fn new(report: &Report, service_secs: f64) -> Self {
         Self {
             incarnation: report.incarnation,
             sequence: report.sequence,
             slots: report.slots.max(1),
-            others: f64::from(report.busy),
+            others_in_flight: f64::from(report.busy),
             heard: report.heard,
             price: report.price,
             cache: Cache::new(&report.prefixes, report.gap),
             in_flight: 0,
             limit: Limit::new(report.slots),
-            outlier: Outlier::default(),
-            service,
+            detector: Detector::default(),
+            service_secs,
         }
     }
 
@@ -184,11 +189,11 @@
         self.sequence = report.sequence;
         self.slots = report.slots.max(1);
         let others = f64::from(report.busy.saturating_sub(self.in_flight));
-        self.others += (others - self.others) * REPORTED;
+        self.others_in_flight += (others - self.others_in_flight) * REPORT_WEIGHT;
         self.heard = report.heard;
         self.price = report.price;
-        self.cache.report(&report.prefixes, report.gap);
-        self.limit.slots(report.slots);
+        self.cache.update(&report.prefixes, report.gap);
+        self.limit.set_slots(report.slots);
         self.limit.reported(report.busy, now);
     }
 
@@ -209,7 +214,7 @@
 
     /// Returns when an ejected target may be used again.
     pub fn ejected(&self, now: Instant) -> Option<Instant> {
-        self.outlier.until(now)
+        self.detector.ejected_until(now)
     }
 
     /// Returns the price of one busy second.
@@ -219,29 +224,30 @@
 
     /// Returns the mean time of a request.
     pub fn service(&self) -> Duration {
-        Duration::from_secs_f64(self.service)
+        Duration::from_secs_f64(self.service_secs)
     }
 
     /// Returns the requests in progress there, those of others estimated.
-    pub fn busy(&self, now: Instant) -> f64 {
+    pub fn estimated_in_flight(&self, now: Instant) -> f64 {
         let age = now.saturating_duration_since(self.heard).as_secs_f64();
-        f64::from(self.in_flight) + self.others * 0.5_f64.powf(age / HALF_LIFE)
+        f64::from(self.in_flight)
+            + self.others_in_flight * 0.5_f64.powf(age / OTHERS_HALF_LIFE_SECS)
     }
 
     /// Returns its requests in progress over its slots.
-    pub fn fill(&self, now: Instant) -> f64 {
-        self.busy(now) / f64::from(self.slots)
+    pub fn utilization(&self, now: Instant) -> f64 {
+        self.estimated_in_flight(now) / f64::from(self.slots)
     }
 
     /// Returns the expected time until one more request starts to run.
-    pub fn wait(&self, now: Instant) -> Duration {
+    pub fn expected_wait(&self, now: Instant) -> Duration {
         let slots = f64::from(self.slots);
-        let ahead = (self.busy(now) + 1.0 - slots).max(0.0);
+        let ahead = (self.estimated_in_flight(now) + 1.0 - slots).max(0.0);
         self.service().mul_f64(ahead / slots)
     }
 
     /// Returns how many leading blocks of a prompt are cached; a fraction where that is unsure.
-    pub fn cached(&self, chain: &[u64], now: Instant) -> f64 {
-        self.cache.leading(chain, now)
+    pub fn cached_blocks(&self, chain: &[u64], now: Instant) -> f64 {
+        self.cache.leading_blocks(chain, now)
     }
 }
--- a/crates/zinniastall-route/src/locate.rs
+++ b/crates/zinniastall-route/src/locate.rs
@@ -15,16 +15,16 @@
 pub const FULL: u32 = 1000;
 /// Least weight of an instance that may be used; one that is full still serves callers who can
 /// reach nothing else.
-const LEAST: u32 = 10;
+const MIN_WEIGHT: u32 = 10;
 /// Most instances that an answer names.
-const NAMED: usize = 8;
+const MAX_INSTANCES: usize = 8;
 /// How long a newcomer takes to reach its whole weight. Its caches and connections are cold, and
 /// until its own load is heard it looks idle to everybody at once.
 pub const RAMP: Duration = Duration::from_secs(10);
 /// How long an answer is good for.
-const VALID: Duration = Duration::from_secs(10);
+const VALIDITY: Duration = Duration::from_secs(10);
 /// How long an answer of a cut-off instance is good for: it can't see what it leaves out.
-const VALID_CUT_OFF: Duration = Duration::from_secs(3);
+const DISCONNECTED_VALIDITY: Duration = Duration::from_secs(3);
 
 /// An entry instance as the answering one sees it.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -101,14 +101,14 @@
     random: &mut impl Rng,
 ) -> Answer {
     let usable = candidates.iter().filter(|candidate| !candidate.draining);
-    let mut drawn: Vec<_> = usable
+    let mut ordered: Vec<_> = usable
         .map(|candidate| {
             let weight = weight(candidate);
             let distance = distance(&candidate.place, caller);
-            (distance, key(weight, random), weight, candidate)
+            (distance, sampling_key(weight, random), weight, candidate)
         })
         .collect();
-    drawn.sort_by(|a, b| a.0.cmp(&b.0).then(a.1.total_cmp(&b.1)));
+    ordered.sort_by(|a, b| a.0.cmp(&b.0).then(a.1.total_cmp(&b.1)));
     let located = |(_, _, weight, candidate): (u8, f64, u32, &Candidate)| Located {
         instance: candidate.instance.clone(),
         place: candidate.place.clone(),
@@ -116,8 +116,16 @@
         weight,
     };
     Answer {
-        instances: drawn.into_iter().take(NAMED).map(located).collect(),
-        valid: if connected { VALID } else { VALID_CUT_OFF },
+        instances: ordered
+            .into_iter()
+            .take(MAX_INSTANCES)
+            .map(located)
+            .collect(),
+        valid: if connected {
+            VALIDITY
+        } else {
+            DISCONNECTED_VALIDITY
+        },
         connected,
     }
 }
@@ -133,26 +141,26 @@
         reason = "a share of FULL is within 0 and FULL"
     )]
     let ramped = ramped as u32;
-    ramped.max(LEAST)
+    ramped.max(MIN_WEIGHT)
 }
 
-const HERE: u8 = 0;
-const REGION: u8 = 1;
-const ELSEWHERE: u8 = 2;
+const SAME_ZONE: u8 = 0;
+const SAME_REGION: u8 = 1;
+const OTHER_REGION: u8 = 2;
 
 fn distance(place: &Place, caller: &Place) -> u8 {
     if place == caller {
-        HERE
+        SAME_ZONE
     } else if place.region == caller.region {
-        REGION
+        SAME_REGION
     } else {
-        ELSEWHERE
+        OTHER_REGION
     }
 }
 
 /// Draws a key; ordering by it is weighted sampling without replacement (Efraimidis and Spirakis,
 /// 2006, in the exponential form).
-fn key(weight: u32, random: &mut impl Rng) -> f64 {
+fn sampling_key(weight: u32, random: &mut impl Rng) -> f64 {
     let uniform: f64 = random.random_range(f64::MIN_POSITIVE..1.0);
     -uniform.ln() / f64::from(weight)
 }
--- a/crates/zinniastall-route/src/prefix.rs
+++ b/crates/zinniastall-route/src/prefix.rs
@@ -5,9 +5,9 @@
 //! earlier: two prompts share a digest only if they share the whole text up to there.
 
 /// Bytes of text that one digest covers.
-pub const BLOCK: usize = 256;
+pub const BLOCK_BYTES: usize = 256;
 /// Most digests that are made of one text; longer prompts share what they share within these.
-pub const LIMIT: usize = 512;
+pub const MAX_BLOCKS: usize = 512;
 
 /// Returns the digests of all whole blocks of a text, first block first.
 ///
@@ -25,7 +25,7 @@
 /// ```
 pub fn chain(text: &str) -> Vec<u64> {
     let mut previous = 0_u64;
-    let blocks = text.as_bytes().chunks_exact(BLOCK).take(LIMIT);
+    let blocks = text.as_bytes().chunks_exact(BLOCK_BYTES).take(MAX_BLOCKS);
     let digest = |block: &[u8]| {
         let mut hasher = blake3::Hasher::new();
         hasher.update(&previous.to_le_bytes()).update(block);
@@ -38,7 +38,7 @@
 }
 
 /// Returns how many leading digests of a chain are cached.
-pub fn shared(chain: &[u64], cached: &[u64]) -> usize {
+pub fn cached_blocks(chain: &[u64], cached: &[u64]) -> usize {
     chain
         .iter()
         .take_while(|digest| cached.contains(digest))
--- a/crates/zinniastall-route/src/relay.rs
+++ b/crates/zinniastall-route/src/relay.rs
@@ -7,7 +7,7 @@
 use std::mem;
 
 /// Event that closes a stream of chat completions.
-const DONE: &[u8] = b"data: [DONE]";
+const CLOSING_EVENT: &[u8] = b"data: [DONE]";
 /// Longest event that is kept while its end has not arrived, in bytes.
 pub const EVENT_LIMIT: usize = 256 * 1024;
 
@@ -29,13 +29,16 @@
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Length {
     announced: Option<u64>,
-    seen: u64,
+    received: u64,
 }
 
 impl Length {
     /// Starts at zero.
     pub const fn new(announced: Option<u64>) -> Self {
-        Self { announced, seen: 0 }
+        Self {
+            announced,
+            received: 0,
+        }
     }
 
     /// Counts a part.
@@ -44,9 +47,9 @@
     ///
     /// [`Cut::Length`] when the answer passes its announced length.
     pub const fn part(&mut self, bytes: &[u8]) -> Result<(), Cut> {
-        self.seen += bytes.len() as u64;
+        self.received += bytes.len() as u64;
         match self.announced {
-            Some(announced) if self.seen > announced => Err(Cut::Length),
+            Some(announced) if self.received > announced => Err(Cut::Length),
             _ => Ok(()),
         }
     }
@@ -58,8 +61,8 @@
     /// [`Cut::Length`] when the answer stayed short of its announced length.
     pub const fn end(&self) -> Result<u64, Cut> {
         match self.announced {
-            Some(announced) if self.seen != announced => Err(Cut::Length),
-            _ => Ok(self.seen),
+            Some(announced) if self.received != announced => Err(Cut::Length),
+            _ => Ok(self.received),
         }
     }
 }
@@ -86,9 +89,9 @@
         self.partial.extend_from_slice(bytes);
         let mut start = 0;
         let mut position = scanned;
-        while let Some(found) = find_end(&self.partial[position..]) {
+        while let Some(found) = find_event_end(&self.partial[position..]) {
             let end = position + found + 2;
-            self.note(start, end);
+            self.count_event(start, end);
             start = end;
             position = end;
         }
@@ -126,8 +129,8 @@
         Err(Cut::Unclosed)
     }
 
-    fn note(&mut self, start: usize, end: usize) {
-        if self.partial[start..end].starts_with(DONE) {
+    fn count_event(&mut self, start: usize, end: usize) {
+        if self.partial[start..end].starts_with(CLOSING_EVENT) {
             self.done = true;
         } else {
             self.count += 1;
@@ -135,6 +138,6 @@
     }
 }
 
-fn find_end(bytes: &[u8]) -> Option<usize> {
+fn find_event_end(bytes: &[u8]) -> Option<usize> {
     bytes.windows(2).position(|pair| pair == b"\n\n")
 }
--- a/crates/zinniastall-route/src/spill.rs
+++ b/crates/zinniastall-route/src/spill.rs
@@ -16,11 +16,11 @@
 use crate::{choose::millis, policy::Policy, residency};
 
 /// Share of requests by which the gate moves in one step.
-const STEP: f64 = 0.1;
+const SHARE_STEP: f64 = 0.1;
 /// Shortest time between two steps.
-const PACE: Duration = Duration::from_millis(100);
+const STEP_INTERVAL: Duration = Duration::from_millis(100);
 /// Part of the remote cost below which the local cost must fall before the gate closes.
-const MARGIN: f64 = 0.8;
+const RETURN_COST_RATIO: f64 = 0.8;
 
 /// Another zone, as its digest tells.
 #[derive(Debug, Clone, PartialEq)]
@@ -37,7 +37,7 @@
 
 /// Time without any usable place after which the gate is shut. A place is full for a moment again and
 /// again; were the gate shut each time, it would never open as far as the balance of costs asks.
-const NOWHERE: Duration = Duration::from_secs(1);
+const RESET_AFTER: Duration = Duration::from_secs(1);
 
 /// What serving a request here would cost.
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -54,11 +54,11 @@
 #[derive(Debug, Default)]
 pub struct Gate {
     share: f64,
-    moved: Option<Instant>,
+    last_step: Option<Instant>,
     /// Last time that there was a usable place.
-    usable: Option<Instant>,
+    last_usable: Option<Instant>,
     /// Whether targets here are back after a time without any.
-    returning: bool,
+    recovering: bool,
 }
 
 impl Gate {
@@ -72,52 +72,56 @@
         now: Instant,
         random: &mut impl Rng,
     ) -> Option<&'a Place> {
-        let Some((remote, away)) = remote else {
-            let just = |usable: Instant| now.saturating_duration_since(usable) < NOWHERE;
-            if !self.usable.is_some_and(just) {
+        let Some((remote, remote_cost)) = remote else {
+            let is_recent = |usable: Instant| now.saturating_duration_since(usable) < RESET_AFTER;
+            if !self.last_usable.is_some_and(is_recent) {
                 self.share = 0.0;
-                self.returning = false;
+                self.recovering = false;
             }
             return None;
         };
-        self.usable = Some(now);
-        let here = match local {
-            Local::Cost(here) => here,
+        self.last_usable = Some(now);
+        let local_cost = match local {
+            Local::Cost(cost) => cost,
             Local::Tried => return Some(&remote.place),
             Local::None => {
-                self.leave(now);
+                self.open_fully(now);
                 return Some(&remote.place);
             }
         };
-        self.step(here, away, now);
-        let cheaper = here > away || self.returning;
+        self.adjust(local_cost, remote_cost, now);
+        let cheaper = local_cost > remote_cost || self.recovering;
         (cheaper && random.random::<f64>() < self.share).then_some(&remote.place)
     }
 
-    fn leave(&mut self, now: Instant) {
+    fn open_fully(&mut self, now: Instant) {
         self.share = 1.0;
-        self.returning = true;
-        self.moved = Some(now);
+        self.recovering = true;
+        self.last_step = Some(now);
     }
 
-    fn step(&mut self, here: f64, away: f64, now: Instant) {
-        let due = |moved: Instant| now.saturating_duration_since(moved) >= PACE;
-        if !self.moved.is_none_or(due) {
+    fn adjust(&mut self, local_cost: f64, remote_cost: f64, now: Instant) {
+        let is_due = |stepped: Instant| now.saturating_duration_since(stepped) >= STEP_INTERVAL;
+        if !self.last_step.is_none_or(is_due) {
             return;
         }
         // Between the two costs a gate of targets that are back would stay open for no reason.
-        let margin = if self.returning { 1.0 } else { MARGIN };
-        let step = if here > away {
-            STEP
-        } else if here < away * margin {
-            -STEP
+        let ratio = if self.recovering {
+            1.0
+        } else {
+            RETURN_COST_RATIO
+        };
+        let step = if local_cost > remote_cost {
+            SHARE_STEP
+        } else if local_cost < remote_cost * ratio {
+            -SHARE_STEP
         } else {
             return;
         };
-        self.moved = Some(now);
+        self.last_step = Some(now);
         self.share = (self.share + step).clamp(0.0, 1.0);
         // Ten steps of a tenth leave a rest of rounding.
-        self.returning &= self.share >= STEP / 2.0;
+        self.recovering &= self.share >= SHARE_STEP / 2.0;
     }
 }
 
--- a/crates/zinniastall-route/tests/filters/admission.rs
+++ b/crates/zinniastall-route/tests/filters/admission.rs
@@ -9,14 +9,14 @@
 use zinniastall_route::{
     admit::{Queue, Waiter},
     budget::Budget,
-    eject::{self, Outlier},
+    eject::{self, Detector},
     limit::Limit,
     outcome::Reason,
 };
 
 use super::config;
 
-const PACE: Duration = Duration::from_millis(100);
+const INTERVAL: Duration = Duration::from_millis(100);
 
 fn waiter(id: u64, client: &str, rank: usize, deadline: Instant) -> Waiter {
     Waiter {
@@ -41,10 +41,10 @@
     let mut queue = Queue::new(10_000);
     for id in 0..1000 {
         let waiter = waiter(id, "burst", 0, far(now));
-        queue.arrive(&waiter, PACE, now).unwrap();
+        queue.arrive(&waiter, INTERVAL, now).unwrap();
     }
-    let wait = queue.arrive(&waiter(1000, "other", 0, far(now)), PACE, now);
-    assert!(wait.unwrap() <= PACE * 2);
+    let wait = queue.arrive(&waiter(1000, "other", 0, far(now)), INTERVAL, now);
+    assert!(wait.unwrap() <= INTERVAL * 2);
     let starts: Vec<_> = (0..3).filter_map(|_| queue.pop()).collect();
     assert!(starts.contains(&1000), "{starts:?}");
 }
@@ -56,7 +56,7 @@
     for id in 0..300 {
         let client = if id % 2 == 0 { "heavy" } else { "light" };
         let waiter = waiter(id, client, 0, far(now));
-        queue.arrive(&waiter, PACE, now).unwrap();
+        queue.arrive(&waiter, INTERVAL, now).unwrap();
     }
     let starts = (0..120).filter_map(|_| queue.pop());
     let heavy = starts.filter(|id| id % 2 == 0).count();
@@ -64,12 +64,12 @@
 }
 
 #[test]
-fn classes_go_by_rank_but_none_stops() {
+fn classes_start_by_rank_without_starvation() {
     let now = Instant::now();
     let mut queue = Queue::new(1000);
     for id in 0..200 {
         let waiter = waiter(id, "a", usize::from(id % 2 == 0), far(now));
-        queue.arrive(&waiter, PACE, now).unwrap();
+        queue.arrive(&waiter, INTERVAL, now).unwrap();
     }
     let starts = (0..80).filter_map(|_| queue.pop());
     let low = starts.filter(|id| id % 2 == 0).count();
@@ -79,28 +79,31 @@
 // A request is due in a second, and ten seconds of work wait. It must hear "not now, come back
 // in ten seconds" at once; hearing it after a second would leave no time to go elsewhere.
 #[test]
-fn hopeless_deadlines_are_refused_on_arrival() {
+fn infeasible_deadlines_are_refused_on_arrival() {
     let now = Instant::now();
     let mut queue = Queue::new(1000);
     for id in 0..100 {
         queue
-            .arrive(&waiter(id, "a", 0, far(now)), PACE, now)
+            .arrive(&waiter(id, "a", 0, far(now)), INTERVAL, now)
             .unwrap();
     }
     let due = now + Duration::from_secs(1);
     let refusal = queue
-        .arrive(&waiter(100, "a", 0, due), PACE, now)
+        .arrive(&waiter(100, "a", 0, due), INTERVAL, now)
         .unwrap_err();
     assert_eq!(refusal.reason, Reason::Late);
     let retry = refusal.retry.unwrap();
-    assert!((PACE * 90..=PACE * 110).contains(&retry), "{retry:?}");
+    assert!(
+        (INTERVAL * 90..=INTERVAL * 110).contains(&retry),
+        "{retry:?}"
+    );
 }
 
 #[test]
-fn crowded_queues_keep_room_for_others() {
+fn crowded_queues_refuse_clients_beyond_their_share() {
     let now = Instant::now();
     let mut queue = Queue::new(100);
-    let mut arrive = |id, client| queue.arrive(&waiter(id, client, 0, far(now)), PACE, now);
+    let mut arrive = |id, client| queue.arrive(&waiter(id, client, 0, far(now)), INTERVAL, now);
     arrive(0, "other").unwrap();
     let refused = (1..100).find_map(|id| arrive(id, "burst").err()).unwrap();
     assert_eq!(refused.reason, Reason::Share);
@@ -113,7 +116,7 @@
     /// Whatever arrives, goes and gives up: each waiting request is started once or removed once,
     /// and the queue stays within its limit.
     #[test]
-    fn nobody_is_lost_or_started_twice(
+    fn requests_leave_the_queue_exactly_once(
         steps in prop::collection::vec((0_u8..4, 0_usize..3, 0_u64..40), 0..200),
     ) {
         let now = Instant::now();
@@ -124,7 +127,7 @@
                 0 | 1 => {
                     let client = ["a", "b", "heavy"][rank];
                     let waiter = waiter(id, client, rank, far(now));
-                    if queue.arrive(&waiter, PACE, now).is_ok() {
+                    if queue.arrive(&waiter, INTERVAL, now).is_ok() {
                         waiting.insert(id, waiter);
                     }
                 }
@@ -173,11 +176,11 @@
     fn ejection_has_a_floor(failing in prop::collection::vec(any::<bool>(), 0..20)) {
         let now = Instant::now();
         let ejected: Vec<_> = failing.iter().map(|failing| {
-            let mut outlier = Outlier::default();
+            let mut detector = Detector::default();
             if *failing {
-                (0..3).for_each(|_| outlier.failed(now));
+                (0..3).for_each(|_| detector.failed(now));
             }
-            outlier.until(now)
+            detector.ejected_until(now)
         }).collect();
         let usable = eject::usable(&ejected, 0.5);
         prop_assert!(usable.iter().filter(|usable| **usable).count() * 2 >= failing.len());
@@ -192,7 +195,7 @@
         let mut limit = Limit::new(slots);
         let mut now = Instant::now();
         for step in steps {
-            now += PACE;
+            now += INTERVAL;
             match step {
                 0 => limit.answered(limit.requests()),
                 1 => limit.refused(now),
@@ -204,22 +207,22 @@
 }
 
 #[test]
-fn an_answer_ends_an_ejection() {
+fn answer_ends_ejection() {
     let now = Instant::now();
-    let mut outlier = Outlier::default();
-    (0..3).for_each(|_| outlier.failed(now));
-    let until = outlier.until(now).unwrap();
-    assert_eq!(outlier.until(until), None);
-    outlier.failed(until);
-    assert!(outlier.until(until).unwrap() - until > until - now);
-    outlier.answered();
-    assert_eq!(outlier.until(now), None);
+    let mut detector = Detector::default();
+    (0..3).for_each(|_| detector.failed(now));
+    let until = detector.ejected_until(now).unwrap();
+    assert_eq!(detector.ejected_until(until), None);
+    detector.failed(until);
+    assert!(detector.ejected_until(until).unwrap() - until > until - now);
+    detector.answered();
+    assert_eq!(detector.ejected_until(now), None);
 }
 
 // An instance may keep a few requests at each target and never more, however many wait: callers wait
 // at the instance while half of every target's slots stand idle.
 #[test]
-fn a_limit_in_use_grows_beyond_its_start() {
+fn used_limit_grows_to_all_slots() {
     for slots in [1, 2, 4, 16] {
         let mut limit = Limit::new(slots);
         for _ in 0..1_000 {
--- a/crates/zinniastall-route/tests/filters/choice.rs
+++ b/crates/zinniastall-route/tests/filters/choice.rs
@@ -96,7 +96,7 @@
 // A style guide is cached on one engine, and everybody's briefs carry it. Sending them all there
 // would make the designers wait for a warm cache longer than a cold one takes.
 #[test]
-fn busy_caches_are_left_alone() {
+fn overloaded_targets_lose_prefix_affinity() {
     let now = Instant::now();
     let targets = ["a", "b", "c"];
     let mut table = table(&targets, now);
@@ -110,15 +110,15 @@
 
 // A target that was slow once, while it started, is never asked again if its mean stays as it was.
 #[test]
-fn slow_start_is_forgotten() {
+fn slow_response_does_not_exclude_target_for_ever() {
     let now = Instant::now();
     let targets = ["a", "b"];
     let mut table = table(&targets, now);
     let mut answer = |target: &str, millis| {
-        let run = table.start(target, &[], now);
+        let incarnation = table.start(target, &[], now);
         table.end(
             target,
-            run,
+            incarnation,
             End::Answered(Duration::from_millis(millis)),
             now,
         );
@@ -141,21 +141,21 @@
     let mut table = table(&["a"], now);
     let chain = prefix::chain(&"style guide ".repeat(200));
     table.start("a", &chain, now);
-    let cached = |after| table.get("a").unwrap().cached(&chain, now + after) > 0.0;
+    let cached = |after| table.get("a").unwrap().cached_blocks(&chain, now + after) > 0.0;
     assert!(cached(Duration::from_secs(1)));
     assert!(!cached(Duration::from_secs(3)));
 }
 
 #[test]
-fn requests_of_an_earlier_run_do_not_count() {
+fn requests_of_earlier_incarnation_are_not_counted() {
     let now = Instant::now();
     let mut table = table(&["a"], now);
-    let run = table.start("a", &[], now);
+    let incarnation = table.start("a", &[], now);
     let mut next = report(1, 0, vec![], now);
     next.incarnation = 2;
     table.observe("a", &next, now);
     table.start("a", &[], now);
-    table.end("a", run, End::Failed, now);
+    table.end("a", incarnation, End::Failed, now);
     assert_eq!(table.get("a").unwrap().in_flight(), 1);
     // A late report of the earlier run changes nothing.
     table.observe("a", &report(9, 8, vec![], now), now);
@@ -173,7 +173,7 @@
 }
 
 #[test]
-fn nearest_permitted_place_with_room_is_taken() {
+fn nearest_permitted_place_with_free_slots_is_chosen() {
     let here = Place::new("patras", "a");
     let remotes = [
         remote("athens/a", 4, 0),
@@ -196,7 +196,7 @@
 // A region recovers. If all traffic came back at the moment when its wait falls below the other
 // side's, it would find cold caches, its wait would rise and everything would leave again.
 #[test]
-fn traffic_leaves_and_returns_step_by_step() {
+fn spilled_share_changes_step_by_step() {
     let mut random = StdRng::seed_from_u64(SEED);
     let mut gate = Gate::default();
     let away = remote("athens/a", 100, 0);
@@ -232,7 +232,7 @@
 // A zone's targets were killed and come back. They are idle and look cheaper than any other place,
 // and their caches are empty: with all requests at once every prompt would be prefilled in full.
 #[test]
-fn traffic_returns_to_targets_that_were_away_step_by_step() {
+fn traffic_returns_step_by_step_to_recovered_targets() {
     let mut random = StdRng::seed_from_u64(SEED);
     let mut gate = Gate::default();
     let away = remote("athens/a", 100, 0);
@@ -259,7 +259,7 @@
 // The other region is nearly full, so that its last free slot is taken again and again. Callers are
 // refused for lack of time although half of what is sent there would have been served.
 #[test]
-fn a_place_that_is_full_for_a_moment_does_not_shut_the_gate() {
+fn briefly_full_place_keeps_the_spilled_share() {
     let mut random = StdRng::seed_from_u64(SEED);
     let mut gate = Gate::default();
     let away = remote("athens/a", 100, 0);
@@ -288,7 +288,7 @@
 }
 
 #[test]
-fn without_targets_everything_leaves_at_once() {
+fn without_targets_all_requests_spill_at_once() {
     let mut random = StdRng::seed_from_u64(SEED);
     let away = remote("athens/a", 4, 0);
     let mut gate = Gate::default();
--- a/crates/zinniastall-route/tests/filters/relaying.rs
+++ b/crates/zinniastall-route/tests/filters/relaying.rs
@@ -24,7 +24,7 @@
 
     /// However the network cuts a stream into parts, the same events come out.
     #[test]
-    fn parts_do_not_matter(cuts in prop::collection::vec(0..STREAM.len(), 0..20)) {
+    fn events_do_not_depend_on_chunk_boundaries(cuts in prop::collection::vec(0..STREAM.len(), 0..20)) {
         let (events, passed) = feed(STREAM, cuts);
         prop_assert_eq!(passed, STREAM);
         prop_assert_eq!(events.count(), 3);
@@ -34,7 +34,7 @@
     /// A stream that stops anywhere before its end never looks whole, and only whole events were
     /// passed on.
     #[test]
-    fn cut_streams_are_not_whole(
+    fn truncated_streams_are_incomplete(
         length in 0..STREAM.len(), cuts in prop::collection::vec(0..STREAM.len(), 0..20),
     ) {
         let (events, passed) = feed(&STREAM[..length], cuts);
@@ -45,7 +45,7 @@
     }
 
     #[test]
-    fn lengths_have_to_agree(announced in 0_u64..100, parts in prop::collection::vec(0_usize..30, 0..6)) {
+    fn length_must_match_announcement(announced in 0_u64..100, parts in prop::collection::vec(0_usize..30, 0..6)) {
         let sent: usize = parts.iter().sum();
         let mut length = Length::new(Some(announced));
         let fits = parts.iter().all(|part| length.part(&vec![0; *part]).is_ok());
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn endless_events_are_refused() {
+fn oversized_events_are_refused() {
     let mut events = Events::default();
     let part = vec![b'x'; 64 * 1024];
     assert!((0..8).any(|_| events.part(&part).is_err()));
--- a/crates/zinniastall-route/tests/filters/rules.rs
+++ b/crates/zinniastall-route/tests/filters/rules.rs
@@ -33,18 +33,18 @@
 }
 
 hops! {
-    stays: ["patras/a"] => true;
+    single_place: ["patras/a"] => true;
     crosses_a_zone: ["patras/a", "patras/b"] => true;
     crosses_a_region: ["patras/a", "athens/a"] => true;
     crosses_a_zone_in_each_region: ["patras/a", "patras/b", "athens/a", "athens/b"] => true;
     crosses_two_zones_of_a_region: ["patras/a", "patras/b", "patras/c"] => false;
     crosses_two_regions: ["patras/a", "athens/a", "nantes/a"] => false;
-    comes_back: ["patras/a", "athens/a", "patras/a"] => false;
-    has_passed_nothing: [] => false;
+    returns_to_a_place: ["patras/a", "athens/a", "patras/a"] => false;
+    empty_list: [] => false;
 }
 
 #[test]
-fn forwarded_requests_never_go_on() {
+fn forwarded_requests_are_not_forwarded_again() {
     let here = [place("patras/a")];
     let there = hops::check_next(&here, &place("athens/a")).unwrap();
     assert!(hops::check_arrived(&there, &place("patras/a"), &place("athens/a")).is_ok());
@@ -95,7 +95,7 @@
 
     /// Whichever of two instances holds the newer rules, only regions that both permit are left.
     #[test]
-    fn stricter_revision_wins(old in regions(), new in regions()) {
+    fn regions_permitted_by_both_revisions_remain(old in regions(), new in regions()) {
         let subject = Subject::Model("names".into());
         let here = place("paris/a");
         let permitted = |regions: &[String]| {
@@ -109,7 +109,7 @@
 
     /// All matching rules must permit; a rule for another model changes nothing.
     #[test]
-    fn all_matching_rules_hold(all in regions(), one in regions(), other in regions()) {
+    fn all_matching_rules_must_permit(all in regions(), one in regions(), other in regions()) {
         let subject = Subject::Model("names".into());
         let rules = [rule(None, &all), rule(Some("names"), &one), rule(Some("logos"), &other)];
         let permitted = residency::permitted(&rules, &subject, &place("paris/a"));
@@ -121,7 +121,7 @@
 
     /// A retry never risks a second run of work that may not be repeated, and ends in time.
     #[test]
-    fn retries_are_safe(
+    fn retries_respect_idempotency_budget_and_deadline(
         idempotent: bool, not_run: bool, relayed: bool, budget: bool, attempts in 0_u32..6, late: bool,
     ) {
         let now = Instant::now();
@@ -141,7 +141,7 @@
 
     /// Once an attempt may have run, the request is never said not to have run.
     #[test]
-    fn unknown_is_never_taken_back(outcomes in prop::collection::vec(any::<bool>(), 1..6)) {
+    fn unknown_outcome_is_never_merged_to_not_run(outcomes in prop::collection::vec(any::<bool>(), 1..6)) {
         let refusal = |unknown: &bool| match unknown {
             true => Refusal::unknown(Reason::Broken),
             false => Refusal::not_run(Reason::Refused),
@@ -153,7 +153,7 @@
 }
 
 #[test]
-fn without_a_rule_requests_stay() {
+fn without_rules_requests_stay_in_their_region() {
     let subject = Subject::Service("portal".into());
     let permitted = residency::permitted(&[], &subject, &place("paris/a"));
     assert_eq!(permitted, ["paris"]);
--- a/crates/zinniastall-route/tests/locate.rs
+++ b/crates/zinniastall-route/tests/locate.rs
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn nearest_come_first() {
+fn nearest_instances_come_first() {
     let candidates = [
         candidate("far", "patras", "a"),
         candidate("region", "athens", "b"),
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn draining_are_left_out() {
+fn draining_instances_are_left_out() {
     let mut candidates = [candidate("a", "athens", "a"), candidate("b", "athens", "a")];
     candidates[0].draining = true;
     let mut random = StdRng::seed_from_u64(SEED);
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn cut_off_answers_hold_for_less() {
+fn disconnected_answers_expire_sooner() {
     let candidates = [candidate("a", "athens", "a")];
     let mut random = StdRng::seed_from_u64(SEED);
     let place = Place::new("athens", "a");
@@ -89,7 +89,7 @@
 }
 
 #[test]
-fn newcomer_ramps() {
+fn new_instance_starts_with_low_weight() {
     let mut candidates: Vec<_> = (0..4)
         .map(|i| candidate(&format!("e{i}"), "athens", "a"))
         .collect();
