--- a/crates/zinniastall-entry/src/callers/accept.rs
+++ b/crates/zinniastall-entry/src/callers/accept.rs
@@ -51,20 +51,21 @@
 ///
 /// # Errors
 ///
-/// Returns [`Reason::Large`] or [`Reason::Slow`] if a limit is exceeded, and [`Reason::Body`] if
-/// the caller disconnected.
+/// Returns [`Reason::BodyTooLarge`] or [`Reason::ArrivalTimeout`] if a limit is exceeded, and
+/// [`Reason::MalformedBody`] if the caller disconnected.
 pub async fn read_body(payload: web::Payload, limits: &Limits) -> Result<Bytes, Refusal> {
     let reading = collect(payload, limits.body_bytes);
     let body = tokio::time::timeout(limits.arrival, reading).await;
-    body.unwrap_or(Err(Reason::Slow)).map_err(Refusal::not_run)
+    body.unwrap_or(Err(Reason::ArrivalTimeout))
+        .map_err(Refusal::not_run)
 }
 
 async fn collect(mut payload: web::Payload, limit: usize) -> Result<Bytes, Reason> {
     let mut body = BytesMut::new();
     while let Some(part) = payload.next().await {
-        let part = part.map_err(|_| Reason::Body("incomplete".to_owned()))?;
+        let part = part.map_err(|_| Reason::MalformedBody("incomplete".to_owned()))?;
         if body.len() + part.len() > limit {
-            return Err(Reason::Large(limit));
+            return Err(Reason::BodyTooLarge(limit));
         }
         body.extend_from_slice(&part);
     }
@@ -143,7 +144,7 @@
 ///
 /// # Errors
 ///
-/// Returns [`Reason::Header`] if the value is not visible ASCII.
+/// Returns [`Reason::MalformedHeader`] if the value is not visible ASCII.
 pub fn header_text<'a>(
     http: &'a HttpRequest,
     name: &'static str,
@@ -151,7 +152,7 @@
     let Some(value) = http.headers().get(name) else {
         return Ok(None);
     };
-    let value = value.to_str().map_err(|_| Reason::Header(name))?;
+    let value = value.to_str().map_err(|_| Reason::MalformedHeader(name))?;
     Ok(Some(value.trim()))
 }
 
@@ -159,17 +160,17 @@
 ///
 /// # Errors
 ///
-/// Returns [`Reason::Header`] if the id is malformed.
+/// Returns [`Reason::MalformedHeader`] if the id is malformed.
 pub fn request_id(http: &HttpRequest) -> Result<String, Reason> {
     match header_text(http, REQUEST)? {
         Some(id) if is_valid_name(id) => Ok(id.to_owned()),
-        Some(_) => Err(Reason::Header(REQUEST)),
+        Some(_) => Err(Reason::MalformedHeader(REQUEST)),
         None => Ok(format!("{:016x}", rand::random::<u64>())),
     }
 }
 
 fn parse(body: &[u8]) -> Result<ChatRequest, Reason> {
-    serde_json::from_slice(body).map_err(|error| Reason::Body(error.to_string()))
+    serde_json::from_slice(body).map_err(|error| Reason::MalformedBody(error.to_string()))
 }
 
 /// Returns the prompt prefix digests of a body that another instance forwarded.
@@ -195,7 +196,7 @@
 fn class(http: &HttpRequest) -> Result<id::Class, Reason> {
     match header_text(http, CLASS)? {
         Some(class) if is_valid_name(class) => Ok(class.to_owned()),
-        Some(_) => Err(Reason::Header(CLASS)),
+        Some(_) => Err(Reason::MalformedHeader(CLASS)),
         None => Ok(DEFAULT_CLASS.to_owned()),
     }
 }
@@ -206,7 +207,7 @@
     };
     match value.parse() {
         Ok(millis @ 1..=MAX_DEADLINE_MS) => Ok(Duration::from_millis(millis)),
-        _ => Err(Reason::Header(DEADLINE)),
+        _ => Err(Reason::MalformedHeader(DEADLINE)),
     }
 }
 
@@ -215,7 +216,7 @@
         None => Ok(None),
         Some("true") => Ok(Some(true)),
         Some("false") => Ok(Some(false)),
-        Some(_) => Err(Reason::Header(name)),
+        Some(_) => Err(Reason::MalformedHeader(name)),
     }
 }
 
@@ -242,10 +243,10 @@
 ///
 /// # Errors
 ///
-/// Returns [`Reason::Unconfigured`] until the instance holds a configuration that lists it.
+/// Returns [`Reason::NotConfigured`] until the instance holds a configuration that lists it.
 pub fn configured(view: &View) -> Result<&Arc<State>, Refusal> {
     let retry = Duration::from_secs(1);
     view.state
         .as_ref()
-        .ok_or_else(|| Refusal::not_run(Reason::Unconfigured).retry(retry))
+        .ok_or_else(|| Refusal::not_run(Reason::NotConfigured).retry_after(retry))
 }
--- a/crates/zinniastall-entry/src/callers/admission/candidates.rs
+++ b/crates/zinniastall-entry/src/callers/admission/candidates.rs
@@ -72,7 +72,7 @@
         let sum: Duration = self
             .all
             .iter()
-            .map(|candidate| candidate.load.service())
+            .map(|candidate| candidate.load.service_time())
             .sum();
         let count = u32::try_from(self.all.len()).unwrap_or(u32::MAX);
         sum / count.max(1)
@@ -98,7 +98,7 @@
             rank: policy.rank(&request.class),
             deadline: request.deadline,
             // A stream may outlive its deadline, so an expected duration alone does not refuse it.
-            service: self.mean_service_time().min(left / 2),
+            service_time: self.mean_service_time().min(left / 2),
         }
     }
 
@@ -151,7 +151,7 @@
         price: report.price,
         prefixes: report.prefixes.clone(),
         gap: report.gap,
-        heard: target.heard,
+        received_at: target.heard,
     }
 }
 
@@ -172,7 +172,7 @@
         outstanding.observe_digest(digest.made);
         Remote {
             place: report.place.clone(),
-            free: outstanding.free_slots(report.free),
+            free_slots: outstanding.free_slots(report.free),
             wait: Duration::from_millis(report.wait_ms),
             price: report.price,
         }
@@ -234,9 +234,9 @@
 ) -> Vec<Candidate<'a>> {
     let ejected: Vec<_> = all
         .iter()
-        .map(|candidate| candidate.load.ejected(now))
+        .map(|candidate| candidate.load.ejected_until(now))
         .collect();
-    let usable = eject::usable(&ejected, policy.floor());
+    let usable = eject::usable(&ejected, policy.usable_floor());
     let kept = all.into_iter().zip(usable).filter(|(_, usable)| *usable);
     kept.map(|(candidate, _)| candidate).collect()
 }
--- a/crates/zinniastall-entry/src/callers/admission/in_flight.rs
+++ b/crates/zinniastall-entry/src/callers/admission/in_flight.rs
@@ -63,8 +63,8 @@
     /// Records a failure.
     pub const fn failed(&mut self, refusal: &Refusal) {
         self.end = match (refusal.outcome, &refusal.reason) {
-            (_, Reason::Late) => End::Cancelled,
-            (Outcome::NotRun, Reason::Refused) => End::Refused,
+            (_, Reason::DeadlineNotFeasible) => End::Cancelled,
+            (Outcome::NotRun, Reason::TargetRefused) => End::Refused,
             _ => End::Failed,
         };
     }
@@ -107,7 +107,10 @@
 
     /// Records a failure.
     pub const fn failed(&mut self, refusal: &Refusal) {
-        self.lost = matches!(refusal.reason, Reason::Unreachable | Reason::Broken);
+        self.lost = matches!(
+            refusal.reason,
+            Reason::TargetUnreachable | Reason::TargetLost
+        );
     }
 
     /// Returns the places that the request has passed, including its destination.
--- a/crates/zinniastall-entry/src/callers/admission/mod.rs
+++ b/crates/zinniastall-entry/src/callers/admission/mod.rs
@@ -61,7 +61,7 @@
     pub fn new(board: Board, policy: Arc<Policy>) -> Self {
         Self {
             board,
-            state: Arc::new(Mutex::new(State::new(policy.retries()))),
+            state: Arc::new(Mutex::new(State::new(policy.earned_retries()))),
             policy,
         }
     }
@@ -77,7 +77,7 @@
         let state = &mut *guard;
         state.refresh(&view, now);
         if tried.is_empty() {
-            state.budget.request();
+            state.budget.deposit();
         }
         let found = Candidates::find(&view, request, tried, &self.policy, &state.table, now);
         let starts_now = found.have_room() && !state.queues.has_waiting(&request.subject);
@@ -93,7 +93,9 @@
         }
         if found.is_empty() {
             let subject = request.subject.name().to_owned();
-            return Err(Refusal::not_run(Reason::NoTarget(subject)).retry(NO_TARGET_RETRY_AFTER));
+            return Err(
+                Refusal::not_run(Reason::NoTarget(subject)).retry_after(NO_TARGET_RETRY_AFTER)
+            );
         }
         if starts_now && let Some(target) = self.choose(&mut state.chooser, request, &found, now) {
             return Ok(Decision::Local(Box::new(
@@ -109,7 +111,7 @@
 
     /// Takes one retry from the budget; returns `false` if it is exhausted.
     pub fn retry(&self) -> bool {
-        self.lock().budget.retry()
+        self.lock().budget.withdraw()
     }
 
     fn choose(
--- a/crates/zinniastall-entry/src/callers/admission/queued.rs
+++ b/crates/zinniastall-entry/src/callers/admission/queued.rs
@@ -49,7 +49,7 @@
             let granted = tokio::time::timeout(RECHECK_INTERVAL, &mut self.receiver).await;
             match granted {
                 Ok(Ok(in_flight)) => return Ok(in_flight),
-                Ok(Err(_)) => return Err(Refusal::not_run(Reason::Full)),
+                Ok(Err(_)) => return Err(Refusal::not_run(Reason::QueueFull)),
                 Err(_) => self.recheck()?,
             }
         }
--- a/crates/zinniastall-entry/src/callers/admission/queues.rs
+++ b/crates/zinniastall-entry/src/callers/admission/queues.rs
@@ -64,7 +64,7 @@
         starts_now: bool,
         now: Instant,
     ) -> Option<(Place, Vec<Place>)> {
-        if !policy.spills() || request.hops.len() != 1 {
+        if !policy.spill_enabled() || request.hops.len() != 1 {
             return None;
         }
         self.lost
--- a/crates/zinniastall-entry/src/callers/admission/state.rs
+++ b/crates/zinniastall-entry/src/callers/admission/state.rs
@@ -135,7 +135,7 @@
             }) else {
                 continue;
             };
-            let miss = choose::miss(policy, &request.prefixes, load, now);
+            let miss = choose::cache_miss_cost(policy, &request.prefixes, load, now);
             if best.as_ref().is_none_or(|(least, ..)| miss < *least) {
                 best = Some((miss, id, target));
             }
@@ -170,11 +170,13 @@
         );
         if found.is_empty() {
             let reason = Reason::NoTarget(subject.name().to_owned());
-            return Some(Refusal::not_run(reason).retry(NO_TARGET_RETRY_AFTER));
+            return Some(Refusal::not_run(reason).retry_after(NO_TARGET_RETRY_AFTER));
         }
         let start_interval = queue.start_interval(found.start_interval());
         let wait = start_interval.saturating_mul(queue.ahead(id));
         let late = now + wait + entry.service() > entry.request.deadline;
-        late.then(|| Refusal::not_run(Reason::Late).retry(wait.max(start_interval)))
+        late.then(|| {
+            Refusal::not_run(Reason::DeadlineNotFeasible).retry_after(wait.max(start_interval))
+        })
     }
 }
--- a/crates/zinniastall-entry/src/callers/admission/subject_queue.rs
+++ b/crates/zinniastall-entry/src/callers/admission/subject_queue.rs
@@ -50,7 +50,7 @@
 impl Entry {
     /// Returns the expected service time.
     pub(super) const fn service(&self) -> Duration {
-        self.waiter.service
+        self.waiter.service_time
     }
 }
 
@@ -78,7 +78,7 @@
     ///
     /// # Errors
     ///
-    /// See [`Queue::arrive`].
+    /// See [`Queue::enqueue`].
     pub(super) fn enqueue(
         &mut self,
         policy: &Policy,
@@ -91,8 +91,8 @@
         let start_interval = self.start_interval(expected);
         let queue = self
             .queue
-            .get_or_insert_with(|| Queue::new(policy.longest_queue()));
-        queue.arrive(&waiter, start_interval, now)?;
+            .get_or_insert_with(|| Queue::new(policy.max_queue_length()));
+        queue.enqueue(&waiter, start_interval, now)?;
         let (sender, receiver) = oneshot::channel();
         let entry = Entry {
             waiter,
@@ -108,7 +108,7 @@
     /// Returns up to `count` requests that may start next, in order; only the first if it has been
     /// passed over too often.
     pub(super) fn next_entries(&self, count: usize) -> Vec<(Id, &Entry)> {
-        let first = self.queue.as_ref().map(|queue| queue.first(count));
+        let first = self.queue.as_ref().map(|queue| queue.peek(count));
         let first = first.unwrap_or_default().into_iter();
         let mut first: Vec<_> = first
             .filter_map(|id| Some((id, self.entries.get(&id)?)))
@@ -125,7 +125,7 @@
     /// Removes a request that starts now.
     pub(super) fn take(&mut self, id: Id, now: Instant) -> Option<Entry> {
         let queue = self.queue.as_mut()?;
-        let head = queue.first(1).first().copied();
+        let head = queue.peek(1).first().copied();
         if let Some(skipped) = head.filter(|head| *head != id) {
             self.entries[&skipped].skipped += 1;
         }
--- a/crates/zinniastall-entry/src/callers/attempts.rs
+++ b/crates/zinniastall-entry/src/callers/attempts.rs
@@ -61,7 +61,7 @@
         let progress = Progress {
             attempts: attempts_made,
             relayed: false,
-            budget: true,
+            has_budget: true,
         };
         let next = dispatch::next(request, &refusal, progress, Instant::now());
         let merged = dispatch::merge(earlier.take(), refusal);
@@ -80,10 +80,10 @@
 
 /// Returns the outcome of earlier attempts, if any, with the retry hint of the last refusal.
 fn merge_last(earlier: Option<Refusal>, refusal: Refusal) -> Refusal {
-    let retry = refusal.retry;
+    let retry = refusal.retry_after;
     match earlier {
         Some(earlier) => Refusal {
-            retry: retry.or(earlier.retry),
+            retry_after: retry.or(earlier.retry_after),
             ..earlier
         },
         None => refusal,
@@ -129,13 +129,13 @@
     call: &Call,
     mut forwarded: Forwarded,
 ) -> Result<Answer, Refusal> {
-    let refused = |reason| Err(Refusal::not_run(reason).retry(UNREACHABLE_RETRY_AFTER));
+    let refused = |reason| Err(Refusal::not_run(reason).retry_after(UNREACHABLE_RETRY_AFTER));
     worker
         .check_again(&call.request, forwarded.place())
         .map_err(Refusal::not_run)?;
     let view = worker.view();
     let Some(peer) = forward::choose_peer(&view, forwarded.place()) else {
-        return refused(Reason::Unreachable);
+        return refused(Reason::TargetUnreachable);
     };
     let hops = forwarded.hops().to_vec();
     let sent = forward::send(worker, call, peer, hops).await;
@@ -160,7 +160,7 @@
             None if !fault => in_flight.borrow_mut().answered(),
             None => in_flight
                 .borrow_mut()
-                .failed(&Refusal::unknown(Reason::Broken)),
+                .failed(&Refusal::unknown(Reason::TargetLost)),
             Some(Err(refusal)) => in_flight.borrow_mut().failed(refusal),
             Some(Ok(_)) => {}
         }
--- a/crates/zinniastall-entry/src/callers/connection.rs
+++ b/crates/zinniastall-entry/src/callers/connection.rs
@@ -158,9 +158,9 @@
 /// Maps a library status to the reason for the rejection.
 fn reason(status: &str) -> Option<Reason> {
     match status {
-        "400" => Some(Reason::Head),
-        "408" => Some(Reason::Slow),
-        "431" => Some(Reason::LongHead),
+        "400" => Some(Reason::MalformedHead),
+        "408" => Some(Reason::ArrivalTimeout),
+        "431" => Some(Reason::HeadTooLarge),
         _ => None,
     }
 }
--- a/crates/zinniastall-entry/src/callers/forward/mod.rs
+++ b/crates/zinniastall-entry/src/callers/forward/mod.rs
@@ -68,7 +68,7 @@
 
     /// Returns a link to an incarnation of an instance, opening one if needed.
     async fn connect(&self, peer: &Peer) -> Result<Rc<Mux>, Refusal> {
-        let unreachable = || Refusal::not_run(Reason::Unreachable);
+        let unreachable = || Refusal::not_run(Reason::TargetUnreachable);
         if let Some(mux) = self.find(peer) {
             return Ok(mux);
         }
@@ -122,7 +122,7 @@
     let deadline = call.request.deadline;
     let until = deadline.min(Instant::now() + DIAL_TIMEOUT);
     let mux = timeout_at(until.into(), worker.links.connect(peer)).await;
-    let mux = mux.map_err(|_| Refusal::not_run(Reason::Unreachable))??;
+    let mux = mux.map_err(|_| Refusal::not_run(Reason::TargetUnreachable))??;
     // Opening a link can take seconds over a slow network. A residency rule narrowed meanwhile has
     // been confirmed to the operator, so the request must not leave under the previous rule.
     worker
@@ -130,17 +130,17 @@
         .map_err(Refusal::not_run)?;
     let reply = mux.request(open::pack(call, hops));
     let reply = timeout_at(deadline.into(), reply).await;
-    reply.map_err(|_| Refusal::unknown(Reason::Deadline))?
+    reply.map_err(|_| Refusal::unknown(Reason::DeadlinePassed))?
 }
 
 /// Converts a failure reported by another instance to a refusal.
 fn refusal(failure: Failure) -> Refusal {
     match failure {
         Failure::NotRun { reason, retry_ms } => {
-            let refusal = Refusal::not_run(Reason::Forwarded(reason));
-            refusal.retry(Duration::from_millis(retry_ms))
+            let refusal = Refusal::not_run(Reason::ForwardedFailed(reason));
+            refusal.retry_after(Duration::from_millis(retry_ms))
         }
-        Failure::Unknown { reason } => Refusal::unknown(Reason::Forwarded(reason)),
+        Failure::Unknown { reason } => Refusal::unknown(Reason::ForwardedFailed(reason)),
     }
 }
 
@@ -148,7 +148,7 @@
 fn failure(refusal: &Refusal) -> Failure {
     let reason = refusal.reason.to_string();
     if refusal.outcome == zinniastall_route::outcome::Outcome::NotRun {
-        let retry = refusal.retry.unwrap_or_default();
+        let retry = refusal.retry_after.unwrap_or_default();
         return Failure::NotRun {
             reason,
             retry_ms: u64::try_from(retry.as_millis()).unwrap_or(u64::MAX),
--- a/crates/zinniastall-entry/src/callers/forward/mux.rs
+++ b/crates/zinniastall-entry/src/callers/forward/mux.rs
@@ -101,7 +101,7 @@
                 answer.ended = true;
                 Err(refusal(failure))
             }
-            _ => Err(Refusal::unknown(Reason::Broken)),
+            _ => Err(Refusal::unknown(Reason::TargetLost)),
         }
     }
 
@@ -160,7 +160,7 @@
 
 impl BodySource for StreamBody {
     async fn next_part(&mut self) -> Result<Option<Bytes>, Refusal> {
-        let broken = || Refusal::unknown(Reason::Broken);
+        let broken = || Refusal::unknown(Reason::TargetLost);
         match self.receiver.recv().await.ok_or_else(broken)? {
             // The offset reveals a part that was lost, duplicated or reordered.
             Message::Data { offset, bytes, .. } if offset == self.offset => {
--- a/crates/zinniastall-entry/src/callers/forward/open.rs
+++ b/crates/zinniastall-entry/src/callers/forward/open.rs
@@ -50,7 +50,7 @@
 pub(super) fn unpack(worker: &Rc<Worker>, sender: &Address, open: Open) -> Result<Call, Refusal> {
     validate(worker, sender, open).map_err(|reason| {
         let retry = Duration::from_millis(500);
-        Refusal::not_run(reason).retry(retry)
+        Refusal::not_run(reason).retry_after(retry)
     })
 }
 
@@ -58,10 +58,10 @@
     let view = worker.view();
     let from = Place::new(sender.region.clone(), sender.zone.clone());
     hops::check_arrived(&open.hops, &from, &view.place)?;
-    let state = view.state.as_ref().ok_or(Reason::Unconfigured)?;
+    let state = view.state.as_ref().ok_or(Reason::NotConfigured)?;
     let index = worker.index(state);
     let client = index.client(&open.client)?;
-    let received = open.hops.first().ok_or(Reason::Hops)?;
+    let received = open.hops.first().ok_or(Reason::TooManyHops)?;
     let own = residency::permitted(index.rules(&client.id), &open.subject, received);
     let regions = residency::stricter(&open.regions, &own);
     residency::check_place(&regions, &view.place)?;
--- a/crates/zinniastall-entry/src/callers/forward/serve.rs
+++ b/crates/zinniastall-entry/src/callers/forward/serve.rs
@@ -153,7 +153,7 @@
     active.last.set(stream);
     if streams.len() >= MAX_STREAMS {
         // Without an explicit failure, the caller would wait until its deadline.
-        let refusal = Refusal::not_run(Reason::Full).retry(FULL_RETRY_AFTER);
+        let refusal = Refusal::not_run(Reason::QueueFull).retry_after(FULL_RETRY_AFTER);
         let tickets = &worker.service.tickets;
         let refusal = tickets.rejected_early(refusal, open.ticket.as_deref(), Some(sender));
         let failure = failure(&refusal);
--- a/crates/zinniastall-entry/src/callers/locate.rs
+++ b/crates/zinniastall-entry/src/callers/locate.rs
@@ -6,7 +6,7 @@
 use serde::{Deserialize, Serialize};
 use zinniastall_model::{id, place::Place};
 use zinniastall_route::{
-    locate::{self, Located},
+    locate::{self, Instance},
     outcome::{Reason, Refusal},
 };
 
@@ -63,7 +63,7 @@
     let key = accept::bearer_key(http).map_err(Refusal::not_run)?;
     index.by_key(key).map_err(Refusal::not_run)?;
     let query = web::Query::<Query>::from_query(http.query_string())
-        .map_err(|error| Refusal::not_run(Reason::Query(error.to_string())))?;
+        .map_err(|error| Refusal::not_run(Reason::MalformedQuery(error.to_string())))?;
     if index.subject(&query.subject).is_none() {
         let name: String = query.subject.chars().take(80).collect();
         return Err(Refusal::not_run(Reason::NoRoute(name)));
@@ -89,12 +89,12 @@
     })
 }
 
-fn choice(located: Located) -> Choice {
+fn choice(located: Instance) -> Choice {
     Choice {
         instance: located.instance,
         region: located.place.region,
         zone: located.place.zone,
-        callers: located.callers,
+        callers: located.caller_address,
         weight: located.weight,
     }
 }
--- a/crates/zinniastall-entry/src/callers/pipeline.rs
+++ b/crates/zinniastall-entry/src/callers/pipeline.rs
@@ -70,7 +70,7 @@
     draining: bool,
 ) -> Result<Answer, Refusal> {
     if draining {
-        return Err(Refusal::not_run(Reason::Draining).retry(UNREACHABLE_RETRY_AFTER));
+        return Err(Refusal::not_run(Reason::Draining).retry_after(UNREACHABLE_RETRY_AFTER));
     }
     dispatch(worker, &Rc::new(call)).await
 }
@@ -96,7 +96,7 @@
     };
     // A retry waits only until its own deadline; the run continues.
     let answer = timeout_at(deadline.into(), read).await;
-    answer.map_err(|_| Refusal::unknown(Reason::Deadline))?
+    answer.map_err(|_| Refusal::unknown(Reason::DeadlinePassed))?
 }
 
 async fn run_recorded(worker: Rc<Worker>, call: Rc<Call>, writer: Writer) {
@@ -143,9 +143,9 @@
     let asked = forward::send(worker, call, peer, hops).await;
     let mut reply = asked.map_err(|refusal| match refusal.reason {
         // The issuer knows whether the request ran.
-        Reason::Forwarded(_) => refusal,
+        Reason::ForwardedFailed(_) => refusal,
         // The request may have run there earlier, although nothing got through this time.
-        Reason::Unreachable => gone(),
+        Reason::TargetUnreachable => gone(),
         reason => Refusal::unknown(reason),
     })?;
     let buffered = relay::buffer(&mut reply).await?;
--- a/crates/zinniastall-entry/src/callers/relay.rs
+++ b/crates/zinniastall-entry/src/callers/relay.rs
@@ -31,7 +31,7 @@
 pub fn with_timeouts(body: Body, events: bool, deadline: Instant, stall_timeout: Duration) -> Body {
     let next = move |state: Option<(Body, Instant)>| async move {
         let (mut body, until) = state?;
-        let late = Err(Refusal::unknown(Reason::Deadline));
+        let late = Err(Refusal::unknown(Reason::DeadlinePassed));
         match timeout_at(until.into(), body.next()).await {
             Ok(Some(Ok(bytes))) => {
                 let until = if events {
@@ -84,15 +84,15 @@
         loop {
             let broken = match self.body.next().await {
                 Some(Ok(bytes)) => {
-                    let complete = self.events.part(&bytes);
-                    let complete = complete.map_err(|_| Refusal::unknown(Reason::Broken))?;
+                    let complete = self.events.push(&bytes);
+                    let complete = complete.map_err(|_| Refusal::unknown(Reason::TargetLost))?;
                     if !complete.is_empty() {
                         return Ok(Some(complete.into()));
                     }
                     continue;
                 }
                 None if self.events.end().is_ok() => return Ok(None),
-                None => Refusal::unknown(Reason::Broken),
+                None => Refusal::unknown(Reason::TargetLost),
                 Some(Err(refusal)) => refusal,
             };
             self.resume(broken).await?;
@@ -106,7 +106,7 @@
         let progress = Progress {
             attempts: self.attempts,
             relayed: false,
-            budget: true,
+            has_budget: true,
         };
         let next = dispatch::next(request, &broken, progress, Instant::now());
         let offset = self.events.count();
--- a/crates/zinniastall-entry/src/callers/response.rs
+++ b/crates/zinniastall-entry/src/callers/response.rs
@@ -128,6 +128,6 @@
 }
 
 fn retry_ms(refusal: &Refusal) -> Option<u64> {
-    let retry = refusal.retry?;
+    let retry = refusal.retry_after?;
     Some(u64::try_from(retry.as_millis()).unwrap_or(u64::MAX))
 }
--- a/crates/zinniastall-entry/src/callers/settings.rs
+++ b/crates/zinniastall-entry/src/callers/settings.rs
@@ -53,11 +53,11 @@
     let policy = Policy::default()
         .choice(choice)
         .weights(weights)
-        .block(reader.millis("block_ms", 0..=60_000, 4))
+        .block_prefill(reader.millis("block_ms", 0..=60_000, 4))
         .queue(count(reader.number("queue", 0..=1_000_000, 1024)))
-        .retry_share(reader.fraction("retry_share", 1.0, 0.1))
+        .retry_ratio(reader.fraction("retry_share", 1.0, 0.1))
         .eject_floor(reader.fraction("eject_floor", 1.0, 0.5))
-        .borders(
+        .border_costs(
             reader.millis("zone_border_ms", 0..=60_000, 5),
             reader.millis("region_border_ms", 0..=60_000, 60),
         )
--- a/crates/zinniastall-entry/src/callers/target.rs
+++ b/crates/zinniastall-entry/src/callers/target.rs
@@ -111,7 +111,7 @@
 ) -> Result<Reply, Refusal> {
     let url = format!("http://{}{}", target.address, call.path);
     let method = awc::http::Method::from_bytes(call.method.as_bytes())
-        .map_err(|_| Refusal::not_run(Reason::Body("unknown HTTP method".to_owned())))?;
+        .map_err(|_| Refusal::not_run(Reason::MalformedBody("unknown HTTP method".to_owned())))?;
     let client = clients.client(call.request.idempotent);
     let mut request = client.request(method, url);
     for (name, value) in &call.headers {
@@ -122,7 +122,7 @@
         request = request.insert_header((name, value));
     }
     if left == 0 {
-        return Err(Refusal::not_run(Reason::Late));
+        return Err(Refusal::not_run(Reason::DeadlineNotFeasible));
     }
     let response = request
         .timeout(Duration::from_millis(left))
@@ -140,12 +140,14 @@
     match error {
         // `Disconnected` is the only connection error that the library also reports for a
         // connection that broke while in use.
-        SendRequestError::Connect(ConnectError::Disconnected) => Refusal::unknown(Reason::Broken),
+        SendRequestError::Connect(ConnectError::Disconnected) => {
+            Refusal::unknown(Reason::TargetLost)
+        }
         SendRequestError::Connect(_) | SendRequestError::Url(_) => {
-            Refusal::not_run(Reason::Unreachable)
+            Refusal::not_run(Reason::TargetUnreachable)
         }
-        SendRequestError::Timeout => Refusal::unknown(Reason::Deadline),
-        _ => Refusal::unknown(Reason::Broken),
+        SendRequestError::Timeout => Refusal::unknown(Reason::DeadlinePassed),
+        _ => Refusal::unknown(Reason::TargetLost),
     }
 }
 
@@ -186,11 +188,11 @@
     if !refusing.contains(&status) || said != Outcome::NotRun.as_str() {
         return None;
     }
-    let refusal = Refusal::not_run(Reason::Refused);
+    let refusal = Refusal::not_run(Reason::TargetRefused);
     let retry = response.headers().get(RETRY);
     let millis = retry.and_then(|value| value.to_str().ok()?.parse().ok());
     Some(match millis {
-        Some(millis) => refusal.retry(Duration::from_millis(millis)),
+        Some(millis) => refusal.retry_after(Duration::from_millis(millis)),
         None => refusal,
     })
 }
@@ -200,11 +202,11 @@
         let (mut response, mut length) = state?;
         let part: Option<Result<Bytes, _>> = response.next().await;
         match part {
-            Some(Ok(bytes)) if length.part(&bytes).is_ok() => {
+            Some(Ok(bytes)) if length.push(&bytes).is_ok() => {
                 Some((Ok(bytes), Some((response, length))))
             }
             None if length.end().is_ok() => None,
-            _ => Some((Err(Refusal::unknown(Reason::Broken)), None)),
+            _ => Some((Err(Refusal::unknown(Reason::TargetLost)), None)),
         }
     };
     stream::unfold(Some((response, length)), next).boxed_local()
--- a/crates/zinniastall-entry/src/callers/ticket/ledger.rs
+++ b/crates/zinniastall-entry/src/callers/ticket/ledger.rs
@@ -70,7 +70,7 @@
     /// Returns a refusal; a "not run" refusal carries a new ticket where that helps.
     pub fn admit(&self, call: &Call, draining: bool) -> Result<Action, Refusal> {
         let Some(text) = &call.request.ticket else {
-            let refusal = Refusal::not_run(Reason::TicketRequired).retry(Duration::ZERO);
+            let refusal = Refusal::not_run(Reason::TicketRequired).retry_after(Duration::ZERO);
             return Err(refusal.ticket(self.issue()));
         };
         match self.issuer.check(text, self.now()) {
@@ -193,7 +193,9 @@
             Redemption::First(record) => Ok(Action::Run(record)),
             Redemption::Repeated(record) => Ok(Action::Join(record)),
             Redemption::Mismatch => Err(Refusal::not_run(Reason::TicketReused)),
-            Redemption::Full => Err(Refusal::not_run(Reason::TicketsFull).retry(FULL_RETRY_AFTER)),
+            Redemption::Full => {
+                Err(Refusal::not_run(Reason::TooManyTickets).retry_after(FULL_RETRY_AFTER))
+            }
         }
     }
 
--- a/crates/zinniastall-entry/src/callers/ticket/reader.rs
+++ b/crates/zinniastall-entry/src/callers/ticket/reader.rs
@@ -54,7 +54,7 @@
                 Step::Wait => {}
             }
             if changed.changed().await.is_err() {
-                return Err(Refusal::unknown(Reason::Broken));
+                return Err(Refusal::unknown(Reason::TargetLost));
             }
         }
     }
--- a/crates/zinniastall-entry/src/callers/ticket/record.rs
+++ b/crates/zinniastall-entry/src/callers/ticket/record.rs
@@ -133,7 +133,7 @@
     ///
     /// # Errors
     ///
-    /// Returns the recorded refusal, or [`Reason::NotKept`].
+    /// Returns the recorded refusal, or [`Reason::AnswerNotKept`].
     pub async fn read(self: Arc<Self>, owner: bool) -> Result<Reply, Refusal> {
         let reader = Reader::new(Arc::clone(&self), owner);
         let head = self.wait_head().await?;
@@ -155,7 +155,7 @@
                 return Ok(head);
             }
             if changed.changed().await.is_err() {
-                return Err(Refusal::unknown(Reason::Broken));
+                return Err(Refusal::unknown(Reason::TargetLost));
             }
         }
     }
@@ -165,9 +165,9 @@
         match (&state.head, &state.end) {
             // A retry is told at once that the response broke, instead of receiving a part of it.
             (_, Some(Err(refusal))) => Err(refusal.clone()),
-            (Some(_), _) if state.base > 0 => Err(Refusal::unknown(Reason::NotKept)),
+            (Some(_), _) if state.base > 0 => Err(Refusal::unknown(Reason::AnswerNotKept)),
             (Some(head), _) => Ok(Some(head.clone())),
-            (None, Some(Ok(()))) => Err(Refusal::unknown(Reason::NotKept)),
+            (None, Some(Ok(()))) => Err(Refusal::unknown(Reason::AnswerNotKept)),
             (None, None) => Ok(None),
         }
     }
@@ -199,7 +199,7 @@
 
     pub(super) fn step(&self, next: usize) -> Step {
         if next < self.base {
-            return Step::End(Err(Refusal::unknown(Reason::NotKept)));
+            return Step::End(Err(Refusal::unknown(Reason::AnswerNotKept)));
         }
         match (self.parts.get(next - self.base), &self.end) {
             (Some(part), _) => Step::Part(part.clone()),
@@ -215,6 +215,6 @@
 
 impl Drop for Writer {
     fn drop(&mut self) {
-        self.0.end(Err(Refusal::unknown(Reason::Broken)));
+        self.0.end(Err(Refusal::unknown(Reason::TargetLost)));
     }
 }
--- a/crates/zinniastall-entry/src/callers/worker.rs
+++ b/crates/zinniastall-entry/src/callers/worker.rs
@@ -61,7 +61,7 @@
     /// See [`residency::check_again`].
     pub fn check_again(&self, request: &Request, place: &Place) -> Result<(), Reason> {
         let view = self.view();
-        let state = view.state.as_ref().ok_or(Reason::Unconfigured)?;
+        let state = view.state.as_ref().ok_or(Reason::NotConfigured)?;
         residency::check_again(&self.index(state), request, place)
     }
 }
--- a/crates/zinniastall-entry/src/view.rs
+++ b/crates/zinniastall-entry/src/view.rs
@@ -64,9 +64,9 @@
         let candidate = |peer: &gossip::Peer| Candidate {
             instance: peer.instance.clone(),
             place: peer.place.clone(),
-            callers: peer.callers.clone(),
+            caller_address: peer.callers.clone(),
             load: peer.load,
-            up: Duration::from_millis(peer.up_ms),
+            uptime: Duration::from_millis(peer.up_ms),
             draining: peer.draining,
         };
         self.peers.values().map(candidate).collect()
--- a/crates/zinniastall-route/src/admit.rs
+++ b/crates/zinniastall-route/src/admit.rs
@@ -45,7 +45,7 @@
     /// When its answer is due.
     pub deadline: Instant,
     /// Time that it will take once it starts.
-    pub service: Duration,
+    pub service_time: Duration,
 }
 
 /// Requests that wait for one model or service.
@@ -84,9 +84,9 @@
     ///
     /// # Errors
     ///
-    /// A refusal that says when to come back: [`Reason::Full`], [`Reason::Share`] and
-    /// [`Reason::Late`].
-    pub fn arrive(
+    /// A refusal that says when to come back: [`Reason::QueueFull`], [`Reason::ShareUsedUp`] and
+    /// [`Reason::DeadlineNotFeasible`].
+    pub fn enqueue(
         &mut self,
         waiter: &Waiter,
         start_interval: Duration,
@@ -94,15 +94,17 @@
     ) -> Result<Duration, Refusal> {
         let total_wait = start_interval.saturating_mul(count(self.length));
         if self.length >= self.limit {
-            return Err(Refusal::not_run(Reason::Full).retry(total_wait));
+            return Err(Refusal::not_run(Reason::QueueFull).retry_after(total_wait));
         }
         let wait = start_interval.saturating_mul(count(self.ahead_of(waiter)));
         if self.exceeds_share(waiter) {
-            return Err(Refusal::not_run(Reason::Share).retry(wait.max(start_interval)));
+            return Err(Refusal::not_run(Reason::ShareUsedUp).retry_after(wait.max(start_interval)));
         }
         let time_left = waiter.deadline.saturating_duration_since(now);
-        if wait + waiter.service > time_left.mul_f64(FEASIBLE_SHARE) {
-            return Err(Refusal::not_run(Reason::Late).retry(wait.max(start_interval)));
+        if wait + waiter.service_time > time_left.mul_f64(FEASIBLE_SHARE) {
+            return Err(
+                Refusal::not_run(Reason::DeadlineNotFeasible).retry_after(wait.max(start_interval))
+            );
         }
         self.push(waiter);
         Ok(wait)
@@ -110,12 +112,12 @@
 
     /// Takes the request out that goes next.
     pub fn pop(&mut self) -> Option<Id> {
-        let id = *self.first(1).first()?;
+        let id = *self.peek(1).first()?;
         self.take(id).then_some(id)
     }
 
     /// Returns up to `count` requests out of those that go next, the one whose turn it is first.
-    pub fn first(&self, count: usize) -> Vec<Id> {
+    pub fn peek(&self, count: usize) -> Vec<Id> {
         self.next_class()
             .map_or_else(Vec::new, |class| class.peek(count))
     }
--- a/crates/zinniastall-route/src/budget.rs
+++ b/crates/zinniastall-route/src/budget.rs
@@ -24,12 +24,12 @@
     }
 
     /// Takes note of a request.
-    pub fn request(&mut self) {
+    pub fn deposit(&mut self) {
         self.balance = (self.balance + self.retry_ratio).min(MAX_BALANCE);
     }
 
     /// Takes one retry out, if there is one.
-    pub fn retry(&mut self) -> bool {
+    pub fn withdraw(&mut self) -> bool {
         if self.balance < 1.0 {
             return false;
         }
--- a/crates/zinniastall-route/src/choose.rs
+++ b/crates/zinniastall-route/src/choose.rs
@@ -75,18 +75,20 @@
 
 /// Returns the cost of a target for a prompt, in milliseconds.
 pub fn cost(policy: &Policy, prefixes: &[u64], load: &Load, now: Instant) -> f64 {
-    let service = millis(load.service());
+    let service = millis(load.service_time());
     let wait = millis(load.expected_wait(now))
         + service * FULL_BATCH_SLOWDOWN * load.utilization(now).min(1.0);
     let weights = &policy.weights;
-    weights.wait * wait + miss(policy, prefixes, load, now) + weights.price * load.price() * service
+    weights.wait * wait
+        + cache_miss_cost(policy, prefixes, load, now)
+        + weights.price * load.price() * service
 }
 
 /// Returns the part of the cost that is due to blocks which the target has not cached.
 #[expect(clippy::cast_precision_loss, reason = "at most a few hundred blocks")]
-pub fn miss(policy: &Policy, prefixes: &[u64], load: &Load, now: Instant) -> f64 {
+pub fn cache_miss_cost(policy: &Policy, prefixes: &[u64], load: &Load, now: Instant) -> f64 {
     let uncached = prefixes.len() as f64 - load.cached_blocks(prefixes, now);
-    policy.weights.cache * uncached * millis(policy.block)
+    policy.weights.cache * uncached * millis(policy.block_prefill)
 }
 
 fn cheapest<'a, 'b>(
--- a/crates/zinniastall-route/src/dispatch.rs
+++ b/crates/zinniastall-route/src/dispatch.rs
@@ -12,7 +12,7 @@
 };
 
 /// Most attempts of one request, the first included.
-pub const ATTEMPTS: u32 = 3;
+pub const MAX_ATTEMPTS: u32 = 3;
 
 /// What follows a failed attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -31,14 +31,14 @@
     /// Whether a part of an answer has gone to the caller.
     pub relayed: bool,
     /// Whether the retry budget has something left.
-    pub budget: bool,
+    pub has_budget: bool,
 }
 
 /// Decides on what follows a failed attempt.
 pub fn next(request: &Request, failure: &Refusal, progress: Progress, now: Instant) -> Next {
     let safe = failure.outcome == Outcome::NotRun || request.idempotent;
-    let left = now < request.deadline && progress.attempts < ATTEMPTS;
-    if safe && left && progress.budget && !progress.relayed {
+    let left = now < request.deadline && progress.attempts < MAX_ATTEMPTS;
+    if safe && left && progress.has_budget && !progress.relayed {
         Next::Retry
     } else {
         Next::End
@@ -55,7 +55,7 @@
             if earlier.outcome == Outcome::Unknown && later.outcome == Outcome::NotRun =>
         {
             Refusal {
-                retry: later.retry.or(earlier.retry),
+                retry_after: later.retry_after.or(earlier.retry_after),
                 ..earlier
             }
         }
--- a/crates/zinniastall-route/src/hops.rs
+++ b/crates/zinniastall-route/src/hops.rs
@@ -12,7 +12,7 @@
 ///
 /// # Errors
 ///
-/// [`Reason::Hops`].
+/// [`Reason::TooManyHops`].
 pub fn check(hops: &[Place]) -> Result<(), Reason> {
     let is_repeated = |(index, place): (usize, &Place)| hops[..index].contains(place);
     let region_crossings = crossings(hops, |a, b| a.region != b.region);
@@ -22,7 +22,11 @@
         && !hops.iter().enumerate().any(is_repeated)
         && region_crossings <= 1
         && hops.iter().all(|place| zone_crossings(&place.region) <= 1);
-    if is_valid { Ok(()) } else { Err(Reason::Hops) }
+    if is_valid {
+        Ok(())
+    } else {
+        Err(Reason::TooManyHops)
+    }
 }
 
 /// Checks whether a request that has passed `hops` may go on to a place, as its sender does.
@@ -31,10 +35,10 @@
 ///
 /// # Errors
 ///
-/// [`Reason::Hops`].
+/// [`Reason::TooManyHops`].
 pub fn check_next(hops: &[Place], next: &Place) -> Result<Vec<Place>, Reason> {
     if hops.len() != 1 {
-        return Err(Reason::Hops);
+        return Err(Reason::TooManyHops);
     }
     let mut extended = hops.to_vec();
     // Passing a ticket to its issuer in the same zone crosses no border.
@@ -52,11 +56,11 @@
 ///
 /// # Errors
 ///
-/// [`Reason::Hops`].
+/// [`Reason::TooManyHops`].
 pub fn check_arrived(hops: &[Place], sender: &Place, local: &Place) -> Result<(), Reason> {
     check(hops)?;
     if hops.len() > 2 || hops.first() != Some(sender) || hops.last() != Some(local) {
-        return Err(Reason::Hops);
+        return Err(Reason::TooManyHops);
     }
     Ok(())
 }
--- a/crates/zinniastall-route/src/load.rs
+++ b/crates/zinniastall-route/src/load.rs
@@ -41,7 +41,7 @@
     /// Whether cache events were missed.
     pub gap: bool,
     /// When it arrived.
-    pub heard: Instant,
+    pub received_at: Instant,
 }
 
 /// What is known of one target.
@@ -51,7 +51,7 @@
     sequence: u64,
     slots: u32,
     others_in_flight: f64,
-    heard: Instant,
+    received_at: Instant,
     price: f64,
     cache: Cache,
     in_flight: u32,
@@ -175,7 +175,7 @@
             sequence: report.sequence,
             slots: report.slots.max(1),
             others_in_flight: f64::from(report.busy),
-            heard: report.heard,
+            received_at: report.received_at,
             price: report.price,
             cache: Cache::new(&report.prefixes, report.gap),
             in_flight: 0,
@@ -190,7 +190,7 @@
         self.slots = report.slots.max(1);
         let others = f64::from(report.busy.saturating_sub(self.in_flight));
         self.others_in_flight += (others - self.others_in_flight) * REPORT_WEIGHT;
-        self.heard = report.heard;
+        self.received_at = report.received_at;
         self.price = report.price;
         self.cache.update(&report.prefixes, report.gap);
         self.limit.set_slots(report.slots);
@@ -213,7 +213,7 @@
     }
 
     /// Returns when an ejected target may be used again.
-    pub fn ejected(&self, now: Instant) -> Option<Instant> {
+    pub fn ejected_until(&self, now: Instant) -> Option<Instant> {
         self.detector.ejected_until(now)
     }
 
@@ -223,13 +223,15 @@
     }
 
     /// Returns the mean time of a request.
-    pub fn service(&self) -> Duration {
+    pub fn service_time(&self) -> Duration {
         Duration::from_secs_f64(self.service_secs)
     }
 
     /// Returns the requests in progress there, those of others estimated.
     pub fn estimated_in_flight(&self, now: Instant) -> f64 {
-        let age = now.saturating_duration_since(self.heard).as_secs_f64();
+        let age = now
+            .saturating_duration_since(self.received_at)
+            .as_secs_f64();
         f64::from(self.in_flight)
             + self.others_in_flight * 0.5_f64.powf(age / OTHERS_HALF_LIFE_SECS)
     }
@@ -243,7 +245,7 @@
     pub fn expected_wait(&self, now: Instant) -> Duration {
         let slots = f64::from(self.slots);
         let ahead = (self.estimated_in_flight(now) + 1.0 - slots).max(0.0);
-        self.service().mul_f64(ahead / slots)
+        self.service_time().mul_f64(ahead / slots)
     }
 
     /// Returns how many leading blocks of a prompt are cached; a fraction where that is unsure.
--- a/crates/zinniastall-route/src/locate.rs
+++ b/crates/zinniastall-route/src/locate.rs
@@ -12,7 +12,7 @@
 use zinniastall_model::{id, place::Place};
 
 /// Weight of an idle instance that has been up for long.
-pub const FULL: u32 = 1000;
+pub const MAX_WEIGHT: u32 = 1000;
 /// Least weight of an instance that may be used; one that is full still serves callers who can
 /// reach nothing else.
 const MIN_WEIGHT: u32 = 10;
@@ -20,7 +20,7 @@
 const MAX_INSTANCES: usize = 8;
 /// How long a newcomer takes to reach its whole weight. Its caches and connections are cold, and
 /// until its own load is heard it looks idle to everybody at once.
-pub const RAMP: Duration = Duration::from_secs(10);
+pub const SLOW_START: Duration = Duration::from_secs(10);
 /// How long an answer is good for.
 const VALIDITY: Duration = Duration::from_secs(10);
 /// How long an answer of a cut-off instance is good for: it can't see what it leaves out.
@@ -34,24 +34,24 @@
     /// Where it runs.
     pub place: Place,
     /// Address that callers use.
-    pub callers: String,
+    pub caller_address: String,
     /// Requests in progress over what it can take, in thousandths.
     pub load: u32,
     /// How long it has been up.
-    pub up: Duration,
+    pub uptime: Duration,
     /// Whether it takes no new requests.
     pub draining: bool,
 }
 
 /// An instance in an answer.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Located {
+pub struct Instance {
     /// Name.
     pub instance: id::Instance,
     /// Where it runs.
     pub place: Place,
     /// Address that callers use.
-    pub callers: String,
+    pub caller_address: String,
     /// Share of a caller's requests that should go there, relative to the others of its place.
     pub weight: u32,
 }
@@ -60,7 +60,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Answer {
     /// Instances in the order in which to try them.
-    pub instances: Vec<Located>,
+    pub instances: Vec<Instance>,
     /// How long the caller may go by this answer.
     pub valid: Duration,
     /// Whether the answering instance reaches the control group; when it doesn't, it names what it
@@ -84,9 +84,9 @@
 /// let candidate = |name: &str, draining| Candidate {
 ///     instance: name.into(),
 ///     place: place.clone(),
-///     callers: "10.0.0.1:8080".into(),
+///     caller_address: "10.0.0.1:8080".into(),
 ///     load: 0,
-///     up: Duration::from_secs(60),
+///     uptime: Duration::from_secs(60),
 ///     draining,
 /// };
 /// let candidates = [candidate("entry-1", true), candidate("entry-2", false)];
@@ -109,10 +109,10 @@
         })
         .collect();
     ordered.sort_by(|a, b| a.0.cmp(&b.0).then(a.1.total_cmp(&b.1)));
-    let located = |(_, _, weight, candidate): (u8, f64, u32, &Candidate)| Located {
+    let located = |(_, _, weight, candidate): (u8, f64, u32, &Candidate)| Instance {
         instance: candidate.instance.clone(),
         place: candidate.place.clone(),
-        callers: candidate.callers.clone(),
+        caller_address: candidate.caller_address.clone(),
         weight,
     };
     Answer {
@@ -132,9 +132,9 @@
 
 /// Returns the weight of an instance: what it has free, less while it is new.
 pub fn weight(candidate: &Candidate) -> u32 {
-    let free = FULL.saturating_sub(candidate.load);
-    let up = candidate.up.min(RAMP).as_secs_f64() / RAMP.as_secs_f64();
-    let ramped = (f64::from(free) * up).round();
+    let free = MAX_WEIGHT.saturating_sub(candidate.load);
+    let uptime = candidate.uptime.min(SLOW_START).as_secs_f64() / SLOW_START.as_secs_f64();
+    let ramped = (f64::from(free) * uptime).round();
     #[expect(
         clippy::cast_possible_truncation,
         clippy::cast_sign_loss,
--- a/crates/zinniastall-route/src/outcome.rs
+++ b/crates/zinniastall-route/src/outcome.rs
@@ -44,22 +44,22 @@
     NoRoute(String),
     /// A header has no valid value.
     #[error("header {0} is malformed")]
-    Header(&'static str),
+    MalformedHeader(&'static str),
     /// The query of a path is malformed.
     #[error("query: {0}")]
-    Query(String),
+    MalformedQuery(String),
     /// The body is not what the path asks for.
     #[error("body: {0}")]
-    Body(String),
+    MalformedBody(String),
     /// The body is longer than permitted.
     #[error("the body is longer than {0} bytes")]
-    Large(usize),
+    BodyTooLarge(usize),
     /// The request did not arrive within the permitted time.
     #[error("the request took too long to arrive")]
-    Slow,
+    ArrivalTimeout,
     /// The instance has no configuration that lists it yet.
     #[error("the instance has no configuration yet")]
-    Unconfigured,
+    NotConfigured,
     /// The instance takes no new requests.
     #[error("the instance is shutting down")]
     Draining,
@@ -68,7 +68,7 @@
     Residency,
     /// A forwarded request has crossed as many borders as it may.
     #[error("the request may not cross a further border")]
-    Hops,
+    TooManyHops,
     /// A request that may not be repeated carries no ticket.
     #[error("a request that may not be repeated needs a ticket; send the one given here")]
     TicketRequired,
@@ -83,46 +83,46 @@
     TicketReused,
     /// The ticket's request ran, but its answer is not kept any more.
     #[error("the request ran; its answer is not kept any more")]
-    NotKept,
+    AnswerNotKept,
     /// The instance that issued the ticket cannot be asked.
     #[error("the instance that issued the ticket cannot be reached")]
     IssuerGone,
     /// The table of used tickets is full.
     #[error("too many tickets are in use")]
-    TicketsFull,
+    TooManyTickets,
     /// No target serves the subject at present.
     #[error("no target serves {0} at present")]
     NoTarget(String),
     /// The deadline cannot be met.
     #[error("the deadline cannot be met")]
-    Late,
+    DeadlineNotFeasible,
     /// The client has its full share and more work waits.
     #[error("the client's share is used up")]
-    Share,
+    ShareUsedUp,
     /// The queue is full.
     #[error("the queue is full")]
-    Full,
+    QueueFull,
     /// Targets refused the request before running it.
     #[error("the target refused the request before running it")]
-    Refused,
+    TargetRefused,
     /// No connection to a target could be established.
     #[error("no connection to a target could be established")]
-    Unreachable,
+    TargetUnreachable,
     /// The connection broke after the request was sent.
     #[error("the connection to the target broke before the whole answer arrived")]
-    Broken,
+    TargetLost,
     /// The deadline passed after the request was sent.
     #[error("the deadline passed before the whole answer arrived")]
-    Deadline,
+    DeadlinePassed,
     /// Another instance reported the end of a forwarded request.
     #[error("{0}")]
-    Forwarded(String),
+    ForwardedFailed(String),
     /// What arrived is not the head of an HTTP request.
     #[error("this is not the head of an HTTP request")]
-    Head,
+    MalformedHead,
     /// The head of the request is too long or has too many fields.
     #[error("the head of the request is too long or has too many fields")]
-    LongHead,
+    HeadTooLarge,
 }
 
 impl Reason {
@@ -133,54 +133,56 @@
             Self::UnknownKey => "unknown-key",
             Self::Withdrawn(_) => "client-withdrawn",
             Self::NoRoute(_) => "no-route",
-            Self::Header(_) => "malformed-header",
-            Self::Query(_) => "malformed-query",
-            Self::Body(_) => "malformed-body",
-            Self::Large(_) => "body-too-large",
-            Self::Slow => "too-slow",
-            Self::Unconfigured => "not-configured",
+            Self::MalformedHeader(_) => "malformed-header",
+            Self::MalformedQuery(_) => "malformed-query",
+            Self::MalformedBody(_) => "malformed-body",
+            Self::BodyTooLarge(_) => "body-too-large",
+            Self::ArrivalTimeout => "too-slow",
+            Self::NotConfigured => "not-configured",
             Self::Draining => "draining",
             Self::Residency => "residency",
-            Self::Hops => "too-many-hops",
+            Self::TooManyHops => "too-many-hops",
             Self::TicketRequired => "ticket-required",
             Self::TicketInvalid => "ticket-invalid",
             Self::TicketExpired => "ticket-expired",
             Self::TicketReused => "ticket-reused",
-            Self::NotKept => "answer-not-kept",
+            Self::AnswerNotKept => "answer-not-kept",
             Self::IssuerGone => "issuer-gone",
-            Self::TicketsFull => "too-many-tickets",
+            Self::TooManyTickets => "too-many-tickets",
             Self::NoTarget(_) => "no-target",
-            Self::Late => "deadline-not-feasible",
-            Self::Share => "share-used-up",
-            Self::Full => "queue-full",
-            Self::Refused => "target-refused",
-            Self::Unreachable => "target-unreachable",
-            Self::Broken => "target-lost",
-            Self::Deadline => "deadline-passed",
-            Self::Forwarded(_) => "forwarded-failed",
-            Self::Head => "malformed-head",
-            Self::LongHead => "head-too-large",
+            Self::DeadlineNotFeasible => "deadline-not-feasible",
+            Self::ShareUsedUp => "share-used-up",
+            Self::QueueFull => "queue-full",
+            Self::TargetRefused => "target-refused",
+            Self::TargetUnreachable => "target-unreachable",
+            Self::TargetLost => "target-lost",
+            Self::DeadlinePassed => "deadline-passed",
+            Self::ForwardedFailed(_) => "forwarded-failed",
+            Self::MalformedHead => "malformed-head",
+            Self::HeadTooLarge => "head-too-large",
         }
     }
 
     /// Returns the HTTP status for an outcome.
     pub const fn status(&self, outcome: Outcome) -> u16 {
         match self {
-            Self::Deadline => 504,
+            Self::DeadlinePassed => 504,
             // Whatever the reason: a status that callers take for a refusal would promise "not run".
             _ if matches!(outcome, Outcome::Unknown) => 502,
             Self::NoKey | Self::UnknownKey => 401,
             Self::Withdrawn(_) | Self::Residency => 403,
             Self::NoRoute(_) => 404,
-            Self::Header(_) | Self::Query(_) | Self::Body(_) | Self::TicketInvalid | Self::Head => {
-                400
-            }
-            Self::Slow => 408,
+            Self::MalformedHeader(_)
+            | Self::MalformedQuery(_)
+            | Self::MalformedBody(_)
+            | Self::TicketInvalid
+            | Self::MalformedHead => 400,
+            Self::ArrivalTimeout => 408,
             Self::TicketReused => 409,
-            Self::Large(_) => 413,
+            Self::BodyTooLarge(_) => 413,
             Self::TicketRequired => 428,
-            Self::Share | Self::Full => 429,
-            Self::LongHead => 431,
+            Self::ShareUsedUp | Self::QueueFull => 429,
+            Self::HeadTooLarge => 431,
             _ => 503,
         }
     }
@@ -195,7 +197,7 @@
     /// Why.
     pub reason: Reason,
     /// When to come back; `None` where coming back with the same request is of no use.
-    pub retry: Option<Duration>,
+    pub retry_after: Option<Duration>,
     /// A ticket for the next try of a request that may not be repeated.
     pub ticket: Option<String>,
 }
@@ -206,7 +208,7 @@
         Self {
             outcome: Outcome::NotRun,
             reason,
-            retry: None,
+            retry_after: None,
             ticket: None,
         }
     }
@@ -216,15 +218,15 @@
         Self {
             outcome: Outcome::Unknown,
             reason,
-            retry: None,
+            retry_after: None,
             ticket: None,
         }
     }
 
     /// Says when to come back.
     #[must_use]
-    pub const fn retry(mut self, after: Duration) -> Self {
-        self.retry = Some(after);
+    pub const fn retry_after(mut self, after: Duration) -> Self {
+        self.retry_after = Some(after);
         self
     }
 
--- a/crates/zinniastall-route/src/policy.rs
+++ b/crates/zinniastall-route/src/policy.rs
@@ -75,10 +75,10 @@
 pub struct Policy {
     pub(crate) choice: Choice,
     pub(crate) weights: Weights,
-    pub(crate) block: Duration,
+    pub(crate) block_prefill: Duration,
     pub(crate) classes: Vec<id::Class>,
     pub(crate) queue: usize,
-    pub(crate) retry_share: f64,
+    pub(crate) retry_ratio: f64,
     pub(crate) eject_floor: f64,
     pub(crate) zone_border: Duration,
     pub(crate) region_border: Duration,
@@ -90,10 +90,10 @@
         Self {
             choice: Choice::Cost,
             weights: Weights::default(),
-            block: Duration::from_millis(4),
+            block_prefill: Duration::from_millis(4),
             classes: vec!["interactive".into(), "batch".into()],
             queue: 1024,
-            retry_share: 0.1,
+            retry_ratio: 0.1,
             eject_floor: 0.5,
             zone_border: Duration::from_millis(5),
             region_border: Duration::from_millis(60),
@@ -119,8 +119,8 @@
 
     /// Sets the time that prefilling one block takes.
     #[must_use]
-    pub const fn block(mut self, block: Duration) -> Self {
-        self.block = block;
+    pub const fn block_prefill(mut self, block_prefill: Duration) -> Self {
+        self.block_prefill = block_prefill;
         self
     }
 
@@ -140,8 +140,8 @@
 
     /// Sets the retries permitted for each request of the recent past.
     #[must_use]
-    pub const fn retry_share(mut self, share: f64) -> Self {
-        self.retry_share = share;
+    pub const fn retry_ratio(mut self, share: f64) -> Self {
+        self.retry_ratio = share;
         self
     }
 
@@ -155,7 +155,7 @@
     /// Sets the cost of crossing a border between zones and between regions, which is the time that
     /// a request loses there.
     #[must_use]
-    pub const fn borders(mut self, zone: Duration, region: Duration) -> Self {
+    pub const fn border_costs(mut self, zone: Duration, region: Duration) -> Self {
         self.zone_border = zone;
         self.region_border = region;
         self
@@ -181,29 +181,29 @@
     }
 
     /// Returns the retries permitted for each request.
-    pub const fn retries(&self) -> f64 {
-        self.retry_share
+    pub const fn earned_retries(&self) -> f64 {
+        self.retry_ratio
     }
 
     /// Returns the most requests that wait for one model or service.
-    pub const fn longest_queue(&self) -> usize {
+    pub const fn max_queue_length(&self) -> usize {
         self.queue
     }
 
     /// Returns whether requests may be sent to other zones and regions.
-    pub const fn spills(&self) -> bool {
+    pub const fn spill_enabled(&self) -> bool {
         self.spill
     }
 
     /// Returns the share of targets that is never ejected.
-    pub const fn floor(&self) -> f64 {
+    pub const fn usable_floor(&self) -> f64 {
         self.eject_floor
     }
 
     /// Returns the time of a prefill of this many blocks without any cache.
     pub fn prefill(&self, blocks: usize) -> Duration {
         let blocks = u32::try_from(blocks).unwrap_or(u32::MAX);
-        self.block.saturating_mul(blocks)
+        self.block_prefill.saturating_mul(blocks)
     }
 
     /// Returns the cost of a wait, in milliseconds.
--- a/crates/zinniastall-route/src/relay.rs
+++ b/crates/zinniastall-route/src/relay.rs
@@ -9,11 +9,11 @@
 /// Event that closes a stream of chat completions.
 const CLOSING_EVENT: &[u8] = b"data: [DONE]";
 /// Longest event that is kept while its end has not arrived, in bytes.
-pub const EVENT_LIMIT: usize = 256 * 1024;
+pub const MAX_EVENT_BYTES: usize = 256 * 1024;
 
 /// Why an answer is not whole.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
-pub enum Cut {
+pub enum Error {
     /// The answer is shorter or longer than announced.
     #[error("the answer's length differs from the announced one")]
     Length,
@@ -46,10 +46,10 @@
     /// # Errors
     ///
     /// [`Cut::Length`] when the answer passes its announced length.
-    pub const fn part(&mut self, bytes: &[u8]) -> Result<(), Cut> {
+    pub const fn push(&mut self, bytes: &[u8]) -> Result<(), Error> {
         self.received += bytes.len() as u64;
         match self.announced {
-            Some(announced) if self.received > announced => Err(Cut::Length),
+            Some(announced) if self.received > announced => Err(Error::Length),
             _ => Ok(()),
         }
     }
@@ -59,9 +59,9 @@
     /// # Errors
     ///
     /// [`Cut::Length`] when the answer stayed short of its announced length.
-    pub const fn end(&self) -> Result<u64, Cut> {
+    pub const fn end(&self) -> Result<u64, Error> {
         match self.announced {
-            Some(announced) if self.received != announced => Err(Cut::Length),
+            Some(announced) if self.received != announced => Err(Error::Length),
             _ => Ok(self.received),
         }
     }
@@ -84,7 +84,7 @@
     /// # Errors
     ///
     /// [`Cut::Long`] when an event does not end within [`EVENT_LIMIT`].
-    pub fn part(&mut self, bytes: &[u8]) -> Result<Vec<u8>, Cut> {
+    pub fn push(&mut self, bytes: &[u8]) -> Result<Vec<u8>, Error> {
         let scanned = self.partial.len().saturating_sub(1);
         self.partial.extend_from_slice(bytes);
         let mut start = 0;
@@ -96,8 +96,8 @@
             position = end;
         }
         let rest = self.partial.split_off(start);
-        if rest.len() > EVENT_LIMIT {
-            return Err(Cut::Long);
+        if rest.len() > MAX_EVENT_BYTES {
+            return Err(Error::Long);
         }
         Ok(mem::replace(&mut self.partial, rest))
     }
@@ -108,7 +108,7 @@
     }
 
     /// Returns whether the closing event was passed on.
-    pub const fn done(&self) -> bool {
+    pub const fn is_done(&self) -> bool {
         self.done
     }
 
@@ -122,11 +122,11 @@
     /// # Errors
     ///
     /// [`Cut::Unclosed`] when the closing event is missing.
-    pub const fn end(&self) -> Result<u64, Cut> {
+    pub const fn end(&self) -> Result<u64, Error> {
         if self.done && self.partial.is_empty() {
             return Ok(self.count);
         }
-        Err(Cut::Unclosed)
+        Err(Error::Unclosed)
     }
 
     fn count_event(&mut self, start: usize, end: usize) {
--- a/crates/zinniastall-route/src/residency.rs
+++ b/crates/zinniastall-route/src/residency.rs
@@ -68,7 +68,7 @@
 /// [`Reason::Residency`], [`Reason::Withdrawn`] and [`Reason::UnknownKey`].
 pub fn check_again(index: &Index, request: &Request, place: &Place) -> Result<(), Reason> {
     let client = index.client(&request.client)?;
-    let received = request.hops.first().ok_or(Reason::Hops)?;
+    let received = request.hops.first().ok_or(Reason::TooManyHops)?;
     let own = permitted(index.rules(&client.id), &request.subject, received);
     check_place(&stricter(&request.regions, &own), place)
 }
--- a/crates/zinniastall-route/src/spill.rs
+++ b/crates/zinniastall-route/src/spill.rs
@@ -28,7 +28,7 @@
     /// Where it is.
     pub place: Place,
     /// Slots free, less what this instance keeps there.
-    pub free: u32,
+    pub free_slots: u32,
     /// Expected wait for a slot.
     pub wait: Duration,
     /// Mean price of one busy second.
@@ -151,7 +151,7 @@
     };
     let usable = remotes.iter().filter(|remote| {
         let permitted = residency::check_place(regions, &remote.place).is_ok();
-        permitted && remote.free > 0 && remote.place != *here
+        permitted && remote.free_slots > 0 && remote.place != *here
     });
     let priced = usable.map(|remote| (remote, cost(remote)));
     priced.min_by(|a, b| a.1.total_cmp(&b.1))
--- a/crates/zinniastall-route/tests/filters/admission.rs
+++ b/crates/zinniastall-route/tests/filters/admission.rs
@@ -25,7 +25,7 @@
         weight: if client == "heavy" { 3 } else { 1 },
         rank,
         deadline,
-        service: Duration::ZERO,
+        service_time: Duration::ZERO,
     }
 }
 
@@ -41,9 +41,9 @@
     let mut queue = Queue::new(10_000);
     for id in 0..1000 {
         let waiter = waiter(id, "burst", 0, far(now));
-        queue.arrive(&waiter, INTERVAL, now).unwrap();
+        queue.enqueue(&waiter, INTERVAL, now).unwrap();
     }
-    let wait = queue.arrive(&waiter(1000, "other", 0, far(now)), INTERVAL, now);
+    let wait = queue.enqueue(&waiter(1000, "other", 0, far(now)), INTERVAL, now);
     assert!(wait.unwrap() <= INTERVAL * 2);
     let starts: Vec<_> = (0..3).filter_map(|_| queue.pop()).collect();
     assert!(starts.contains(&1000), "{starts:?}");
@@ -56,7 +56,7 @@
     for id in 0..300 {
         let client = if id % 2 == 0 { "heavy" } else { "light" };
         let waiter = waiter(id, client, 0, far(now));
-        queue.arrive(&waiter, INTERVAL, now).unwrap();
+        queue.enqueue(&waiter, INTERVAL, now).unwrap();
     }
     let starts = (0..120).filter_map(|_| queue.pop());
     let heavy = starts.filter(|id| id % 2 == 0).count();
@@ -69,7 +69,7 @@
     let mut queue = Queue::new(1000);
     for id in 0..200 {
         let waiter = waiter(id, "a", usize::from(id % 2 == 0), far(now));
-        queue.arrive(&waiter, INTERVAL, now).unwrap();
+        queue.enqueue(&waiter, INTERVAL, now).unwrap();
     }
     let starts = (0..80).filter_map(|_| queue.pop());
     let low = starts.filter(|id| id % 2 == 0).count();
@@ -84,15 +84,15 @@
     let mut queue = Queue::new(1000);
     for id in 0..100 {
         queue
-            .arrive(&waiter(id, "a", 0, far(now)), INTERVAL, now)
+            .enqueue(&waiter(id, "a", 0, far(now)), INTERVAL, now)
             .unwrap();
     }
     let due = now + Duration::from_secs(1);
     let refusal = queue
-        .arrive(&waiter(100, "a", 0, due), INTERVAL, now)
+        .enqueue(&waiter(100, "a", 0, due), INTERVAL, now)
         .unwrap_err();
-    assert_eq!(refusal.reason, Reason::Late);
-    let retry = refusal.retry.unwrap();
+    assert_eq!(refusal.reason, Reason::DeadlineNotFeasible);
+    let retry = refusal.retry_after.unwrap();
     assert!(
         (INTERVAL * 90..=INTERVAL * 110).contains(&retry),
         "{retry:?}"
@@ -103,10 +103,10 @@
 fn crowded_queues_refuse_clients_beyond_their_share() {
     let now = Instant::now();
     let mut queue = Queue::new(100);
-    let mut arrive = |id, client| queue.arrive(&waiter(id, client, 0, far(now)), INTERVAL, now);
+    let mut arrive = |id, client| queue.enqueue(&waiter(id, client, 0, far(now)), INTERVAL, now);
     arrive(0, "other").unwrap();
     let refused = (1..100).find_map(|id| arrive(id, "burst").err()).unwrap();
-    assert_eq!(refused.reason, Reason::Share);
+    assert_eq!(refused.reason, Reason::ShareUsedUp);
     assert!(arrive(200, "other").is_ok());
 }
 
@@ -127,12 +127,12 @@
                 0 | 1 => {
                     let client = ["a", "b", "heavy"][rank];
                     let waiter = waiter(id, client, rank, far(now));
-                    if queue.arrive(&waiter, INTERVAL, now).is_ok() {
+                    if queue.enqueue(&waiter, INTERVAL, now).is_ok() {
                         waiting.insert(id, waiter);
                     }
                 }
                 2 => {
-                    let first = queue.first(4);
+                    let first = queue.peek(4);
                     prop_assert_eq!(first.is_empty(), queue.is_empty());
                     let picked = first.get(rank).or(first.first()).copied();
                     if let Some(id) = picked {
@@ -162,8 +162,8 @@
         for request in steps {
             if request {
                 requests += 1;
-                budget.request();
-            } else if budget.retry() {
+                budget.deposit();
+            } else if budget.withdraw() {
                 retries += 1;
             }
         }
--- a/crates/zinniastall-route/tests/filters/choice.rs
+++ b/crates/zinniastall-route/tests/filters/choice.rs
@@ -24,7 +24,7 @@
         price: 1.0,
         prefixes,
         gap: false,
-        heard: now,
+        received_at: now,
     }
 }
 
@@ -162,11 +162,11 @@
     assert_eq!(table.get("a").unwrap().in_flight(), 1);
 }
 
-fn remote(place: &str, free: u32, wait: u64) -> Remote {
+fn remote(place: &str, free_slots: u32, wait: u64) -> Remote {
     let (region, zone) = place.split_once('/').unwrap();
     Remote {
         place: Place::new(region, zone),
-        free,
+        free_slots,
         wait: Duration::from_millis(wait),
         price: 1.0,
     }
--- a/crates/zinniastall-route/tests/filters/relaying.rs
+++ b/crates/zinniastall-route/tests/filters/relaying.rs
@@ -14,7 +14,7 @@
     cuts.sort_unstable();
     let (mut events, mut passed) = (Events::default(), Vec::new());
     for pair in cuts.windows(2) {
-        passed.extend(events.part(&bytes[pair[0]..pair[1]]).unwrap());
+        passed.extend(events.push(&bytes[pair[0]..pair[1]]).unwrap());
     }
     (events, passed)
 }
@@ -48,7 +48,7 @@
     fn length_must_match_announcement(announced in 0_u64..100, parts in prop::collection::vec(0_usize..30, 0..6)) {
         let sent: usize = parts.iter().sum();
         let mut length = Length::new(Some(announced));
-        let fits = parts.iter().all(|part| length.part(&vec![0; *part]).is_ok());
+        let fits = parts.iter().all(|part| length.push(&vec![0; *part]).is_ok());
         prop_assert_eq!(fits && length.end().is_ok(), sent as u64 == announced);
     }
 }
@@ -57,5 +57,5 @@
 fn oversized_events_are_refused() {
     let mut events = Events::default();
     let part = vec![b'x'; 64 * 1024];
-    assert!((0..8).any(|_| events.part(&part).is_err()));
+    assert!((0..8).any(|_| events.push(&part).is_err()));
 }
--- a/crates/zinniastall-route/tests/filters/rules.rs
+++ b/crates/zinniastall-route/tests/filters/rules.rs
@@ -8,7 +8,7 @@
     place::Place,
 };
 use zinniastall_route::{
-    dispatch::{self, ATTEMPTS, Next, Progress},
+    dispatch::{self, MAX_ATTEMPTS, Next, Progress},
     hops,
     outcome::{Outcome, Reason, Refusal},
     request::Request,
@@ -122,20 +122,20 @@
     /// A retry never risks a second run of work that may not be repeated, and ends in time.
     #[test]
     fn retries_respect_idempotency_budget_and_deadline(
-        idempotent: bool, not_run: bool, relayed: bool, budget: bool, attempts in 0_u32..6, late: bool,
+        idempotent: bool, not_run: bool, relayed: bool, has_budget: bool, attempts in 0_u32..6, late: bool,
     ) {
         let now = Instant::now();
         let deadline = if late { now } else { now + Duration::from_secs(1) };
         let failure = if not_run {
-            Refusal::not_run(Reason::Refused)
+            Refusal::not_run(Reason::TargetRefused)
         } else {
-            Refusal::unknown(Reason::Broken)
+            Refusal::unknown(Reason::TargetLost)
         };
-        let progress = Progress { attempts, relayed, budget };
+        let progress = Progress { attempts, relayed, has_budget };
         let next = dispatch::next(&request(idempotent, deadline), &failure, progress, now);
         if next == Next::Retry {
             prop_assert!(not_run || idempotent);
-            prop_assert!(budget && !relayed && !late && attempts < ATTEMPTS);
+            prop_assert!(has_budget && !relayed && !late && attempts < MAX_ATTEMPTS);
         }
     }
 
@@ -143,8 +143,8 @@
     #[test]
     fn unknown_outcome_is_never_merged_to_not_run(outcomes in prop::collection::vec(any::<bool>(), 1..6)) {
         let refusal = |unknown: &bool| match unknown {
-            true => Refusal::unknown(Reason::Broken),
-            false => Refusal::not_run(Reason::Refused),
+            true => Refusal::unknown(Reason::TargetLost),
+            false => Refusal::not_run(Reason::TargetRefused),
         };
         let merge = |earlier, later| Some(dispatch::merge(earlier, later));
         let merged = outcomes.iter().map(refusal).fold(None, merge).unwrap();
--- a/crates/zinniastall-route/tests/locate.rs
+++ b/crates/zinniastall-route/tests/locate.rs
@@ -5,7 +5,7 @@
 use indexmap::IndexMap;
 use rand::{SeedableRng, rngs::StdRng};
 use zinniastall_model::place::Place;
-use zinniastall_route::locate::{Candidate, RAMP, locate, weight};
+use zinniastall_route::locate::{Candidate, SLOW_START, locate, weight};
 
 const SEED: u64 = 7;
 
@@ -13,9 +13,9 @@
     Candidate {
         instance: name.to_owned(),
         place: Place::new(region, zone),
-        callers: format!("{name}:80"),
+        caller_address: format!("{name}:80"),
         load: 0,
-        up: RAMP,
+        uptime: SLOW_START,
         draining: false,
     }
 }
@@ -93,13 +93,13 @@
     let mut candidates: Vec<_> = (0..4)
         .map(|i| candidate(&format!("e{i}"), "athens", "a"))
         .collect();
-    candidates[0].up = RAMP / 10;
+    candidates[0].uptime = SLOW_START / 10;
     let counts = firsts(&candidates, 10_000);
     assert!(counts["e0"] < 600, "newcomer got {} of 10000", counts["e0"]);
     let weights: Vec<_> = [0, 2, 5, 10, 60]
         .map(|seconds| {
             weight(&Candidate {
-                up: Duration::from_secs(seconds),
+                uptime: Duration::from_secs(seconds),
                 ..candidates[0].clone()
             })
         })
