--- a/crates/zinniastall-route/tests/filters/relaying.rs
+++ b/crates/zinniastall-route/tests/filters/relaying.rs
@@ -14,7 +14,7 @@
     cuts.sort_unstable();
     let (mut events, mut passed) = (Events::default(), Vec::new());
     for pair in cuts.windows(2) {
-        passed.extend(events.part(&bytes[pair[0]..pair[1]]).unwrap());
+        passed.extend(events.push(&bytes[pair[0]..pair[1]]).unwrap());
     }
     (events, passed)
 }
@@ -24,7 +24,7 @@
 
     /// However the network cuts a stream into parts, the same events come out.
     #[test]
-    fn parts_do_not_matter(cuts in prop::collection::vec(0..STREAM.len(), 0..20)) {
+    fn events_do_not_depend_on_chunk_boundaries(cuts in prop::collection::vec(0..STREAM.len(), 0..20)) {
         let (events, passed) = feed(STREAM, cuts);
         prop_assert_eq!(passed, STREAM);
         prop_assert_eq!(events.count(), 3);
@@ -34,7 +34,7 @@
     /// A stream that stops anywhere before its end never looks whole, and only whole events were
     /// passed on.
     #[test]
-    fn cut_streams_are_not_whole(
+    fn truncated_streams_are_incomplete(
         length in 0..STREAM.len(), cuts in prop::collection::vec(0..STREAM.len(), 0..20),
     ) {
         let (events, passed) = feed(&STREAM[..length], cuts);
@@ -45,17 +45,17 @@
     }
 
     #[test]
-    fn lengths_have_to_agree(announced in 0_u64..100, parts in prop::collection::vec(0_usize..30, 0..6)) {
+    fn length_must_match_announcement(announced in 0_u64..100, parts in prop::collection::vec(0_usize..30, 0..6)) {
         let sent: usize = parts.iter().sum();
         let mut length = Length::new(Some(announced));
-        let fits = parts.iter().all(|part| length.part(&vec![0; *part]).is_ok());
+        let fits = parts.iter().all(|part| length.push(&vec![0; *part]).is_ok());
         prop_assert_eq!(fits && length.end().is_ok(), sent as u64 == announced);
     }
 }
 
 #[test]
-fn endless_events_are_refused() {
+fn oversized_events_are_refused() {
     let mut events = Events::default();
     let part = vec![b'x'; 64 * 1024];
-    assert!((0..8).any(|_| events.part(&part).is_err()));
+    assert!((0..8).any(|_| events.push(&part).is_err()));
 }
