--- a/crates/zinniastall-entry/examples/slopes/case.rs
+++ b/crates/zinniastall-entry/examples/slopes/case.rs
@@ -192,7 +192,7 @@
             floor: Duration::from_millis(1_500),
             ceiling: Duration::from_secs(6),
             lease: Duration::from_secs(3),
-            digest: Duration::from_secs(2),
+            digest_interval: Duration::from_secs(2),
             bytes_per_second: self.budget,
         }
     }
@@ -200,7 +200,7 @@
     fn converged(self, nodes: &[Node]) -> bool {
         let facts = self.facts();
         nodes.iter().all(|node| {
-            let view = node.board.view();
+            let view = node.shared_view.view();
             let near = view.peers.values().filter(|peer| peer.place == node.place);
             near.count() == self.zone
                 && view.targets.len() == self.targets
@@ -214,7 +214,7 @@
 
     /// Tells how far instances are from knowing all.
     fn missing(self, nodes: &[Node]) -> String {
-        let views = nodes.iter().map(|node| node.board.view());
+        let views = nodes.iter().map(|node| node.shared_view.view());
         let known: Vec<usize> = views.map(|view| view.digests.len()).collect();
         let (least, most) = (known.iter().min(), known.iter().max());
         let expected = self.facts();
@@ -278,7 +278,10 @@
 impl Ages {
     fn note(&mut self, nodes: &[Node], expected: usize) {
         let now = Instant::now();
-        for digests in nodes.iter().map(|node| node.board.view().digests.clone()) {
+        for digests in nodes
+            .iter()
+            .map(|node| node.shared_view.view().digests.clone())
+        {
             let age = |made: Instant| now.saturating_duration_since(made).as_secs_f64();
             self.seen
                 .extend(digests.iter().map(|digest| age(digest.made)));
--- a/crates/zinniastall-entry/examples/slopes/node.rs
+++ b/crates/zinniastall-entry/examples/slopes/node.rs
@@ -6,11 +6,11 @@
     publish::Publisher,
     spread::{
         Gossip,
-        actor::{Spread, Surroundings},
+        actor::{Dependencies, Spread},
         settings,
     },
     targets::Announced,
-    view::{Board, View},
+    view::{Shared, View},
 };
 use zinniastall_model::{object::Subject, place::Place};
 use zinniastall_settings::metrics::Hub;
@@ -27,7 +27,7 @@
 /// A running instance.
 pub(crate) struct Node {
     pub(crate) place: Place,
-    pub(crate) board: Board,
+    pub(crate) shared_view: Shared,
     identity: Identity,
     spread: Addr<Spread>,
 }
@@ -48,20 +48,20 @@
             links: address,
         };
         let identity = Identity::new(name.to_owned(), 1, place.clone(), addresses);
-        let board = Board::new(view(name, &place));
-        let around = Surroundings {
+        let shared_view = Shared::new(view(name, &place));
+        let dependencies = Dependencies {
             identity: identity.clone(),
-            board: board.clone(),
-            publisher: Publisher::new(board.clone()).start(),
+            shared_view: shared_view.clone(),
+            publisher: Publisher::new(shared_view.clone()).start(),
             recorder: Hub::start("slopes", None)?.recorder(),
         };
-        let spread = Spread::new(settings, seeds.into_iter(), around).start();
+        let spread = Spread::new(settings, seeds.into_iter(), dependencies).start();
         let gossip = Gossip(spread.clone());
         let acceptors = Acceptors::new(identity.clone()).owner(Purpose::Gossip, gossip);
         actix::spawn(links::serve(listener, acceptors));
         Ok(Self {
             place,
-            board,
+            shared_view,
             identity,
             spread,
         })
--- a/crates/zinniastall-entry/src/callers/admission/mod.rs
+++ b/crates/zinniastall-entry/src/callers/admission/mod.rs
@@ -25,7 +25,7 @@
     request::Request,
 };
 
-use crate::view::Board;
+use crate::view::Shared;
 
 pub use in_flight::{Forwarded, InFlight};
 pub use queued::Queued;
@@ -51,16 +51,16 @@
 /// Admission control and target selection for all traffic threads of an instance.
 #[derive(Debug, Clone)]
 pub struct Admission {
-    board: Board,
+    shared_view: Shared,
     policy: Arc<Policy>,
     state: Arc<Mutex<State>>,
 }
 
 impl Admission {
     /// Creates the admission control of an instance.
-    pub fn new(board: Board, policy: Arc<Policy>) -> Self {
+    pub fn new(shared_view: Shared, policy: Arc<Policy>) -> Self {
         Self {
-            board,
+            shared_view,
             state: Arc::new(Mutex::new(State::new(policy.retries()))),
             policy,
         }
@@ -72,7 +72,7 @@
     ///
     /// Returns a "not run" refusal if the request cannot start in time.
     pub fn admit(&self, request: &Request, tried: &[id::Target]) -> Result<Decision, Refusal> {
-        let (view, now) = (self.board.view(), Instant::now());
+        let (view, now) = (self.shared_view.view(), Instant::now());
         let mut guard = self.lock();
         let state = &mut *guard;
         state.refresh(&view, now);
@@ -129,7 +129,7 @@
         let grants = {
             let now = Instant::now();
             let mut state = self.lock();
-            state.end(&self.board, (target, incarnation), end, now);
+            state.end(&self.shared_view, (target, incarnation), end, now);
             state.grant(self, now)
         };
         send_grants(grants);
--- a/crates/zinniastall-entry/src/callers/admission/state.rs
+++ b/crates/zinniastall-entry/src/callers/admission/state.rs
@@ -19,7 +19,7 @@
     queues::Queues,
     subject_queue::Grant,
 };
-use crate::view::{self, Board, View};
+use crate::view::{self, Shared, View};
 
 /// Load of the targets, queues and retry budget of an instance.
 #[derive(Debug)]
@@ -52,7 +52,7 @@
     /// Ends a request at a target.
     pub(super) fn end(
         &mut self,
-        board: &Board,
+        shared_view: &Shared,
         in_flight: (&str, id::Incarnation),
         end: End,
         now: Instant,
@@ -60,7 +60,7 @@
         let (target, incarnation) = in_flight;
         self.table.end(target, incarnation, end, now);
         self.in_flight = self.in_flight.saturating_sub(1);
-        self.publish_load(board);
+        self.publish_load(shared_view);
     }
 
     /// Applies changes of the view to the load table.
@@ -77,9 +77,9 @@
     }
 
     /// Publishes how busy this instance is, for locate and for other zones.
-    fn publish_load(&self, board: &Board) {
+    fn publish_load(&self, shared_view: &Shared) {
         let load = u64::from(self.in_flight) * 1000 / u64::from(self.capacity);
-        board.set_load(u32::try_from(load).unwrap_or(u32::MAX));
+        shared_view.set_load(u32::try_from(load).unwrap_or(u32::MAX));
     }
 
     pub(super) fn start(
@@ -91,7 +91,7 @@
     ) -> InFlight {
         let incarnation = self.table.start(target, &request.prefixes, now);
         self.in_flight += 1;
-        self.publish_load(&admission.board);
+        self.publish_load(&admission.shared_view);
         let report = self
             .last_targets
             .get(target)
@@ -101,7 +101,7 @@
 
     /// Starts waiting requests while there are free slots, and returns their grants.
     pub(super) fn grant(&mut self, admission: &Admission, now: Instant) -> Vec<Grant> {
-        let view = admission.board.view();
+        let view = admission.shared_view.view();
         self.refresh(&view, now);
         let mut grants = Vec::new();
         for subject in self.queues.waiting_subjects() {
@@ -156,7 +156,7 @@
         subject: &Subject,
         id: admit::Id,
     ) -> Option<Refusal> {
-        let (view, now) = (admission.board.view(), Instant::now());
+        let (view, now) = (admission.shared_view.view(), Instant::now());
         self.refresh(&view, now);
         let queue = self.queues.by_subject.get(subject)?;
         let entry = queue.get(id)?;
--- a/crates/zinniastall-entry/src/callers/forward/handler.rs
+++ b/crates/zinniastall-entry/src/callers/forward/handler.rs
@@ -76,15 +76,15 @@
 /// time, the request is judged by the current configuration, and the stricter of both revisions
 /// applies.
 async fn await_revision(worker: &Worker, open: &mut Open) {
-    let board = &worker.service.board;
-    if board.view().revision() >= open.revision {
+    let shared_view = &worker.service.shared_view;
+    if shared_view.view().revision() >= open.revision {
         return;
     }
     let started = Instant::now();
     let left = Duration::from_millis(open.left_ms);
     let bound = worker.service.max_revision_wait.min(left / 2);
     // Whether or not the revision arrived, the request is judged now.
-    let _ = timeout(bound, board.reach(open.revision)).await;
+    let _ = timeout(bound, shared_view.reach(open.revision)).await;
     let waited = started.elapsed();
     open.left_ms = millis(left.saturating_sub(waited));
     let recorder = &worker.recorder;
--- a/crates/zinniastall-entry/src/callers/server.rs
+++ b/crates/zinniastall-entry/src/callers/server.rs
@@ -37,7 +37,7 @@
     let service = service.clone();
     let serving = move || {
         let stopping = stopping.clone();
-        let instance = service.board.view().instance.clone();
+        let instance = service.shared_view.view().instance.clone();
         let opened = fn_service(move |stream: TcpStream| {
             let peer = stream.peer_addr().ok();
             let connection = Connection::new(stream, instance.clone());
--- a/crates/zinniastall-entry/src/callers/service.rs
+++ b/crates/zinniastall-entry/src/callers/service.rs
@@ -6,7 +6,7 @@
 use zinniastall_settings::metrics::Hub;
 
 use super::{admission::Admission, progress::Progress, settings::Callers, ticket::Ledger};
-use crate::{links::Identity, settings::Limits, view::Board};
+use crate::{links::Identity, settings::Limits, view::Shared};
 
 /// How often a shutdown checks whether it may end.
 const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(20);
@@ -15,7 +15,7 @@
 #[derive(Debug, Clone)]
 pub struct Service {
     /// Source of the current view.
-    pub board: Board,
+    pub shared_view: Shared,
     /// Metrics.
     pub hub: Hub,
     /// Limits on what callers may send.
@@ -37,12 +37,12 @@
 
 impl Service {
     /// Creates the shared state of an instance.
-    pub fn new(board: Board, hub: Hub, limits: Limits, settings: &Callers) -> Self {
-        let tickets = Ledger::new(&board.view(), settings.tickets.clone());
+    pub fn new(shared_view: Shared, hub: Hub, limits: Limits, settings: &Callers) -> Self {
+        let tickets = Ledger::new(&shared_view.view(), settings.tickets.clone());
         Self {
-            admission: Admission::new(board.clone(), Arc::clone(&settings.policy)),
+            admission: Admission::new(shared_view.clone(), Arc::clone(&settings.policy)),
             tickets,
-            board,
+            shared_view,
             hub,
             limits: Arc::new(limits),
             stall_timeout: settings.stall_timeout,
--- a/crates/zinniastall-entry/src/callers/worker.rs
+++ b/crates/zinniastall-entry/src/callers/worker.rs
@@ -42,7 +42,7 @@
 
     /// Returns the current view.
     pub fn view(&self) -> Arc<View> {
-        self.service.board.view()
+        self.service.shared_view.view()
     }
 
     /// Returns the look-up index of a configuration; it is rebuilt once per revision.
--- a/crates/zinniastall-entry/src/daemon.rs
+++ b/crates/zinniastall-entry/src/daemon.rs
@@ -25,9 +25,9 @@
     links::{self, Acceptors, Addresses, Identity},
     publish::{Draining, Publisher},
     settings::Entry,
-    spread::{self, actor::Surroundings},
-    targets::{self, Desk},
-    view::{Board, View},
+    spread::{self, actor::Dependencies},
+    targets::{self, Registry},
+    view::{Shared, View},
 };
 
 /// Runs an entry instance until it is told to stop.
@@ -43,26 +43,27 @@
 }
 
 async fn serve(settings: Entry) -> eyre::Result<()> {
-    let board = Board::new(first_view(&settings));
-    let publisher = Publisher::new(board.clone()).start();
+    let shared_view = Shared::new(initial_view(&settings));
+    let publisher = Publisher::new(shared_view.clone()).start();
     let sockets = Sockets::bind(&settings).await?;
-    let identity = sockets.identity(&settings, &board.view())?;
+    let identity = sockets.identity(&settings, &shared_view.view())?;
     let hub = Hub::start("zinniastall.entry", settings.statsd)?;
-    let around = Surroundings {
+    let dependencies = Dependencies {
         identity: identity.clone(),
-        board: board.clone(),
+        shared_view: shared_view.clone(),
         publisher: publisher.clone(),
         recorder: hub.recorder(),
     };
-    let spread = spread::start(&settings, around);
-    let desk = Desk {
+    let spread = spread::start(&settings, dependencies);
+    let registry = Registry {
         place: settings.place.clone(),
         announced: spread.clone().recipient(),
         left: spread.clone().recipient(),
     };
     let limits = settings.limits.clone();
-    let service = callers::Service::new(board.clone(), hub.clone(), limits, &settings.callers)
-        .identity(identity.clone());
+    let service =
+        callers::Service::new(shared_view.clone(), hub.clone(), limits, &settings.callers)
+            .identity(identity.clone());
     let streams = callers::forward::Receiver::start(service.clone());
     let forwarding = streams.arbiter();
     let servers = Servers {
@@ -72,20 +73,26 @@
             settings.threads,
             settings.drain,
         )?,
-        targets: serve_targets(&settings, desk, sockets.targets)?,
+        targets: serve_targets(&settings, registry, sockets.targets)?,
     };
-    let follow = follow::start(&settings, identity.clone(), board, publisher.clone(), hub);
+    let follow = follow::start(
+        &settings,
+        identity.clone(),
+        shared_view,
+        publisher.clone(),
+        hub,
+    );
     let acceptors = Acceptors::new(identity)
         .owner(Purpose::Gossip, spread::Gossip(spread.clone()))
         .owner(Purpose::Follow, follow)
         .owner(Purpose::Stream, streams);
     actix::spawn(links::serve(sockets.links, acceptors));
-    let ended = servers.start();
+    let running = servers.start();
     signal(SignalKind::terminate())?.recv().await;
     tracing::info!(event = "draining");
     publisher.send(Draining).await?;
     drain(&service, settings.drain).await;
-    ended.stop().await?;
+    running.stop().await?;
     spread.send(spread::messages::Stop).await?;
     forwarding.stop();
     tracing::info!(event = "stopped");
@@ -93,13 +100,18 @@
 }
 
 /// Serves targets on a thread of their own.
-fn serve_targets(settings: &Entry, desk: Desk, listener: TcpListener) -> eyre::Result<Server> {
-    let server = HttpServer::new(move || App::new().configure(targets::configure(desk.clone())))
-        .workers(1)
-        .max_connections(targets::CONNECTIONS)
-        .client_request_timeout(settings.limits.arrival)
-        .disable_signals()
-        .listen(listener.into_std()?)?;
+fn serve_targets(
+    settings: &Entry,
+    registry: Registry,
+    listener: TcpListener,
+) -> eyre::Result<Server> {
+    let server =
+        HttpServer::new(move || App::new().configure(targets::configure(registry.clone())))
+            .workers(1)
+            .max_connections(targets::MAX_CONNECTIONS)
+            .client_request_timeout(settings.limits.arrival)
+            .disable_signals()
+            .listen(listener.into_std()?)?;
     Ok(server.run())
 }
 
@@ -177,7 +189,7 @@
     }
 }
 
-fn first_view(settings: &Entry) -> View {
+fn initial_view(settings: &Entry) -> View {
     View::new(
         settings.instance.clone(),
         incarnation(),
--- a/crates/zinniastall-entry/src/follow/force.rs
+++ b/crates/zinniastall-entry/src/follow/activation.rs
@@ -6,8 +6,8 @@
 use zinniastall_model::id;
 
 use super::{
-    actor::{Alive, Follower},
-    kept::{self, Kept},
+    actor::{Follower, SourceStatus},
+    storage::{self, Snapshot},
 };
 use crate::{
     callers::target::CONNECT_TIMEOUT,
@@ -16,27 +16,27 @@
 
 /// What has been done about the configuration that is held.
 #[derive(Debug, Default)]
-pub(super) struct Force {
+pub(super) struct Activation {
     published: Option<(id::Revision, bool)>,
-    kept: id::Revision,
+    stored: id::Revision,
     confirmed: id::Revision,
     /// Whether a configuration has been in force, confirmed or not.
-    served: bool,
+    has_served: bool,
     /// When the last request that was judged before the last narrower revision has left or failed.
-    left: Option<Instant>,
+    in_flight_until: Option<Instant>,
 }
 
-impl Force {
+impl Activation {
     /// Starts with what is on disk already.
-    pub(super) fn new(kept: id::Revision) -> Self {
+    pub(super) fn new(stored: id::Revision) -> Self {
         Self {
-            kept,
+            stored,
             ..Self::default()
         }
     }
 
     /// Lets a revision be confirmed; later ones may have been already.
-    fn reach(&mut self, revision: id::Revision) {
+    fn set_confirmed(&mut self, revision: id::Revision) {
         self.confirmed = self.confirmed.max(revision);
     }
 
@@ -49,7 +49,8 @@
 impl Follower {
     /// Tells whether a source that reaches the control group has nothing that is not held here.
     fn is_connected(&self) -> bool {
-        let current = |source: &Alive| source.connected && source.revision <= self.held.revision;
+        let current =
+            |source: &SourceStatus| source.connected && source.revision <= self.held.revision;
         self.source.as_ref().is_some_and(current)
     }
 
@@ -59,16 +60,16 @@
     /// connected and holds what the control group vouches for, or until it counts as cut off and
     /// everyone has been asked; otherwise what was accepted would revert here. Being connected is
     /// not enough: a replica that was cut off a moment ago doesn't know it yet.
-    fn settles(&self, connected: bool) -> bool {
-        let vouched = self
-            .vouched
+    fn can_settle(&self, connected: bool) -> bool {
+        let group_confirmed = self
+            .group_revision
             .is_some_and(|reached| reached <= self.held.revision);
-        let cut_off = self.started.elapsed() >= self.cut_off && self.surveyed;
-        (connected && vouched) || (cut_off && self.held.revision > 0)
+        let cut_off = self.started.elapsed() >= self.cut_off_after && self.surveyed;
+        (connected && group_confirmed) || (cut_off && self.held.revision > 0)
     }
 
     /// Puts the configuration in force, once it is safe to do so.
-    pub(super) fn enforce(&mut self, context: &mut Context<Self>) {
+    pub(super) fn try_activate(&mut self, context: &mut Context<Self>) {
         let connected = self.is_connected();
         let direct = self.source.is_some_and(|source| source.control);
         self.feed.send_if_modified(|feed| {
@@ -78,50 +79,48 @@
             feed.connect(connected && direct);
             changed
         });
-        if !self.settled && self.settles(connected) {
+        if !self.settled && self.can_settle(connected) {
             self.settled = true;
             tracing::info!(event = "settled", revision = self.held.revision, connected);
         }
-        if !self.settled || self.force.published == Some((self.held.revision, connected)) {
+        if !self.settled || self.activation.published == Some((self.held.revision, connected)) {
             return;
         }
-        self.force.published = Some((self.held.revision, connected));
+        self.activation.published = Some((self.held.revision, connected));
         if self.held.members.contains_key(self.identity.instance()) {
-            self.put_in_force(connected, context);
+            self.activate(connected, context);
         } else {
             self.publisher.do_send(Unlisted);
         }
     }
 
-    fn put_in_force(&mut self, connected: bool, context: &mut Context<Self>) {
+    fn activate(&mut self, connected: bool, context: &mut Context<Self>) {
         let state = Arc::clone(&self.held);
         let revision = state.revision;
-        let save = self.saving();
+        let save = self.save_task();
         let publisher = self.publisher.clone();
-        let enforced = async move {
-            let kept = match save {
+        let activated = async move {
+            let stored = match save {
                 Some(save) => tokio::task::spawn_blocking(save).await.unwrap_or(false),
                 None => true,
             };
             let configured = Configured { state, connected };
             let in_view = publisher.send(configured).await.is_ok();
-            (kept, in_view)
+            (stored, in_view)
         };
         // Nothing else is taken meanwhile: a confirmation must not pass by what it confirms.
-        context.wait(
-            enforced
-                .into_actor(self)
-                .map(move |(kept, in_view), follower, context| {
-                    let served = std::mem::replace(&mut follower.force.served, true);
-                    if kept {
-                        follower.force.kept = revision;
-                    }
-                    if kept && in_view {
-                        tracing::info!(event = "in-force", revision, connected);
-                        follower.confirm(revision, served, context);
-                    }
-                }),
-        );
+        context.wait(activated.into_actor(self).map(
+            move |(stored, in_view), follower, context| {
+                let has_served = std::mem::replace(&mut follower.activation.has_served, true);
+                if stored {
+                    follower.activation.stored = revision;
+                }
+                if stored && in_view {
+                    tracing::info!(event = "in-force", revision, connected);
+                    follower.confirm(revision, has_served, context);
+                }
+            },
+        ));
     }
 
     /// Confirms a revision, a narrower one once what was judged before it is on its way or lost.
@@ -129,30 +128,30 @@
     /// A request is judged right before it connects to its target. Confirmed at once, a change that
     /// forbids this region could be accepted while such a request still waits for its connection, and
     /// the target would run it after the operator was told that none does.
-    fn confirm(&mut self, revision: id::Revision, served: bool, context: &mut Context<Self>) {
+    fn confirm(&mut self, revision: id::Revision, has_served: bool, context: &mut Context<Self>) {
         let now = Instant::now();
-        if std::mem::take(&mut self.narrowed) && served {
-            self.force.left = Some(now + CONNECT_TIMEOUT);
+        if std::mem::take(&mut self.narrowed) && has_served {
+            self.activation.in_flight_until = Some(now + CONNECT_TIMEOUT);
         }
-        let left = self.force.left;
-        let wait = left.map_or_else(Default::default, |left| left.saturating_duration_since(now));
+        let until = self.activation.in_flight_until;
+        let wait = until.map_or_else(Default::default, |end| end.saturating_duration_since(now));
         if wait.is_zero() {
-            self.force.reach(revision);
+            self.activation.set_confirmed(revision);
         } else {
-            context.run_later(wait, move |follower, _| follower.force.reach(revision));
+            context.run_later(wait, move |this, _| this.activation.set_confirmed(revision));
         }
     }
 
     /// Returns what keeps the configuration on disk, unless that is done or not wanted.
-    fn saving(&self) -> Option<impl FnOnce() -> bool + Send + 'static> {
-        let folder = self.data.clone()?;
+    fn save_task(&self) -> Option<impl FnOnce() -> bool + Send + 'static> {
+        let folder = self.data_dir.clone()?;
         let cluster = self.identity.cluster()?.to_owned();
-        if self.held.revision <= self.force.kept {
+        if self.held.revision <= self.activation.stored {
             return None;
         }
         let state = Arc::clone(&self.held);
         Some(
-            move || match kept::save(&folder, &Kept { cluster, state }) {
+            move || match storage::save(&folder, &Snapshot { cluster, state }) {
                 Ok(()) => true,
                 Err(error) => {
                     // It is in force, but a restart while cut off would lose it, so it is not
--- a/crates/zinniastall-entry/src/follow/actor.rs
+++ b/crates/zinniastall-entry/src/follow/actor.rs
@@ -17,42 +17,42 @@
 use zinniastall_wire::{feed::Feed, follow};
 
 use super::{
+    activation::Activation,
     choice::Source,
-    confirm::Gathered,
-    force::Force,
-    kept::{self, Kept},
+    confirmations::Collector,
+    storage::{self, Snapshot},
 };
-use crate::{links::Identity, publish::Publisher, settings::Entry, view::Board};
+use crate::{links::Identity, publish::Publisher, settings::Entry, view::Shared};
 
 /// Time between two looks at whether this instance counts as cut off.
-const LOOK: Duration = Duration::from_millis(100);
+const CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Holds the configuration of an entry instance.
 #[derive(Debug)]
 pub struct Follower {
     pub(super) identity: Identity,
-    pub(super) board: Board,
+    pub(super) shared_view: Shared,
     pub(super) publisher: Addr<Publisher>,
-    pub(super) data: Option<PathBuf>,
+    pub(super) data_dir: Option<PathBuf>,
     pub(super) feed: watch::Sender<Feed>,
     pub(super) held: Arc<State>,
-    pub(super) source: Option<Alive>,
+    pub(super) source: Option<SourceStatus>,
     pub(super) settled: bool,
     pub(super) started: Instant,
-    pub(super) cut_off: Duration,
+    pub(super) cut_off_after: Duration,
     pub(super) surveyed: bool,
     /// Revision that the control group had reached at some time since the start.
-    pub(super) vouched: Option<id::Revision>,
+    pub(super) group_revision: Option<id::Revision>,
     /// Whether what is held may permit less than what was in force before.
     pub(super) narrowed: bool,
-    pub(super) force: Force,
-    pub(super) gathered: Gathered,
-    pub(super) presented: Vec<Member>,
+    pub(super) activation: Activation,
+    pub(super) confirmations: Collector,
+    pub(super) pending_members: Vec<Member>,
 }
 
 /// The source's last sign of life.
 #[derive(Debug, Clone, Copy)]
-pub(super) struct Alive {
+pub(super) struct SourceStatus {
     pub(super) control: bool,
     pub(super) revision: id::Revision,
     pub(super) connected: bool,
@@ -63,34 +63,34 @@
     pub fn new(
         settings: &Entry,
         identity: Identity,
-        board: Board,
+        shared_view: Shared,
         publisher: Addr<Publisher>,
     ) -> Self {
-        let kept = settings.data.as_deref().and_then(found);
-        let held = kept.map(|kept| {
-            identity.join(kept.cluster);
-            kept.state
+        let stored = settings.data.as_deref().and_then(load_stored);
+        let held = stored.map(|stored| {
+            identity.set_cluster(stored.cluster);
+            stored.state
         });
         let held = held.unwrap_or_default();
-        let kept = held.revision;
+        let stored = held.revision;
         let (feed, _) = watch::channel(Feed::new(Arc::clone(&held), settings.follow.tail));
         Self {
             identity,
-            board,
+            shared_view,
             publisher,
-            data: settings.data.clone(),
+            data_dir: settings.data.clone(),
             feed,
             held,
             source: None,
             settled: false,
             started: Instant::now(),
-            cut_off: settings.follow.cut_off,
+            cut_off_after: settings.follow.cut_off,
             surveyed: false,
-            vouched: None,
+            group_revision: None,
             narrowed: false,
-            force: Force::new(kept),
-            gathered: Gathered::default(),
-            presented: Vec::new(),
+            activation: Activation::new(stored),
+            confirmations: Collector::default(),
+            pending_members: Vec::new(),
         }
     }
 
@@ -99,7 +99,7 @@
         self.feed.subscribe()
     }
 
-    fn take(&mut self, message: follow::Message, source: Option<Source>) -> Taken {
+    fn apply(&mut self, message: follow::Message, source: Option<Source>) -> Outcome {
         match message {
             follow::Message::Snapshot(state) => {
                 if state.revision > self.held.revision {
@@ -109,41 +109,41 @@
                     let state = Arc::clone(&self.held);
                     self.feed.send_modify(|feed| feed.restore(state));
                 }
-                Taken::Fine
+                Outcome::Applied
             }
-            follow::Message::Changes(changes) => self.take_changes(changes),
+            follow::Message::Changes(changes) => self.apply_changes(changes),
             follow::Message::Alive {
                 revision,
                 connected,
             } => {
-                self.source = source.map(|source| Alive {
+                self.source = source.map(|source| SourceStatus {
                     control: source.is_control(),
                     revision,
                     connected,
                 });
-                Taken::Fine
+                Outcome::Applied
             }
-            _ => Taken::Fine,
+            _ => Outcome::Applied,
         }
     }
 
     /// Applies changes that continue what is held; doubled and late ones change nothing.
-    fn take_changes(&mut self, changes: Vec<(id::Revision, Change)>) -> Taken {
+    fn apply_changes(&mut self, changes: Vec<(id::Revision, Change)>) -> Outcome {
         let mut next = State::clone(&self.held);
-        let mut taken = Taken::Fine;
+        let mut outcome = Outcome::Applied;
         for (revision, change) in changes {
             if revision <= next.revision {
                 continue;
             }
             if revision != next.revision + 1 {
-                taken = Taken::Gap;
+                outcome = Outcome::Gap;
                 break;
             }
             let answer = next.apply(&change);
-            let Some(narrows) = made(&answer, revision) else {
+            let Some(narrows) = narrowing(&answer, revision) else {
                 // The states have parted, by a fault of this program; a whole one repairs it.
                 tracing::error!(event = "change-misfit", revision);
-                return Taken::Misfit;
+                return Outcome::Mismatch;
             };
             self.narrowed |= narrows;
             self.feed.send_if_modified(|feed| {
@@ -156,21 +156,21 @@
             let state = Arc::clone(&self.held);
             self.feed.send_modify(|feed| feed.reach(state));
         }
-        taken
+        outcome
     }
 }
 
 /// Tells whether a change that made a revision narrows; `None` when it made another one.
-const fn made(answer: &Answer, wanted: id::Revision) -> Option<bool> {
+const fn narrowing(answer: &Answer, wanted: id::Revision) -> Option<bool> {
     match answer {
         Answer::Done { revision, narrows } if *revision == wanted => Some(*narrows),
         _ => None,
     }
 }
 
-fn found(folder: &std::path::Path) -> Option<Kept> {
-    match kept::load(folder) {
-        Ok(kept) => kept,
+fn load_stored(folder: &std::path::Path) -> Option<Snapshot> {
+    match storage::load(folder) {
+        Ok(stored) => stored,
         Err(error) => {
             tracing::error!(event = "configuration-not-found", error = %error);
             None
@@ -182,14 +182,14 @@
     type Context = Context<Self>;
 
     fn started(&mut self, context: &mut Self::Context) {
-        context.run_interval(LOOK, Self::enforce);
+        context.run_interval(CHECK_INTERVAL, Self::try_activate);
     }
 }
 
 /// A message arrived from the source.
 #[derive(Debug, Message)]
-#[rtype(result = "Taken")]
-pub struct Took {
+#[rtype(result = "Outcome")]
+pub struct Incoming {
     /// The message.
     pub message: follow::Message,
     /// Whom this instance follows and who sent it; `None` for an answer to a survey.
@@ -198,37 +198,37 @@
 
 /// What came of a message.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Taken {
+pub enum Outcome {
     /// It was taken, or was known.
-    Fine,
+    Applied,
     /// Changes before it are missing.
     Gap,
     /// A change does not fit what is held; only a whole configuration helps.
-    Misfit,
+    Mismatch,
 }
 
-impl Handler<Took> for Follower {
-    type Result = MessageResult<Took>;
+impl Handler<Incoming> for Follower {
+    type Result = MessageResult<Incoming>;
 
-    fn handle(&mut self, took: Took, context: &mut Context<Self>) -> Self::Result {
-        let taken = self.take(took.message, took.source);
-        if taken == Taken::Misfit {
+    fn handle(&mut self, incoming: Incoming, context: &mut Context<Self>) -> Self::Result {
+        let outcome = self.apply(incoming.message, incoming.source);
+        if outcome == Outcome::Mismatch {
             self.held = Arc::default();
         }
-        self.enforce(context);
-        MessageResult(taken)
+        self.try_activate(context);
+        MessageResult(outcome)
     }
 }
 
 /// Asks for the revision that is held.
 #[derive(Debug, Message)]
 #[rtype(result = "id::Revision")]
-pub struct Held;
+pub struct GetRevision;
 
-impl Handler<Held> for Follower {
-    type Result = MessageResult<Held>;
+impl Handler<GetRevision> for Follower {
+    type Result = MessageResult<GetRevision>;
 
-    fn handle(&mut self, _: Held, _: &mut Context<Self>) -> Self::Result {
+    fn handle(&mut self, _: GetRevision, _: &mut Context<Self>) -> Self::Result {
         MessageResult(self.held.revision)
     }
 }
@@ -236,19 +236,19 @@
 /// Everyone who was known to be alive has been asked; the answer tells whether that is enough.
 #[derive(Debug, Message)]
 #[rtype(result = "bool")]
-pub struct Surveyed {
+pub struct SurveyDone {
     /// When the survey began.
     pub began: Instant,
 }
 
-impl Handler<Surveyed> for Follower {
+impl Handler<SurveyDone> for Follower {
     type Result = bool;
 
-    fn handle(&mut self, survey: Surveyed, context: &mut Context<Self>) -> bool {
+    fn handle(&mut self, survey: SurveyDone, context: &mut Context<Self>) -> bool {
         // Membership needs some heartbeats to find the neighbours; a survey from before that has
         // asked nobody.
-        self.surveyed |= survey.began >= self.started + self.cut_off / 2;
-        self.enforce(context);
+        self.surveyed |= survey.began >= self.started + self.cut_off_after / 2;
+        self.try_activate(context);
         self.settled
     }
 }
@@ -256,30 +256,30 @@
 /// The control group has confirmed, since this instance started, what it had reached.
 #[derive(Debug, Message)]
 #[rtype(result = "()")]
-pub struct Vouched {
+pub struct GroupReached {
     /// Revision reached.
     pub revision: id::Revision,
 }
 
-impl Handler<Vouched> for Follower {
+impl Handler<GroupReached> for Follower {
     type Result = ();
 
-    fn handle(&mut self, vouched: Vouched, context: &mut Context<Self>) {
-        self.vouched = self.vouched.max(Some(vouched.revision));
-        self.enforce(context);
+    fn handle(&mut self, reached: GroupReached, context: &mut Context<Self>) {
+        self.group_revision = self.group_revision.max(Some(reached.revision));
+        self.try_activate(context);
     }
 }
 
 /// The link to the source is gone.
 #[derive(Debug, Message)]
 #[rtype(result = "()")]
-pub struct Lost;
+pub struct SourceLost;
 
-impl Handler<Lost> for Follower {
+impl Handler<SourceLost> for Follower {
     type Result = ();
 
-    fn handle(&mut self, _: Lost, context: &mut Context<Self>) {
+    fn handle(&mut self, _: SourceLost, context: &mut Context<Self>) {
         self.source = None;
-        self.enforce(context);
+        self.try_activate(context);
     }
 }
--- a/crates/zinniastall-entry/src/follow/choice.rs
+++ b/crates/zinniastall-entry/src/follow/choice.rs
@@ -10,7 +10,7 @@
 use zinniastall_wire::gossip::Peer;
 
 /// Relays of a zone.
-const RELAYS: usize = 2;
+const RELAYS_PER_ZONE: usize = 2;
 
 /// Somewhere to get configuration from.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
@@ -113,7 +113,7 @@
             zone.push(self.instance);
         }
         zone.sort_by_key(|instance| rank(&[&place.region, &place.zone, instance]));
-        zone.truncate(RELAYS);
+        zone.truncate(RELAYS_PER_ZONE);
         zone
     }
 }
--- a/crates/zinniastall-entry/src/follow/astray.rs
+++ b/crates/zinniastall-entry/src/follow/drift.rs
@@ -10,11 +10,11 @@
 use crate::view::View;
 
 /// Most targets of one report; the others follow once these agree.
-const REPORTED: usize = 64;
+const MAX_REPORTED: usize = 64;
 
 /// Compares what the zone's targets announce with what they should hold.
 pub(super) fn find(state: &State, view: &View) -> Vec<Astray> {
-    let astray = view.targets.values().filter_map(|target| {
+    let drifted = view.targets.values().filter_map(|target| {
         let report = &target.report;
         if !is_engine(report) {
             return None;
@@ -30,17 +30,17 @@
             holding,
         })
     });
-    astray.take(REPORTED).collect()
+    drifted.take(MAX_REPORTED).collect()
 }
 
 /// Plain services take no orders.
 fn is_engine(report: &gossip::Target) -> bool {
-    let service = |serving: &gossip::Serving| matches!(serving.subject, Subject::Service(_));
-    report.serves.is_empty() || !report.serves.iter().all(service)
+    let is_service = |serving: &gossip::Serving| matches!(serving.subject, Subject::Service(_));
+    report.serves.is_empty() || !report.serves.iter().all(is_service)
 }
 
 fn holding(report: &gossip::Target) -> Holding {
-    let model = |serving: &gossip::Serving| match &serving.subject {
+    let version = |serving: &gossip::Serving| match &serving.subject {
         Subject::Model(id) => Some(Version {
             id: id.clone(),
             version: serving.version.clone(),
@@ -56,7 +56,7 @@
     adapters.dedup();
     Holding {
         role: report.role.clone(),
-        models: report.serves.iter().filter_map(model).collect(),
+        models: report.serves.iter().filter_map(version).collect(),
         adapters,
     }
 }
--- a/crates/zinniastall-entry/src/follow/mod.rs
+++ b/crates/zinniastall-entry/src/follow/mod.rs
@@ -6,14 +6,14 @@
 //! [`actor`] takes in what arrives, never stepping back, and puts it in force; [`kept`] holds the last configuration
 //! on disk for a restart while cut off; [`confirm`] gathers confirmations for the way back.
 
+mod activation;
 pub mod actor;
-mod astray;
 pub mod choice;
-pub mod confirm;
-mod force;
-pub mod kept;
+pub mod confirmations;
+mod drift;
 pub mod report;
 pub mod settings;
+pub mod storage;
 mod survey;
 mod upstream;
 
@@ -26,36 +26,36 @@
     link::Link,
 };
 
-use self::{actor::Follower, report::Heard};
+use self::{actor::Follower, report::FollowerEvent};
 use crate::{
     links::{Acceptor, Identity},
     publish::Publisher,
     settings::Entry,
-    view::Board,
+    view::Shared,
 };
 
 /// Starts to follow, and returns what takes followers' links in.
 pub fn start(
     settings: &Entry,
     identity: Identity,
-    board: Board,
+    shared_view: Shared,
     publisher: Addr<Publisher>,
     metrics: Hub,
 ) -> Follow {
-    let follower = Follower::new(settings, identity.clone(), board.clone(), publisher);
+    let follower = Follower::new(settings, identity.clone(), shared_view.clone(), publisher);
     let feed = follower.feed();
     let follower = follower.start();
     let control: Vec<String> = settings.control.iter().map(ToString::to_string).collect();
     let survey = survey::Survey {
         identity: identity.clone(),
-        board: board.clone(),
+        shared_view: shared_view.clone(),
         control: control.clone(),
         follower: follower.clone(),
     };
     actix::spawn(survey.run());
     let upstream = upstream::Upstream {
         identity,
-        board,
+        shared_view,
         control,
         follower: follower.clone(),
     };
@@ -83,17 +83,17 @@
         let feed = self.feed.clone();
         let notify = move |event| match event {
             Event::Member(member) => {
-                follower.do_send(Heard::Member(member));
+                follower.do_send(FollowerEvent::Member(member));
                 None
             }
             Event::Confirmed(list) => {
-                follower.do_send(Heard::Confirmed(list));
+                follower.do_send(FollowerEvent::Confirmed(list));
                 None
             }
             // A relay's follower reports to the relay; only relays report to control.
             // Only control can vouch, since only it can ask a majority.
             Event::Astray(_) | Event::Vouch(_) => None,
-            Event::Asked => Some(feed::at_once(Message::Figures(figures(&metrics)))),
+            Event::Asked => Some(feed::at_once(Message::Figures(summarize(&metrics)))),
         };
         actix::spawn(async move {
             if let Err(error) = feed::serve(link, feed, notify).await {
@@ -103,7 +103,7 @@
     }
 }
 
-fn figures(metrics: &Hub) -> Vec<Figure> {
+fn summarize(metrics: &Hub) -> Vec<Figure> {
     let figure = |row: Row| Figure {
         name: row.key.name.to_owned(),
         client: row.key.client,
--- a/crates/zinniastall-entry/src/follow/report.rs
+++ b/crates/zinniastall-entry/src/follow/report.rs
@@ -6,13 +6,13 @@
 use zinniastall_model::member::Member;
 use zinniastall_wire::follow::{self, Confirmation};
 
-use super::{actor::Follower, astray};
+use super::{actor::Follower, drift};
 
 /// Followers that may wait to be presented to control.
-const PRESENTED: usize = 256;
+const MAX_PENDING_MEMBERS: usize = 256;
 
 impl Follower {
-    fn own(&self) -> Member {
+    fn own_member(&self) -> Member {
         let addresses = self.identity.addresses();
         Member {
             instance: self.identity.instance().to_owned(),
@@ -26,8 +26,8 @@
         Confirmation {
             instance: self.identity.instance().to_owned(),
             incarnation: self.identity.incarnation(),
-            revision: self.force.confirmed(),
-            draining: self.board.view().draining,
+            revision: self.activation.confirmed(),
+            draining: self.shared_view.view().draining,
         }
     }
 }
@@ -35,29 +35,29 @@
 /// A follower of this instance was heard.
 #[derive(Debug, Message)]
 #[rtype(result = "()")]
-pub enum Heard {
+pub enum FollowerEvent {
     /// It presented itself.
     Member(Member),
     /// Revisions are in force.
     Confirmed(Vec<Confirmation>),
 }
 
-impl Handler<Heard> for Follower {
+impl Handler<FollowerEvent> for Follower {
     type Result = ();
 
-    fn handle(&mut self, heard: Heard, _: &mut Context<Self>) {
-        match heard {
-            Heard::Member(member) => {
+    fn handle(&mut self, event: FollowerEvent, _: &mut Context<Self>) {
+        match event {
+            FollowerEvent::Member(member) => {
                 let known = self.held.members.get(&member.instance) == Some(&member);
-                if !known && self.presented.len() < PRESENTED {
-                    self.presented.push(member);
+                if !known && self.pending_members.len() < MAX_PENDING_MEMBERS {
+                    self.pending_members.push(member);
                 }
             }
-            Heard::Confirmed(list) => {
+            FollowerEvent::Confirmed(list) => {
                 let now = Instant::now();
                 for confirmation in list {
                     if self.held.members.contains_key(&confirmation.instance) {
-                        self.gathered.note(confirmation, now);
+                        self.confirmations.record(confirmation, now);
                     }
                 }
             }
@@ -70,7 +70,7 @@
 #[rtype(result = "Vec<follow::Message>")]
 pub struct Report {
     /// Whether the link is new, so that the source knows nothing yet.
-    pub fresh: bool,
+    pub new_link: bool,
     /// Whether a sign of life is due even when there is nothing new.
     pub due: bool,
 }
@@ -80,19 +80,19 @@
 
     fn handle(&mut self, report: Report, _: &mut Context<Self>) -> Self::Result {
         let now = Instant::now();
-        let own = self.own();
+        let own = self.own_member();
         let listed = self.held.members.get(&own.instance) == Some(&own);
         let mut messages = Vec::new();
-        if report.fresh || (report.due && !listed) {
+        if report.new_link || (report.due && !listed) {
             messages.push(follow::Message::From {
                 revision: self.held.revision,
                 member: (!listed).then_some(own),
             });
         }
-        let presented = self.presented.drain(..);
-        messages.extend(presented.map(follow::Message::Present));
-        self.gathered.note(self.confirmation(), now);
-        let mut list = self.gathered.take(now, report.fresh);
+        let pending_members = self.pending_members.drain(..);
+        messages.extend(pending_members.map(follow::Message::Present));
+        self.confirmations.record(self.confirmation(), now);
+        let mut list = self.confirmations.take(now, report.new_link);
         let own = self.confirmation();
         if report.due && !list.contains(&own) {
             list.push(own);
@@ -101,9 +101,9 @@
             messages.push(follow::Message::Confirm(list));
         }
         if report.due && self.source.is_some_and(|source| source.control) {
-            let astray = astray::find(&self.held, &self.board.view());
-            if !astray.is_empty() {
-                messages.push(follow::Message::Astray(astray));
+            let drifted = drift::find(&self.held, &self.shared_view.view());
+            if !drifted.is_empty() {
+                messages.push(follow::Message::Astray(drifted));
             }
         }
         MessageResult(messages)
--- a/crates/zinniastall-entry/src/follow/kept.rs
+++ b/crates/zinniastall-entry/src/follow/storage.rs
@@ -14,13 +14,13 @@
 use zinniastall_model::state::State;
 
 /// Name of the file.
-const NAME: &str = "configuration";
+const FILE_NAME: &str = "configuration";
 /// Name under which the file is written before it takes the place of the last one.
-const DRAFT: &str = "configuration.draft";
+const DRAFT_NAME: &str = "configuration.draft";
 
 /// A configuration and the cluster that it belongs to.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Kept {
+pub struct Snapshot {
     /// Cluster, as hex.
     pub cluster: String,
     /// Configuration.
@@ -29,7 +29,7 @@
 
 /// Why a configuration can't be kept or found again.
 #[derive(Debug, thiserror::Error)]
-pub enum Fault {
+pub enum Error {
     /// The system refused.
     #[error("{} cannot be used: {error}", path.display())]
     Io {
@@ -54,22 +54,22 @@
 /// # Errors
 ///
 /// [`Fault::Io`] when the system refuses; the configuration kept before is still there then.
-pub fn save(folder: &Path, kept: &Kept) -> Result<(), Fault> {
+pub fn save(folder: &Path, snapshot: &Snapshot) -> Result<(), Error> {
     let mut body = Vec::new();
-    ciborium::into_writer(kept, &mut body)?;
+    ciborium::into_writer(snapshot, &mut body)?;
     let at = |path: &Path| {
         let path = path.to_owned();
-        move |error| Fault::Io { path, error }
+        move |error| Error::Io { path, error }
     };
     fs::create_dir_all(folder).map_err(at(folder))?;
-    let draft = folder.join(DRAFT);
+    let draft = folder.join(DRAFT_NAME);
     let mut file = File::create(&draft).map_err(at(&draft))?;
     file.write_all(blake3::hash(&body).as_bytes())
         .and_then(|()| file.write_all(&body))
         .and_then(|()| file.sync_all())
         .map_err(at(&draft))?;
-    let place = folder.join(NAME);
-    fs::rename(&draft, &place).map_err(at(&place))?;
+    let target = folder.join(FILE_NAME);
+    fs::rename(&draft, &target).map_err(at(&target))?;
     // The new name itself is only on disk once the folder has been synced.
     let opened = File::open(folder).and_then(|folder| folder.sync_all());
     opened.map_err(at(folder))
@@ -81,19 +81,19 @@
 ///
 /// [`Fault::Damaged`] when the checksum does not fit: a configuration that is half another one
 /// could permit what none ever permitted.
-pub fn load(folder: &Path) -> Result<Option<Kept>, Fault> {
-    let path = folder.join(NAME);
+pub fn load(folder: &Path) -> Result<Option<Snapshot>, Error> {
+    let path = folder.join(FILE_NAME);
     let bytes = match fs::read(&path) {
         Ok(bytes) => bytes,
         Err(error) if error.kind() == io::ErrorKind::NotFound => return Ok(None),
-        Err(error) => return Err(Fault::Io { path, error }),
+        Err(error) => return Err(Error::Io { path, error }),
     };
-    let Some((sum, body)) = bytes.split_at_checked(blake3::OUT_LEN) else {
-        return Err(Fault::Damaged { path });
+    let Some((digest, body)) = bytes.split_at_checked(blake3::OUT_LEN) else {
+        return Err(Error::Damaged { path });
     };
-    if blake3::hash(body).as_bytes() != sum {
-        return Err(Fault::Damaged { path });
+    if blake3::hash(body).as_bytes() != digest {
+        return Err(Error::Damaged { path });
     }
-    let kept = ciborium::from_reader(body).map_err(|_| Fault::Damaged { path })?;
-    Ok(Some(kept))
+    let snapshot = ciborium::from_reader(body).map_err(|_| Error::Damaged { path })?;
+    Ok(Some(snapshot))
 }
--- a/crates/zinniastall-entry/src/follow/survey.rs
+++ b/crates/zinniastall-entry/src/follow/survey.rs
@@ -18,23 +18,23 @@
 };
 
 use super::{
-    actor::{Follower, Held, Surveyed, Took, Vouched},
+    actor::{Follower, GetRevision, GroupReached, Incoming, SurveyDone},
     choice::{Choice, Source},
 };
-use crate::{links::Identity, view::Board};
+use crate::{links::Identity, view::Shared};
 
 /// Longest time that one instance is given to answer.
-const ANSWER: Duration = Duration::from_secs(2);
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(2);
 /// Number of the one question on a link.
-const ASK: u64 = 1;
+const QUESTION_ID: u64 = 1;
 /// Time between two surveys.
-const PAUSE: Duration = Duration::from_millis(200);
+const SURVEY_INTERVAL: Duration = Duration::from_millis(200);
 
 /// Asks everyone until the instance has settled.
 #[derive(Debug)]
 pub(super) struct Survey {
     pub(super) identity: Identity,
-    pub(super) board: Board,
+    pub(super) shared_view: Shared,
     pub(super) control: Vec<String>,
     pub(super) follower: Addr<Follower>,
 }
@@ -44,16 +44,16 @@
         loop {
             let began = std::time::Instant::now();
             join_all(self.sources().iter().map(|source| self.ask(source))).await;
-            let settled = self.follower.send(Surveyed { began }).await;
+            let settled = self.follower.send(SurveyDone { began }).await;
             if settled.unwrap_or(true) {
                 return;
             }
-            time::sleep(PAUSE).await;
+            time::sleep(SURVEY_INTERVAL).await;
         }
     }
 
     fn sources(&self) -> Vec<Source> {
-        let view = self.board.view();
+        let view = self.shared_view.view();
         let choice = Choice {
             instance: &view.instance,
             place: &view.place,
@@ -65,7 +65,7 @@
 
     async fn ask(&self, source: &Source) {
         // Who does not answer in time has been asked as well as can be.
-        let asked = time::timeout(ANSWER, self.fetch(source)).await;
+        let asked = time::timeout(ANSWER_TIMEOUT, self.fetch(source)).await;
         if let Ok(Err(error)) = asked {
             let address = source.address();
             tracing::debug!(event = "survey-failed", address, error = %error);
@@ -82,41 +82,50 @@
         };
         let (mut sender, mut receiver) = link.split();
         let from = Message::From {
-            revision: self.held().await?,
+            revision: self.held_revision().await?,
             member: None,
         };
         feed::send(&mut sender, from).await?;
-        let mut awaits_word = source.is_control();
-        if awaits_word {
-            feed::send(&mut sender, Message::Vouch { ask: ASK }).await?;
+        let mut awaits_answer = source.is_control();
+        if awaits_answer {
+            feed::send(&mut sender, Message::Vouch { ask: QUESTION_ID }).await?;
         }
         loop {
             let message = feed::receive(&mut receiver).await?;
             match message {
                 Message::Alive { revision, .. } => {
-                    if !awaits_word && revision <= self.held().await? {
+                    if !awaits_answer && revision <= self.held_revision().await? {
                         return Ok(());
                     }
                     continue;
                 }
-                Message::Vouched { ask: ASK, revision } => {
-                    awaits_word = false;
-                    let vouched = self.follower.send(Vouched { revision }).await;
-                    vouched.map_err(|_| Error::Closed)?;
+                Message::Vouched {
+                    ask: QUESTION_ID,
+                    revision,
+                } => {
+                    awaits_answer = false;
+                    let notified = self.follower.send(GroupReached { revision }).await;
+                    notified.map_err(|_| Error::Closed)?;
                     continue;
                 }
                 _ => {}
             }
-            let took = Took {
+            let incoming = Incoming {
                 message,
                 source: None,
             };
-            self.follower.send(took).await.map_err(|_| Error::Closed)?;
+            self.follower
+                .send(incoming)
+                .await
+                .map_err(|_| Error::Closed)?;
         }
     }
 
-    async fn held(&self) -> Result<u64, Error> {
-        self.follower.send(Held).await.map_err(|_| Error::Closed)
+    async fn held_revision(&self) -> Result<u64, Error> {
+        self.follower
+            .send(GetRevision)
+            .await
+            .map_err(|_| Error::Closed)
     }
 }
 
@@ -129,7 +138,7 @@
             None
         }
         (None, Some(cluster)) => {
-            identity.join(cluster);
+            identity.set_cluster(cluster);
             Some(link)
         }
         _ => Some(link),
--- a/crates/zinniastall-entry/src/follow/upstream.rs
+++ b/crates/zinniastall-entry/src/follow/upstream.rs
@@ -13,31 +13,31 @@
 };
 
 use super::{
-    actor::{Follower, Lost, Taken, Took},
+    actor::{Follower, Incoming, Outcome, SourceLost},
     choice::{Choice, Source},
     report::Report,
     survey::same_cluster,
 };
-use crate::{links::Identity, view::Board};
+use crate::{links::Identity, view::Shared};
 
 /// Time between two reports to the source.
-const REPORT: Duration = Duration::from_secs(1);
+const REPORT_INTERVAL: Duration = Duration::from_secs(1);
 /// Time between two reports of an instance that is not listed yet.
-const JOIN: Duration = Duration::from_millis(200);
+const JOIN_INTERVAL: Duration = Duration::from_millis(200);
 /// Longest time between a change in force and its report.
-const NEWS: Duration = Duration::from_millis(50);
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 /// First wait after no source could be reached.
-const FIRST_WAIT: Duration = Duration::from_millis(50);
+const INITIAL_BACKOFF: Duration = Duration::from_millis(50);
 /// Longest wait between rounds.
-const LONGEST_WAIT: Duration = Duration::from_secs(2);
+const MAX_BACKOFF: Duration = Duration::from_secs(2);
 /// Time after which a source is left that is not the best one or does not reach control.
-const PATIENCE: Duration = Duration::from_secs(3);
+const SOURCE_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// Dials sources, best first, for as long as the instance runs.
 #[derive(Debug)]
 pub(super) struct Upstream {
     pub(super) identity: Identity,
-    pub(super) board: Board,
+    pub(super) shared_view: Shared,
     pub(super) control: Vec<String>,
     pub(super) follower: Addr<Follower>,
 }
@@ -53,15 +53,15 @@
 
 impl Upstream {
     pub(super) async fn run(self) {
-        let mut wait = FIRST_WAIT;
+        let mut backoff = INITIAL_BACKOFF;
         loop {
             let served = self.round().await;
             if served {
-                wait = FIRST_WAIT;
+                backoff = INITIAL_BACKOFF;
             }
-            let jittered = wait.mul_f64(rand::rng().random_range(0.5..1.0));
+            let jittered = backoff.mul_f64(rand::rng().random_range(0.5..1.0));
             time::sleep(jittered).await;
-            wait = (wait * 2).min(LONGEST_WAIT);
+            backoff = (backoff * 2).min(MAX_BACKOFF);
         }
     }
 
@@ -76,20 +76,20 @@
             let (address, control) = (source.address(), source.is_control());
             tracing::info!(event = "source-found", address, control);
             let ended = self.follow(link, &source).await;
-            self.follower.do_send(Lost);
+            self.follower.do_send(SourceLost);
             match ended {
                 Ended::Broken(error) => {
                     tracing::info!(event = "source-lost", address, error = %error);
                 }
                 Ended::Left => tracing::debug!(event = "source-left", address),
             }
-            served |= since.elapsed() >= PATIENCE;
+            served |= since.elapsed() >= SOURCE_TIMEOUT;
         }
         served
     }
 
     fn sources(&self) -> Vec<Source> {
-        let view = self.board.view();
+        let view = self.shared_view.view();
         let choice = self.choice(&view);
         let mut sources = choice.sources();
         if !view.connected {
@@ -109,8 +109,8 @@
     }
 
     async fn dial(&self, source: &Source) -> Result<Link, Error> {
-        let dialled = self.identity.dial(source.address(), Purpose::Follow);
-        let link = time::timeout(feed::SILENCE, dialled)
+        let dialing = self.identity.dial(source.address(), Purpose::Follow);
+        let link = time::timeout(feed::SILENCE, dialing)
             .await
             .map_err(|_| Error::Closed)??;
         same_cluster(&self.identity, link).ok_or(Error::Handshake)
@@ -118,9 +118,9 @@
 
     async fn follow(&self, link: Link, source: &Source) -> Ended {
         let (mut sender, mut receiver) = link.split();
-        let mut reports = time::interval(NEWS);
+        let mut reports = time::interval(POLL_INTERVAL);
         reports.set_missed_tick_behavior(time::MissedTickBehavior::Delay);
-        let mut pace = Pace::new();
+        let mut session = Session::new();
         loop {
             let message = tokio::select! {
                 message = feed::receive(&mut receiver) => match message {
@@ -128,36 +128,40 @@
                     Err(error) => return Ended::Broken(error),
                 },
                 _ = reports.tick() => {
-                    if self.should_leave(source, &mut pace) {
+                    if self.should_leave(source, &mut session) {
                         return Ended::Left;
                     }
-                    if let Err(error) = self.report(&mut sender, &mut pace).await {
+                    if let Err(error) = self.report(&mut sender, &mut session).await {
                         return Ended::Broken(error);
                     }
                     continue;
                 }
             };
-            pace.hear(&message);
-            let took = Took {
+            session.record(&message);
+            let incoming = Incoming {
                 message,
                 source: Some(source.clone()),
             };
-            let taken = self.follower.send(took).await;
-            match taken {
-                Ok(Taken::Fine) => {}
-                Ok(Taken::Gap | Taken::Misfit) => pace.fresh = true,
+            let outcome = self.follower.send(incoming).await;
+            match outcome {
+                Ok(Outcome::Applied) => {}
+                Ok(Outcome::Gap | Outcome::Mismatch) => session.new_link = true,
                 Err(_) => return Ended::Left,
             }
         }
     }
 
-    async fn report(&self, sender: &mut Sender, pace: &mut Pace) -> Result<(), Error> {
+    async fn report(&self, sender: &mut Sender, session: &mut Session) -> Result<(), Error> {
         let now = Instant::now();
-        let listed = self.board.view().state.is_some();
-        let pause = if listed { REPORT } else { JOIN };
-        let is_due = pace.fresh || now >= pace.reported + pause;
+        let listed = self.shared_view.view().state.is_some();
+        let pause = if listed {
+            REPORT_INTERVAL
+        } else {
+            JOIN_INTERVAL
+        };
+        let is_due = session.new_link || now >= session.last_report + pause;
         let report = Report {
-            fresh: pace.fresh,
+            new_link: session.new_link,
             due: is_due,
         };
         let messages = self
@@ -168,9 +172,9 @@
         for message in messages {
             feed::send(sender, message).await?;
         }
-        pace.fresh = false;
+        session.new_link = false;
         if is_due {
-            pace.reported = now;
+            session.last_report = now;
         }
         Ok(())
     }
@@ -179,8 +183,8 @@
     ///
     /// A source that has been cut off would otherwise hold its followers for as long as the
     /// partition lasts, although another one may reach control.
-    fn should_leave(&self, source: &Source, pace: &mut Pace) -> bool {
-        let view = self.board.view();
+    fn should_leave(&self, source: &Source, session: &mut Session) -> bool {
+        let view = self.shared_view.view();
         let choice = self.choice(&view);
         let sources = choice.sources();
         let best: Vec<&Source> = if choice.is_relay() {
@@ -191,50 +195,50 @@
         } else {
             sources.iter().take(2).collect()
         };
-        pace.good(best.contains(&source));
-        pace.is_out_of_patience()
+        session.mark_preferred(best.contains(&source));
+        session.should_leave()
     }
 }
 
 /// Times on one link.
 #[derive(Debug)]
-struct Pace {
-    fresh: bool,
-    reported: Instant,
-    connected: Option<Instant>,
-    good: Instant,
+struct Session {
+    new_link: bool,
+    last_report: Instant,
+    last_connected: Option<Instant>,
+    last_preferred: Instant,
     opened: Instant,
 }
 
-impl Pace {
+impl Session {
     fn new() -> Self {
         let now = Instant::now();
         Self {
-            fresh: true,
-            reported: now,
-            connected: None,
-            good: now,
+            new_link: true,
+            last_report: now,
+            last_connected: None,
+            last_preferred: now,
             opened: now,
         }
     }
 
-    fn hear(&mut self, message: &Message) {
+    fn record(&mut self, message: &Message) {
         if let Message::Alive {
             connected: true, ..
         } = message
         {
-            self.connected = Some(Instant::now());
+            self.last_connected = Some(Instant::now());
         }
     }
 
-    fn good(&mut self, good: bool) {
-        if good {
-            self.good = Instant::now();
+    fn mark_preferred(&mut self, preferred: bool) {
+        if preferred {
+            self.last_preferred = Instant::now();
         }
     }
 
-    fn is_out_of_patience(&self) -> bool {
-        let connected = self.connected.unwrap_or(self.opened);
-        connected.elapsed() >= PATIENCE || self.good.elapsed() >= PATIENCE
+    fn should_leave(&self) -> bool {
+        let connected = self.last_connected.unwrap_or(self.opened);
+        connected.elapsed() >= SOURCE_TIMEOUT || self.last_preferred.elapsed() >= SOURCE_TIMEOUT
     }
 }
--- a/crates/zinniastall-entry/src/links.rs
+++ b/crates/zinniastall-entry/src/links.rs
@@ -23,11 +23,11 @@
 };
 
 /// Longest time that a handshake may take; an end that is silent must not hold a place forever.
-const HANDSHAKE: Duration = Duration::from_secs(5);
+const HANDSHAKE_TIMEOUT: Duration = Duration::from_secs(5);
 /// Most handshakes at once; further connections wait in the listener's backlog.
-const HANDSHAKES: usize = 256;
+const MAX_HANDSHAKES: usize = 256;
 /// Pause after the listener failed, as it does when the process has no free file descriptor.
-const PAUSE: Duration = Duration::from_millis(100);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(100);
 
 /// What this instance says of itself when it opens or takes a link.
 ///
@@ -92,7 +92,7 @@
     /// Fails when the address cannot be reached in time or the other end refuses.
     pub async fn dial(&self, address: &str, purpose: Purpose) -> Result<Link, link::Error> {
         let dial = Link::dial(address, self.hello(purpose));
-        let link = timeout(HANDSHAKE, dial)
+        let link = timeout(HANDSHAKE_TIMEOUT, dial)
             .await
             .map_err(|_| link::Error::Handshake)??;
         Ok(link.meter(self.meter(purpose)))
@@ -122,7 +122,7 @@
     }
 
     /// Raises its run, when others remember a later one; never lowers it.
-    pub fn raise(&self, incarnation: id::Incarnation) {
+    pub fn raise_incarnation(&self, incarnation: id::Incarnation) {
         let mut held = self
             .incarnation
             .lock()
@@ -136,7 +136,7 @@
     }
 
     /// Takes note of the cluster; the first one holds for the life of the process.
-    pub fn join(&self, cluster: String) {
+    pub fn set_cluster(&self, cluster: String) {
         // A second cluster is refused at the handshake, so a lost race here changes nothing.
         drop(self.cluster.set(cluster));
     }
@@ -185,7 +185,7 @@
         self
     }
 
-    fn judge(&self, peer: &Hello) -> Result<Hello, Refusal> {
+    fn check_hello(&self, peer: &Hello) -> Result<Hello, Refusal> {
         if !self.owners.contains_key(&peer.purpose) {
             return Err(Refusal::Purpose);
         }
@@ -197,11 +197,11 @@
     }
 
     async fn accept(&self, stream: TcpStream) {
-        let handshake = Link::accept(stream, |peer| self.judge(peer));
-        let link = match timeout(HANDSHAKE, handshake).await {
+        let handshake = Link::accept(stream, |peer| self.check_hello(peer));
+        let link = match timeout(HANDSHAKE_TIMEOUT, handshake).await {
             Ok(Ok(link)) => link,
-            Ok(Err(error)) => return refused(&error),
-            Err(_) => return refused(&link::Error::Handshake),
+            Ok(Err(error)) => return log_refusal(&error),
+            Err(_) => return log_refusal(&link::Error::Handshake),
         };
         if let Some(owner) = self.owners.get(&link.purpose()) {
             let meter = self.identity.meter(link.purpose());
@@ -210,16 +210,16 @@
     }
 }
 
-fn refused(error: &link::Error) {
+fn log_refusal(error: &link::Error) {
     tracing::debug!(event = "link-refused", error = %error);
 }
 
 /// Accepts links until the arbiter stops.
 pub async fn serve(listener: TcpListener, acceptors: Acceptors) {
     let acceptors = Rc::new(acceptors);
-    let places = Arc::new(Semaphore::new(HANDSHAKES));
+    let permits = Arc::new(Semaphore::new(MAX_HANDSHAKES));
     loop {
-        let Ok(place) = Arc::clone(&places).acquire_owned().await else {
+        let Ok(permit) = Arc::clone(&permits).acquire_owned().await else {
             return;
         };
         match listener.accept().await {
@@ -227,12 +227,12 @@
                 let acceptors = Rc::clone(&acceptors);
                 actix::spawn(async move {
                     acceptors.accept(stream).await;
-                    drop(place);
+                    drop(permit);
                 });
             }
             Err(error) => {
                 tracing::warn!(event = "accept-failed", error = %error);
-                tokio::time::sleep(PAUSE).await;
+                tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
     }
--- a/crates/zinniastall-entry/src/publish.rs
+++ b/crates/zinniastall-entry/src/publish.rs
@@ -7,26 +7,26 @@
 use zinniastall_model::{id, state::State};
 use zinniastall_wire::gossip;
 
-use crate::view::{Board, Digest, Target, View};
+use crate::view::{Digest, Shared, Target, View};
 
 /// Actor of the control arbiter that replaces the view when a part of it changes.
 #[derive(Debug)]
 pub struct Publisher {
     view: View,
-    board: Board,
+    shared_view: Shared,
 }
 
 impl Publisher {
     /// Creates the publisher of a board.
-    pub fn new(board: Board) -> Self {
+    pub fn new(shared_view: Shared) -> Self {
         Self {
-            view: (*board.view()).clone(),
-            board,
+            view: (*shared_view.view()).clone(),
+            shared_view,
         }
     }
 
     fn publish(&self) {
-        self.board.publish(self.view.clone());
+        self.shared_view.publish(self.view.clone());
     }
 }
 
--- a/crates/zinniastall-entry/src/spread/actor.rs
+++ b/crates/zinniastall-entry/src/spread/actor.rs
@@ -16,13 +16,13 @@
 };
 
 use super::{
-    atlas::Atlas,
-    book::Book,
+    address_book::Book,
     digests::Digests,
-    lines::{Line, Lines},
-    messages::{Closed, Dialed, Linked, PassOn, PublishTargets, Received, Stop},
+    links::{Handle, Links},
+    messages::{Closed, Dialed, ForwardFacts, Linked, PublishTargets, Received, Stop},
     renewals::Renewals,
-    settings::{self, FAR},
+    settings::{self, CROSS_REGION_PERIODS},
+    topology::Topology,
     traffic::Traffic,
 };
 use crate::{
@@ -34,19 +34,19 @@
         problem::Problem,
         table::{Table, millis},
     },
-    view::Board,
+    view::Shared,
 };
 
 /// Changes that come in quick succession are published or passed on together after this pause.
-const COALESCE: Duration = Duration::from_millis(50);
+const COALESCE_DELAY: Duration = Duration::from_millis(50);
 
 /// What the actor is connected to.
 #[derive(Debug)]
-pub struct Surroundings {
+pub struct Dependencies {
     /// What this instance says of itself.
     pub identity: Identity,
     /// Where the view is read.
-    pub board: Board,
+    pub shared_view: Shared,
     /// Where changes of the view go.
     pub publisher: Addr<Publisher>,
     /// Where figures are recorded.
@@ -57,28 +57,28 @@
 #[derive(Debug)]
 pub struct Spread {
     pub(super) settings: settings::Spread,
-    pub(super) around: Surroundings,
+    pub(super) dependencies: Dependencies,
     pub(super) roster: Roster<id::Instance>,
-    pub(super) lines: Lines,
-    pub(super) book: Book,
-    pub(super) atlas: Atlas,
+    pub(super) links: Links,
+    pub(super) address_book: Book,
+    pub(super) topology: Topology,
     pub(super) targets: Table,
     pub(super) renewals: Renewals,
     pub(super) digests: Digests,
     pub(super) bucket: Bucket,
     /// Bytes of facts since the last charge. Without them each turn of a period would find the whole
     /// budget again.
-    pub(super) promised: u64,
-    pub(super) published: Arc<IndexMap<id::Instance, Peer>>,
+    pub(super) reserved_bytes: u64,
+    pub(super) published_peers: Arc<IndexMap<id::Instance, Peer>>,
     /// Targets that were published last, with their runs.
-    pub(super) serving: IndexMap<id::Target, id::Incarnation>,
-    pub(super) publishing: bool,
-    pub(super) passing: bool,
-    pub(super) raises: u32,
+    pub(super) published_targets: IndexMap<id::Target, id::Incarnation>,
+    pub(super) publish_pending: bool,
+    pub(super) forward_pending: bool,
+    pub(super) raise_count: u32,
     pub(super) started: Instant,
-    swept: Instant,
+    last_sweep: Instant,
     /// Periods so far.
-    beats: u64,
+    period_count: u64,
     traffic: Traffic,
 }
 
@@ -87,157 +87,168 @@
     pub fn new(
         settings: settings::Spread,
         seeds: impl Iterator<Item = String>,
-        around: Surroundings,
+        dependencies: Dependencies,
     ) -> Self {
         let now = Instant::now();
-        let identity = &around.identity;
+        let identity = &dependencies.identity;
         let own = identity.instance().to_owned();
         let (run, place) = (identity.incarnation(), identity.place().clone());
         let membership = settings.membership();
         Self {
             roster: Roster::new(own.clone(), run, membership, now),
-            lines: Lines::new(own.clone(), place.region.clone(), settings),
-            book: Book::new(own.clone(), seeds, now),
-            atlas: Atlas::new(place.clone(), now),
+            links: Links::new(own.clone(), place.region.clone(), settings),
+            address_book: Book::new(own.clone(), seeds, now),
+            topology: Topology::new(place.clone(), now),
             targets: Table::new(settings.lease),
             renewals: Renewals::default(),
-            digests: Digests::new(&own, run, place, settings.digest, now),
+            digests: Digests::new(&own, run, place, settings.digest_interval, now),
             bucket: Bucket::new(settings.bytes_per_second, now),
-            promised: 0,
-            published: Arc::default(),
-            serving: IndexMap::new(),
-            publishing: false,
-            passing: false,
-            raises: 0,
+            reserved_bytes: 0,
+            published_peers: Arc::default(),
+            published_targets: IndexMap::new(),
+            publish_pending: false,
+            forward_pending: false,
+            raise_count: 0,
             started: now,
-            swept: now,
-            beats: 0,
+            last_sweep: now,
+            period_count: 0,
             traffic: Traffic::default(),
             settings,
-            around,
+            dependencies,
         }
     }
 
     fn tick(&mut self, context: &Context<Self>) {
         let now = Instant::now();
-        self.begin(now);
-        self.beat(now);
+        self.begin_period(now);
+        self.send_heartbeats(now);
         self.sweep(now);
         self.publish_peers(now);
-        self.speak(now);
+        self.publish_digests(now);
         self.dial(context, now);
     }
 
     /// Starts a period. After a freeze all links are dropped: what waits in their sockets was sent
     /// during the freeze, and a lease in it would count from now instead of from then.
-    fn begin(&mut self, now: Instant) {
-        self.charge();
+    fn begin_period(&mut self, now: Instant) {
+        self.charge_sent();
         if !self.roster.tick(now) {
             return;
         }
-        let since = now.saturating_duration_since(self.swept);
+        let since = now.saturating_duration_since(self.last_sweep);
         tracing::warn!(event = "frozen", millis = millis(since));
-        self.swept = now;
-        self.lines.clear();
+        self.last_sweep = now;
+        self.links.clear();
         self.publish_targets(now);
         self.publish_peers(now);
     }
 
     /// Notices a freeze before the next period does: the messages that waited for its end may be
     /// handled before the timer.
-    fn wake(&mut self, now: Instant) {
-        if now.saturating_duration_since(self.swept) > self.settings.membership().freeze_threshold {
-            self.begin(now);
+    fn detect_freeze(&mut self, now: Instant) {
+        if now.saturating_duration_since(self.last_sweep)
+            > self.settings.membership().freeze_threshold
+        {
+            self.begin_period(now);
         }
     }
 
     /// Charges what was sent since the last period to the budget and records it.
-    fn charge(&mut self) {
-        let around = &self.around;
-        let sent = self.traffic.record(&around.identity, &around.recorder);
+    fn charge_sent(&mut self) {
+        let dependencies = &self.dependencies;
+        let sent = self
+            .traffic
+            .record(&dependencies.identity, &dependencies.recorder);
         self.bucket.charge(sent);
-        self.promised = 0;
-        let waiting = i64::try_from(self.digests.waiting()).unwrap_or(i64::MAX);
+        self.reserved_bytes = 0;
+        let waiting = i64::try_from(self.digests.pending_count()).unwrap_or(i64::MAX);
         if waiting > 0 {
-            around.recorder.count("gossip.waiting.facts", waiting);
+            dependencies.recorder.count("gossip.waiting.facts", waiting);
         }
     }
 
-    fn beat(&mut self, now: Instant) {
-        let view = self.around.board.view();
-        let loads = self.loads(now);
-        let zone = self.around.identity.place().clone();
-        self.beats += 1;
-        for (line, instance, place) in self.lines.peers() {
-            if self.rests(line, &instance, &place, now) {
+    fn send_heartbeats(&mut self, now: Instant) {
+        let view = self.dependencies.shared_view.view();
+        let loads = self.take_renewals(now);
+        let zone = self.dependencies.identity.place().clone();
+        self.period_count += 1;
+        for (link, instance, place) in self.links.peers() {
+            if self.skips_heartbeat(link, &instance, &place, now) {
                 continue;
             }
             let heartbeat = Heartbeat {
                 beat: self.roster.heartbeat(&instance),
                 revision: view.state.as_ref().map_or(0, |state| state.revision),
                 draining: view.draining,
-                load: self.around.board.load(),
+                load: self.dependencies.shared_view.load(),
                 loads: if place == zone {
                     loads.clone()
                 } else {
                     Vec::new()
                 },
             };
-            self.lines.send(line, gossip::Message::Heartbeat(heartbeat));
+            self.links.send(link, gossip::Message::Heartbeat(heartbeat));
         }
     }
 
     /// Tells whether a peer gets no heartbeat this period. One of another region gets fewer, once it
     /// is known to be alive.
-    fn rests(&self, line: Line, instance: &id::Instance, place: &Place, now: Instant) -> bool {
-        let turn = (self.beats + line).is_multiple_of(u64::from(FAR));
-        self.lines.is_far(place) && !turn && self.roster.is_alive(instance, now)
+    fn skips_heartbeat(
+        &self,
+        link: Handle,
+        instance: &id::Instance,
+        place: &Place,
+        now: Instant,
+    ) -> bool {
+        let turn = (self.period_count + link).is_multiple_of(u64::from(CROSS_REGION_PERIODS));
+        self.links.is_cross_region(place) && !turn && self.roster.is_alive(instance, now)
     }
 
     fn sweep(&mut self, now: Instant) {
         for gone in self.roster.sweep(now) {
             tracing::info!(event = "peer-forgotten", peer = gone);
         }
-        self.lines.close_silent(now);
-        let lines = &self.lines;
-        self.book.sweep(|peer| lines.of(peer).is_some(), now);
+        self.links.close_silent(now);
+        let links = &self.links;
+        self.address_book
+            .sweep(|peer| links.get(peer).is_some(), now);
         self.digests.sweep(now);
-        if self.targets.sweep(self.swept, now) {
+        if self.targets.sweep(self.last_sweep, now) {
             self.publish_targets(now);
         }
-        self.swept = now;
+        self.last_sweep = now;
     }
 
-    fn link(&mut self, link: Link, dialed: bool, context: &Context<Self>) {
+    fn add_link(&mut self, link: Link, dialed: bool, context: &Context<Self>) {
         let now = Instant::now();
         let (peer, place) = (link.peer().instance.clone(), link.peer().place.clone());
-        let Some(number) = self.lines.add(link, dialed, &context.address(), now) else {
+        let Some(handle) = self.links.add(link, dialed, &context.address(), now) else {
             return;
         };
-        self.book.linked(&peer, now);
+        self.address_book.mark_linked(&peer, now);
         let peers = self.introduction(&place, now);
-        self.lines.send(number, gossip::Message::Peers(peers));
-        if place == *self.around.identity.place() {
+        self.links.send(handle, gossip::Message::Peers(peers));
+        if place == *self.dependencies.identity.place() {
             let reports = self.targets.reports(now);
-            self.lines.send(number, gossip::Message::Targets(reports));
+            self.links.send(handle, gossip::Message::Targets(reports));
         }
     }
 
-    fn receive(&mut self, line: Line, message: gossip::Message, now: Instant) {
-        self.wake(now);
-        let Some((peer, place)) = self.lines.heard(line, now) else {
+    fn receive(&mut self, link: Handle, message: gossip::Message, now: Instant) {
+        self.detect_freeze(now);
+        let Some((peer, place)) = self.links.record_received(link, now) else {
             return;
         };
         match message {
             gossip::Message::Heartbeat(heartbeat) => {
-                self.hear(line, (&peer, &place), &heartbeat, now);
-                self.renew(&place, &heartbeat.loads, now);
+                self.handle_heartbeat(link, (&peer, &place), &heartbeat, now);
+                self.apply_renewals(&place, &heartbeat.loads, now);
             }
-            gossip::Message::Stale(remembered) => self.raise(remembered),
-            gossip::Message::Peers(peers) => self.meet(&peer, peers, now),
-            gossip::Message::Targets(reports) => self.take(&place, reports, now),
+            gossip::Message::Stale(remembered) => self.raise_incarnation(remembered),
+            gossip::Message::Peers(peers) => self.handle_peers(&peer, peers, now),
+            gossip::Message::Targets(reports) => self.apply_reports(&place, reports, now),
             gossip::Message::News(news) => {
-                self.passing |= self.digests.take(line, &place, news, now);
+                self.forward_pending |= self.digests.apply(link, &place, news, now);
             }
         }
     }
@@ -256,7 +267,7 @@
     type Result = ();
 
     fn handle(&mut self, message: Linked, context: &mut Context<Self>) {
-        self.link(message.0, false, context);
+        self.add_link(message.0, false, context);
     }
 }
 
@@ -266,8 +277,8 @@
     fn handle(&mut self, message: Dialed, context: &mut Context<Self>) {
         match message.result {
             Ok(link) => {
-                if self.answers(&message.address, link.peer(), Instant::now()) {
-                    self.link(link, true, context);
+                if self.check_dialed(&message.address, link.peer(), Instant::now()) {
+                    self.add_link(link, true, context);
                 }
             }
             Err(error) => {
@@ -281,14 +292,15 @@
     type Result = ();
 
     fn handle(&mut self, message: Received, context: &mut Context<Self>) {
-        let Received(line, message) = message;
-        let (published, passed) = (self.publishing, self.passing);
-        self.receive(line, message, Instant::now());
-        if self.publishing && !published {
-            context.notify_later(PublishTargets, COALESCE);
+        let Received(link, message) = message;
+        let (publish_was_pending, forward_was_pending) =
+            (self.publish_pending, self.forward_pending);
+        self.receive(link, message, Instant::now());
+        if self.publish_pending && !publish_was_pending {
+            context.notify_later(PublishTargets, COALESCE_DELAY);
         }
-        if self.passing && !passed {
-            context.notify_later(PassOn, COALESCE);
+        if self.forward_pending && !forward_was_pending {
+            context.notify_later(ForwardFacts, COALESCE_DELAY);
         }
     }
 }
@@ -297,7 +309,7 @@
     type Result = ();
 
     fn handle(&mut self, message: Closed, _: &mut Context<Self>) {
-        self.lines.close(message.0);
+        self.links.close(message.0);
     }
 }
 
@@ -305,17 +317,17 @@
     type Result = ();
 
     fn handle(&mut self, _: PublishTargets, _: &mut Context<Self>) {
-        if self.publishing {
+        if self.publish_pending {
             self.publish_targets(Instant::now());
         }
     }
 }
 
-impl Handler<PassOn> for Spread {
+impl Handler<ForwardFacts> for Spread {
     type Result = ();
 
-    fn handle(&mut self, _: PassOn, _: &mut Context<Self>) {
-        self.pass_on(Instant::now());
+    fn handle(&mut self, _: ForwardFacts, _: &mut Context<Self>) {
+        self.forward_facts(Instant::now());
     }
 }
 
@@ -323,10 +335,10 @@
     type Result = Result<Lease, Problem>;
 
     fn handle(&mut self, message: Announced, context: &mut Context<Self>) -> Self::Result {
-        let published = self.publishing;
+        let publish_was_pending = self.publish_pending;
         let lease = self.announce(message.0, Instant::now())?;
-        if self.publishing && !published {
-            context.notify_later(PublishTargets, COALESCE);
+        if self.publish_pending && !publish_was_pending {
+            context.notify_later(PublishTargets, COALESCE_DELAY);
         }
         Ok(lease)
     }
@@ -344,7 +356,7 @@
     type Result = ();
 
     fn handle(&mut self, _: Stop, context: &mut Context<Self>) {
-        self.lines.clear();
+        self.links.clear();
         context.stop();
     }
 }
--- a/crates/zinniastall-entry/src/spread/book.rs
+++ b/crates/zinniastall-entry/src/spread/address_book.rs
@@ -8,23 +8,23 @@
 use zinniastall_wire::gossip::Peer;
 
 /// First pause after a failed attempt.
-const FIRST: Duration = Duration::from_millis(200);
+const INITIAL_BACKOFF: Duration = Duration::from_millis(200);
 /// Longest pause between attempts.
-const LONGEST: Duration = Duration::from_secs(3);
+const MAX_BACKOFF: Duration = Duration::from_secs(3);
 /// How long a peer is kept that nobody who is alive has named and that isn't linked.
-const KEPT: Duration = Duration::from_secs(30);
+const RETENTION: Duration = Duration::from_secs(30);
 /// Most peers kept.
-const PEERS: usize = 4096;
+const MAX_PEERS: usize = 4096;
 /// How long the higher name waits for the lower one's attempt.
-const COURTESY: Duration = Duration::from_millis(1_200);
+const TIE_BREAK_DELAY: Duration = Duration::from_millis(1_200);
 
 /// A peer and what is known of it.
 #[derive(Debug)]
 struct Entry {
     peer: Peer,
     /// Whether the peer itself said so; hearsay serves for dialling only.
-    sworn: bool,
-    named: Instant,
+    confirmed: bool,
+    last_mentioned: Instant,
     retry: Retry,
 }
 
@@ -32,27 +32,30 @@
 #[derive(Debug, Clone, Copy)]
 struct Retry {
     at: Instant,
-    pause: Duration,
+    backoff: Duration,
 }
 
 impl Retry {
-    const fn from(at: Instant) -> Self {
-        Self { at, pause: FIRST }
+    const fn new(at: Instant) -> Self {
+        Self {
+            at,
+            backoff: INITIAL_BACKOFF,
+        }
     }
 
     /// Takes note of an attempt. The pause is jittered, since after a partition heals everybody
     /// would otherwise dial at the same moment.
-    fn attempt(&mut self, now: Instant) {
+    fn record_attempt(&mut self, now: Instant) {
         let jitter = rand::rng().random_range(0.5..1.5);
-        self.at = now + self.pause.mul_f64(jitter);
-        self.pause = (self.pause * 2).min(LONGEST);
+        self.at = now + self.backoff.mul_f64(jitter);
+        self.backoff = (self.backoff * 2).min(MAX_BACKOFF);
     }
 }
 
 impl Seed {
-    const fn from(at: Instant) -> Self {
+    const fn new(at: Instant) -> Self {
         Self {
-            retry: Retry::from(at),
+            retry: Retry::new(at),
             place: None,
         }
     }
@@ -80,28 +83,28 @@
         Self {
             own,
             entries: IndexMap::new(),
-            seeds: seeds.map(|seed| (seed, Seed::from(now))).collect(),
+            seeds: seeds.map(|seed| (seed, Seed::new(now))).collect(),
         }
     }
 
     /// Takes in what a peer says of itself. Returns a peer whose address it has taken over.
-    pub fn swear(&mut self, peer: Peer, now: Instant) -> Option<id::Instance> {
-        let former = self.holder(&peer);
+    pub fn confirm(&mut self, peer: Peer, now: Instant) -> Option<id::Instance> {
+        let former = self.address_holder(&peer);
         if let Some(former) = &former {
             self.entries.swap_remove(former);
         }
         let entry = Entry {
             peer,
-            sworn: true,
-            named: now,
-            retry: Retry::from(now),
+            confirmed: true,
+            last_mentioned: now,
+            retry: Retry::new(now),
         };
         self.entries.insert(entry.peer.instance.clone(), entry);
         former
     }
 
     /// Takes in what one peer says of another: good for an attempt to dial it, no more.
-    pub fn hearsay(&mut self, peer: Peer, now: Instant) {
+    pub fn report(&mut self, peer: Peer, now: Instant) {
         if peer.instance == self.own {
             return;
         }
@@ -109,55 +112,58 @@
         if let Some(entry) = known
             && entry.peer.incarnation >= peer.incarnation
         {
-            entry.named = now;
+            entry.last_mentioned = now;
             return;
         }
-        if self.entries.len() == PEERS && !self.entries.contains_key(&peer.instance) {
+        if self.entries.len() == MAX_PEERS && !self.entries.contains_key(&peer.instance) {
             return;
         }
         let entry = Entry {
-            retry: Retry::from(self.courtesy(&peer.instance, now)),
-            sworn: false,
-            named: now,
+            retry: Retry::new(self.first_attempt(&peer.instance, now)),
+            confirmed: false,
+            last_mentioned: now,
             peer,
         };
         self.entries.insert(entry.peer.instance.clone(), entry);
     }
 
     /// Returns what a peer has said of itself, to be brought up to date by its heartbeats.
-    pub fn sworn(&mut self, instance: &str) -> Option<&mut Peer> {
-        let entry = self.entries.get_mut(instance).filter(|entry| entry.sworn)?;
+    pub fn confirmed(&mut self, instance: &str) -> Option<&mut Peer> {
+        let entry = self
+            .entries
+            .get_mut(instance)
+            .filter(|entry| entry.confirmed)?;
         Some(&mut entry.peer)
     }
 
     /// Notes that a peer is linked, so that it stays and is dialled at once when the link breaks.
-    pub fn linked(&mut self, instance: &str, now: Instant) {
-        let retry = Retry::from(self.courtesy(instance, now));
+    pub fn mark_linked(&mut self, instance: &str, now: Instant) {
+        let retry = Retry::new(self.first_attempt(instance, now));
         if let Some(entry) = self.entries.get_mut(instance) {
-            entry.named = now;
+            entry.last_mentioned = now;
             entry.retry = retry;
         }
     }
 
     /// Forgets a peer, such as one whose address answers under another name.
-    pub fn forget(&mut self, instance: &str) {
+    pub fn remove(&mut self, instance: &str) {
         self.entries.swap_remove(instance);
     }
 
     /// Returns the peer that was last known at an address.
-    pub fn at(&self, address: &str) -> Option<&id::Instance> {
+    pub fn find_by_address(&self, address: &str) -> Option<&id::Instance> {
         let mut entries = self.entries.values();
         let entry = entries.find(|entry| entry.peer.links == address)?;
         Some(&entry.peer.instance)
     }
 
     /// Stops dialling an address that turned out to be this instance's own.
-    pub fn drop_seed(&mut self, address: &str) {
+    pub fn remove_seed(&mut self, address: &str) {
         self.seeds.shift_remove(address);
     }
 
     /// Notes where the instance runs that answers at a seed's address.
-    pub fn place_seed(&mut self, address: &str, place: &Place) {
+    pub fn set_seed_place(&mut self, address: &str, place: &Place) {
         if let Some(seed) = self.seeds.get_mut(address) {
             seed.place = Some(place.clone());
         }
@@ -166,7 +172,7 @@
     /// Drops the peers that are neither linked nor named by anybody any more.
     pub fn sweep(&mut self, linked: impl Fn(&str) -> bool, now: Instant) {
         self.entries.retain(|instance, entry| {
-            linked(instance) || now.saturating_duration_since(entry.named) <= KEPT
+            linked(instance) || now.saturating_duration_since(entry.last_mentioned) <= RETENTION
         });
     }
 
@@ -176,7 +182,7 @@
         let mut due = Vec::new();
         for entry in self.entries.values_mut() {
             if entry.retry.at <= now && wanted(&entry.peer) {
-                entry.retry.attempt(now);
+                entry.retry.record_attempt(now);
                 due.push(entry.peer.links.clone());
             }
         }
@@ -185,32 +191,32 @@
 
     /// Returns the seeds to dial now and notes the attempts; `heard` tells of which zones enough is
     /// known.
-    pub fn due_seeds(&mut self, heard: impl Fn(&Place) -> bool, now: Instant) -> Vec<String> {
+    pub fn due_seeds(&mut self, is_known: impl Fn(&Place) -> bool, now: Instant) -> Vec<String> {
         let mut due = Vec::new();
         for (address, seed) in &mut self.seeds {
-            let known = self
+            let has_entry = self
                 .entries
                 .values()
                 .any(|entry| entry.peer.links == *address);
-            let heard = seed.place.as_ref().is_some_and(&heard);
-            if !known && !heard && seed.retry.at <= now {
-                seed.retry.attempt(now);
+            let zone_known = seed.place.as_ref().is_some_and(&is_known);
+            if !has_entry && !zone_known && seed.retry.at <= now {
+                seed.retry.record_attempt(now);
                 due.push(address.clone());
             }
         }
         due
     }
 
-    fn courtesy(&self, instance: &str, now: Instant) -> Instant {
+    fn first_attempt(&self, instance: &str, now: Instant) -> Instant {
         if self.own.as_str() < instance {
             now
         } else {
-            now + COURTESY
+            now + TIE_BREAK_DELAY
         }
     }
 
     /// Returns another peer that is known under the links' address of this one.
-    fn holder(&self, peer: &Peer) -> Option<id::Instance> {
+    fn address_holder(&self, peer: &Peer) -> Option<id::Instance> {
         let holds =
             |entry: &&Entry| entry.peer.links == peer.links && entry.peer.instance != peer.instance;
         let holder = self.entries.values().find(holds)?;
--- a/crates/zinniastall-entry/src/spread/capacity.rs
+++ b/crates/zinniastall-entry/src/spread/capacity.rs
@@ -10,79 +10,80 @@
 
 /// Expected service time of one request in a queue, in milliseconds. A zone doesn't know what is
 /// asked of its targets; the figure only orders zones whose slots are all taken.
-const SERVICE: u64 = 1_000;
+const SERVICE_TIME_MS: u64 = 1_000;
 /// A change of free slots by less than this share of all isn't worth telling everybody.
-const STEPS: u32 = 8;
+const MIN_CHANGE_DIVISOR: u32 = 8;
 
 /// Capacity by subject and role.
-pub type Sums = IndexMap<(Subject, String), Capacity>;
+pub type Totals = IndexMap<(Subject, String), Capacity>;
 
 /// Capacities of a region's zones by subject and role.
 pub type Zones = IndexMap<(Subject, String), Vec<(id::Zone, Capacity)>>;
 
 /// Sums targets up.
-pub fn sum(targets: &IndexMap<id::Target, Target>) -> Sums {
-    let mut sums = Sums::new();
+pub fn sum_targets(targets: &IndexMap<id::Target, Target>) -> Totals {
+    let mut totals = Totals::new();
     let mut queued: IndexMap<(Subject, String), u32> = IndexMap::new();
     for target in targets.values() {
         let report = &target.report;
         for serving in &report.serves {
             let key = (serving.subject.clone(), report.role.clone());
-            let sum = sums.entry(key.clone()).or_insert(Capacity {
+            let total = totals.entry(key.clone()).or_insert(Capacity {
                 slots: 0,
                 free: 0,
                 wait_ms: 0,
                 price: 0.0,
             });
-            let before = f64::from(sum.slots);
-            sum.slots += report.slots;
-            sum.free += report.slots.saturating_sub(report.busy);
-            let weighed = sum.price * before + report.price * f64::from(report.slots);
-            sum.price = weighed / f64::from(sum.slots.max(1));
+            let before = f64::from(total.slots);
+            total.slots += report.slots;
+            total.free += report.slots.saturating_sub(report.busy);
+            let weighted = total.price * before + report.price * f64::from(report.slots);
+            total.price = weighted / f64::from(total.slots.max(1));
             *queued.entry(key).or_default() += report.busy.saturating_sub(report.slots);
         }
     }
-    for (key, sum) in &mut sums {
+    for (key, total) in &mut totals {
         let queued = u64::from(queued.get(key).copied().unwrap_or_default());
-        sum.wait_ms = if sum.free > 0 {
+        total.wait_ms = if total.free > 0 {
             0
         } else {
-            (queued + 1) * SERVICE / u64::from(sum.slots.max(1))
+            (queued + 1) * SERVICE_TIME_MS / u64::from(total.slots.max(1))
         };
     }
-    sums
+    totals
 }
 
 /// Chooses the zone that a region names: the one with most slots free, or the shortest wait.
 ///
 /// The one named before stays while it has a free slot and, once `settled`, isn't behind by a step.
 /// The name would otherwise change with every request, and each change is told to all regions.
-pub fn best(
-    named: Option<&id::Zone>,
+pub fn choose_zone(
+    advertised: Option<&id::Zone>,
     settled: bool,
     zones: Vec<(id::Zone, Capacity)>,
 ) -> Option<(id::Zone, Capacity)> {
     let order = |(_, capacity): &(id::Zone, Capacity)| (capacity.free, Reverse(capacity.wait_ms));
     let top = zones.iter().max_by_key(|zone| order(zone))?.clone();
-    let named = zones.into_iter().find(|(zone, _)| named == Some(zone));
+    let advertised = zones.into_iter().find(|(zone, _)| advertised == Some(zone));
     let stays = |(_, held): &(id::Zone, Capacity)| {
         let usable = held.free > 0 || top.1.free == 0;
         let behind = top.1.free.saturating_sub(held.free);
-        usable && (!settled || behind < step(&top.1))
+        usable && (!settled || behind < min_change(&top.1))
     };
-    Some(named.filter(stays).unwrap_or(top))
+    Some(advertised.filter(stays).unwrap_or(top))
 }
 
-const fn step(capacity: &Capacity) -> u32 {
-    let step = capacity.slots / STEPS;
+const fn min_change(capacity: &Capacity) -> u32 {
+    let step = capacity.slots / MIN_CHANGE_DIVISOR;
     if step == 0 { 1 } else { step }
 }
 
 /// Tells whether a capacity is close enough to what was told last.
-pub fn near(told: &Capacity, now: &Capacity) -> bool {
-    let same_slots = told.slots == now.slots;
-    let same_free = told.free.abs_diff(now.free) < step(now) && (told.free == 0) == (now.free == 0);
-    let same_wait = told.wait_ms.abs_diff(now.wait_ms) <= told.wait_ms / 2;
-    let same_price = (told.price - now.price).abs() <= told.price * 0.05;
+pub fn is_similar(last: &Capacity, now: &Capacity) -> bool {
+    let same_slots = last.slots == now.slots;
+    let same_free =
+        last.free.abs_diff(now.free) < min_change(now) && (last.free == 0) == (now.free == 0);
+    let same_wait = last.wait_ms.abs_diff(now.wait_ms) <= last.wait_ms / 2;
+    let same_price = (last.price - now.price).abs() <= last.price * 0.05;
     same_slots && same_free && same_wait && same_price
 }
--- a/crates/zinniastall-entry/src/spread/digests.rs
+++ b/crates/zinniastall-entry/src/spread/digests.rs
@@ -8,10 +8,10 @@
 use zinniastall_wire::gossip::{self, Fact, Item, Maker, News, Peer, Topic};
 
 use super::{
-    capacity::{Zones, sum},
-    lines::Line,
-    speaker::{Knowledge, Speaker, Voice},
-    ways::{Facts, Ways},
+    capacity::{Zones, sum_targets},
+    forwarder::{Facts, Forwarder},
+    links::Handle,
+    speaker::{Scope, Snapshot, Speaker},
 };
 use crate::view;
 
@@ -21,7 +21,7 @@
     place: Place,
     speaker: Speaker,
     table: Facts,
-    ways: Ways,
+    forwarder: Forwarder,
     horizon: Duration,
 }
 
@@ -37,7 +37,7 @@
         let horizon = interval * 5;
         Self {
             speaker: Speaker::new(own, incarnation, place.clone(), interval, now),
-            ways: Ways::new(place.clone()),
+            forwarder: Forwarder::new(place.clone()),
             place,
             table: Facts::new(horizon),
             horizon,
@@ -47,37 +47,37 @@
     /// Says what there is to say, if this instance speaks for anybody.
     pub fn speak(
         &mut self,
-        voice: Voice,
-        doors: Vec<Peer>,
+        scope: Scope,
+        contacts: Vec<Peer>,
         targets: &IndexMap<id::Target, view::Target>,
         now: Instant,
     ) {
-        let knowledge = Knowledge {
-            doors,
-            own: sum(targets),
-            others: self.region(now),
+        let snapshot = Snapshot {
+            contacts,
+            own: sum_targets(targets),
+            others: self.region_capacities(now),
         };
-        let word = self.speaker.speak(voice, &knowledge, now);
-        for item in word.items {
-            self.learn(None, item, now);
+        let update = self.speaker.speak(scope, &snapshot, now);
+        for item in update.items {
+            self.apply_item(None, item, now);
         }
-        for renewal in &word.renewals {
-            self.vouch(None, renewal, now);
+        for renewal in &update.renewals {
+            self.apply_renewal(None, renewal, now);
         }
     }
 
     /// Returns the capacities of the region's other zones. What is summed up gets a new maker who
     /// vouches for it, so it has to be younger here than what is only passed on.
-    fn region(&self, now: Instant) -> Zones {
+    fn region_capacities(&self, now: Instant) -> Zones {
         let mut zones = Zones::new();
-        for fresh in self.table.fresh(now) {
+        for entry in self.table.fresh(now) {
             let (Topic::Capacity(place, subject, role), Fact::Capacity(capacity)) =
-                (fresh.key, fresh.value)
+                (entry.key, entry.value)
             else {
                 continue;
             };
             let near = place.region == self.place.region && *place != self.place;
-            if near && now.saturating_duration_since(fresh.made) <= self.horizon / 2 {
+            if near && now.saturating_duration_since(entry.made) <= self.horizon / 2 {
                 let key = (subject.clone(), role.clone());
                 let zone = (place.zone.clone(), *capacity);
                 zones.entry(key).or_default().push(zone);
@@ -87,60 +87,60 @@
     }
 
     /// Sets the links on which facts are passed on, with the places of their other ends.
-    pub fn paths(&mut self, lines: &IndexMap<Line, Place>) {
-        self.ways.set(&self.table, lines);
+    pub fn set_links(&mut self, links: &IndexMap<Handle, Place>) {
+        self.forwarder.set_links(&self.table, links);
     }
 
     /// Returns what fits into a number of bytes, by link, and the bytes that it takes.
-    pub fn flush(&mut self, bytes: u64, now: Instant) -> (Vec<(Line, News)>, u64) {
-        self.ways.flush(&self.table, bytes, now)
+    pub fn flush(&mut self, bytes: u64, now: Instant) -> (Vec<(Handle, News)>, u64) {
+        self.forwarder.flush(&self.table, bytes, now)
     }
 
     /// Returns how many facts wait to be sent, over all links.
-    pub fn waiting(&self) -> usize {
-        self.ways.waiting()
+    pub fn pending_count(&self) -> usize {
+        self.forwarder.pending_count()
     }
 
     /// Takes facts in that came on a link. Returns whether there was news.
-    pub fn take(&mut self, line: Line, from: &Place, news: News, now: Instant) -> bool {
-        let mut any = false;
+    pub fn apply(&mut self, link: Handle, from: &Place, news: News, now: Instant) -> bool {
+        let mut changed = false;
         for item in news.items {
             // A zone's own facts don't come back from outside.
             if *item.key.place() != self.place || *from == self.place {
-                any |= self.learn(Some((line, from)), item, now);
+                changed |= self.apply_item(Some((link, from)), item, now);
             }
         }
         for renewal in &news.renewals {
-            any |= self.vouch(Some((line, from)), renewal, now);
+            changed |= self.apply_renewal(Some((link, from)), renewal, now);
         }
-        any
+        changed
     }
 
     /// Returns the doors of other zones that are known.
-    pub fn doors(&self, now: Instant) -> Vec<(Place, Vec<Peer>)> {
-        let fresh = self.table.fresh(now);
-        let doors = fresh.filter_map(|fresh| match (fresh.key, fresh.value) {
-            (Topic::Doors(place), Fact::Doors(doors)) if *place != self.place => {
-                Some((place.clone(), doors.clone()))
+    pub fn contacts(&self, now: Instant) -> Vec<(Place, Vec<Peer>)> {
+        let entries = self.table.fresh(now);
+        let contacts = entries.filter_map(|entry| match (entry.key, entry.value) {
+            (Topic::Doors(place), Fact::Doors(contacts)) if *place != self.place => {
+                Some((place.clone(), contacts.clone()))
             }
             _ => None,
         });
-        doors.collect()
+        contacts.collect()
     }
 
     /// Returns the capacities of other zones that are known, of those that can be reached: without
     /// a door a zone is worth nothing, and the doors are vouched for by the zone itself.
     pub fn capacities(&self, now: Instant) -> Vec<view::Digest> {
-        let doors: IndexSet<Place> = self
-            .doors(now)
+        let contacts: IndexSet<Place> = self
+            .contacts(now)
             .into_iter()
             .map(|(place, _)| place)
             .collect();
         let mut digests: IndexMap<(Place, Subject, String), view::Digest> = IndexMap::new();
         // The own region's zones are known one by one.
-        let summed = |fresh: &Entry<'_, Topic, Maker, Fact>| matches!(fresh.key, Topic::Region(by, ..) if by.region == self.place.region);
-        let single = self.table.fresh(now).filter(|fresh| !summed(fresh));
-        for digest in single.filter_map(|fresh| read(&fresh)) {
+        let is_own_region = |entry: &Entry<'_, Topic, Maker, Fact>| matches!(entry.key, Topic::Region(by, ..) if by.region == self.place.region);
+        let facts = self.table.fresh(now).filter(|entry| !is_own_region(entry));
+        for digest in facts.filter_map(|entry| read_capacity(&entry)) {
             let report = &digest.report;
             let key = (
                 report.place.clone(),
@@ -149,8 +149,8 @@
             );
             // While one zone takes over from another, both have spoken for the region.
             let known = digests.get(&key);
-            let younger = known.is_none_or(|known| known.made < digest.made);
-            if younger && doors.contains(&report.place) {
+            let is_newer = known.is_none_or(|known| known.made < digest.made);
+            if is_newer && contacts.contains(&report.place) {
                 digests.insert(key, digest);
             }
         }
@@ -160,41 +160,42 @@
     /// Drops what has been unknown for long.
     pub fn sweep(&mut self, now: Instant) {
         self.table.sweep(now);
-        self.ways.sweep(&self.table);
+        self.forwarder.sweep(&self.table);
     }
 
-    fn learn(&mut self, from: Option<(Line, &Place)>, item: Item, now: Instant) -> bool {
+    fn apply_item(&mut self, from: Option<(Handle, &Place)>, item: Item, now: Instant) -> bool {
         let topic = item.key.clone();
         // While this instance leads its zone, nobody else speaks for it.
-        let leading = self.speaker.voice() > Voice::None;
-        if from.is_some() && *topic.place() == self.place && leading {
+        let speaks = self.speaker.scope() > Scope::None;
+        if from.is_some() && *topic.place() == self.place && speaks {
             return false;
         }
         if !self.table.apply(item, now) {
             return false;
         }
-        self.ways.learned(&self.table, from, &topic);
+        self.forwarder.forward_fact(&self.table, from, &topic);
         true
     }
 
-    fn vouch(
+    fn apply_renewal(
         &mut self,
-        from: Option<(Line, &Place)>,
+        from: Option<(Handle, &Place)>,
         renewal: &gossip::Renewal,
         now: Instant,
     ) -> bool {
-        let known = self.ways.knows(&renewal.maker);
+        let known = self.forwarder.knows_maker(&renewal.maker);
         if !known || !self.table.renew(renewal, now) {
             return false;
         }
-        self.ways.renewed(&self.table, from, &renewal.maker);
+        self.forwarder
+            .forward_renewal(&self.table, from, &renewal.maker);
         true
     }
 }
 
 /// Reads a capacity.
-fn read(fresh: &Entry<'_, Topic, Maker, Fact>) -> Option<view::Digest> {
-    let (place, subject, role, capacity) = match (fresh.key, fresh.value) {
+fn read_capacity(entry: &Entry<'_, Topic, Maker, Fact>) -> Option<view::Digest> {
+    let (place, subject, role, capacity) = match (entry.key, entry.value) {
         (Topic::Capacity(place, subject, role), Fact::Capacity(capacity)) => {
             (place.clone(), subject, role, capacity)
         }
@@ -204,7 +205,7 @@
         }
         _ => return None,
     };
-    let (maker, incarnation, sequence) = fresh.maker;
+    let (maker, incarnation, sequence) = entry.maker;
     let report = gossip::Digest {
         place,
         subject: subject.clone(),
@@ -218,6 +219,6 @@
     };
     Some(view::Digest {
         report,
-        made: fresh.made,
+        made: entry.made,
     })
 }
--- a/crates/zinniastall-entry/src/spread/lines.rs
+++ b/crates/zinniastall-entry/src/spread/links.rs
@@ -21,29 +21,29 @@
 };
 
 /// Number of an open link within this process.
-pub type Line = u64;
+pub type Handle = u64;
 
 /// Frames that may wait for a slow peer. A peer that is slower gets a new link and whole reports
 /// instead of ever older news.
-const WAITING: usize = 64;
+const QUEUE_CAPACITY: usize = 64;
 
 /// How long a link stays that isn't wanted: a seed's answer has to arrive first.
-const GRACE: Duration = Duration::from_secs(5);
+const MIN_LINK_AGE: Duration = Duration::from_secs(5);
 
 /// An open link.
 #[derive(Debug)]
-struct Open {
+struct Connection {
     instance: id::Instance,
     incarnation: id::Incarnation,
     place: Place,
     dialed: bool,
     opened: Instant,
-    heard: Instant,
-    out: mpsc::Sender<Message>,
+    last_received: Instant,
+    queue: mpsc::Sender<Message>,
     tasks: [AbortHandle; 2],
 }
 
-impl Drop for Open {
+impl Drop for Connection {
     fn drop(&mut self) {
         for task in &self.tasks {
             task.abort();
@@ -53,22 +53,22 @@
 
 /// The open gossip links of an instance.
 #[derive(Debug)]
-pub struct Lines {
+pub struct Links {
     own: id::Instance,
     region: id::Region,
     settings: settings::Spread,
-    next: Line,
-    open: IndexMap<Line, Open>,
+    last_handle: Handle,
+    open: IndexMap<Handle, Connection>,
 }
 
-impl Lines {
+impl Links {
     /// Creates an empty table for an instance of a region.
     pub fn new(own: id::Instance, region: id::Region, settings: settings::Spread) -> Self {
         Self {
             own,
             region,
             settings,
-            next: 0,
+            last_handle: 0,
             open: IndexMap::new(),
         }
     }
@@ -80,71 +80,75 @@
         dialed: bool,
         spread: &Addr<Spread>,
         now: Instant,
-    ) -> Option<Line> {
+    ) -> Option<Handle> {
         let peer = link.peer().clone();
-        if let Some(old) = self.of(&peer.instance) {
-            if !self.gives_way(old, dialed, peer.incarnation, now) {
+        if let Some(old) = self.get(&peer.instance) {
+            if !self.is_replaceable(old, dialed, peer.incarnation, now) {
                 return None;
             }
             self.open.swap_remove(&old);
         }
-        self.next += 1;
-        let number = self.next;
+        self.last_handle += 1;
+        let handle = self.last_handle;
         let (sender, receiver) = link.split();
-        let (out, queue) = mpsc::channel(WAITING);
-        let write = actix::spawn(write(number, queue, sender, spread.clone()));
-        let read = actix::spawn(read(number, receiver, spread.clone()));
-        let open = Open {
+        let (queue, messages) = mpsc::channel(QUEUE_CAPACITY);
+        let write = actix::spawn(write(handle, messages, sender, spread.clone()));
+        let read = actix::spawn(read(handle, receiver, spread.clone()));
+        let open = Connection {
             instance: peer.instance,
             incarnation: peer.incarnation,
             place: peer.place,
             dialed,
             opened: now,
-            heard: now,
-            out,
+            last_received: now,
+            queue,
             tasks: [write.abort_handle(), read.abort_handle()],
         };
-        self.open.insert(number, open);
-        Some(number)
+        self.open.insert(handle, open);
+        Some(handle)
     }
 
     /// Returns the link to a peer.
-    pub fn of(&self, instance: &str) -> Option<Line> {
-        let mut lines = self.open.iter();
-        let found = lines.find(|(_, open)| open.instance == instance);
-        found.map(|(line, _)| *line)
+    pub fn get(&self, instance: &str) -> Option<Handle> {
+        let mut links = self.open.iter();
+        let found = links.find(|(_, open)| open.instance == instance);
+        found.map(|(handle, _)| *handle)
     }
 
     /// Returns the peer and place at the other end, and notes that it was heard.
-    pub fn heard(&mut self, line: Line, now: Instant) -> Option<(id::Instance, Place)> {
-        let open = self.open.get_mut(&line)?;
-        open.heard = now;
+    pub fn record_received(
+        &mut self,
+        handle: Handle,
+        now: Instant,
+    ) -> Option<(id::Instance, Place)> {
+        let open = self.open.get_mut(&handle)?;
+        open.last_received = now;
         Some((open.instance.clone(), open.place.clone()))
     }
 
     /// Returns all links and their peers.
-    pub fn peers(&self) -> Vec<(Line, id::Instance, Place)> {
+    pub fn peers(&self) -> Vec<(Handle, id::Instance, Place)> {
         let peer =
-            |(line, open): (&Line, &Open)| (*line, open.instance.clone(), open.place.clone());
+            |(key, open): (&Handle, &Connection)| (*key, open.instance.clone(), open.place.clone());
         self.open.iter().map(peer).collect()
     }
 
     /// Sends a message; a link whose queue is full is closed.
-    pub fn send(&mut self, line: Line, message: Message) {
-        let Some(open) = self.open.get(&line) else {
+    pub fn send(&mut self, handle: Handle, message: Message) {
+        let Some(open) = self.open.get(&handle) else {
             return;
         };
-        if open.out.try_send(message).is_err() {
+        if open.queue.try_send(message).is_err() {
             tracing::info!(event = "link-slow", peer = open.instance);
-            self.open.swap_remove(&line);
+            self.open.swap_remove(&handle);
         }
     }
 
     /// Sends a message to every peer of a place.
     pub fn send_within(&mut self, place: &Place, message: &Message) {
-        for (line, _, at) in self.peers() {
+        for (handle, _, at) in self.peers() {
             if at == *place {
-                self.send(line, message.clone());
+                self.send(handle, message.clone());
             }
         }
     }
@@ -155,30 +159,30 @@
     }
 
     /// Closes a link.
-    pub fn close(&mut self, line: Line) {
-        self.open.swap_remove(&line);
+    pub fn close(&mut self, handle: Handle) {
+        self.open.swap_remove(&handle);
     }
 
     /// Returns the bounds on silence of an instance at a place.
     pub fn bounds(&self, place: &Place) -> Bounds {
-        self.settings.bounds(self.is_far(place))
+        self.settings.bounds(self.is_cross_region(place))
     }
 
     /// Tells whether a place is in another region.
-    pub fn is_far(&self, place: &Place) -> bool {
+    pub fn is_cross_region(&self, place: &Place) -> bool {
         place.region != self.region
     }
 
     /// Closes the links that have been silent for longer than anything can explain.
     pub fn close_silent(&mut self, now: Instant) {
-        let silent = |open: &Open| {
+        let silent = |open: &Connection| {
             let limit = self.bounds(&open.place).ceiling;
-            now.saturating_duration_since(open.heard) > limit
+            now.saturating_duration_since(open.last_received) > limit
         };
         let open = self.open.iter();
         let silent = open.filter(|(_, open)| silent(open));
-        for line in silent.map(|(line, _)| *line).collect::<Vec<_>>() {
-            self.open.swap_remove(&line);
+        for handle in silent.map(|(handle, _)| *handle).collect::<Vec<_>>() {
+            self.open.swap_remove(&handle);
         }
     }
 
@@ -187,7 +191,7 @@
     /// The other end may want an accepted one; it closes that itself.
     pub fn close_unwanted(&mut self, wanted: impl Fn(&str, &Place) -> bool, now: Instant) {
         self.open.retain(|_, open| {
-            let young = now.saturating_duration_since(open.opened) < GRACE;
+            let young = now.saturating_duration_since(open.opened) < MIN_LINK_AGE;
             !open.dialed || young || wanted(&open.instance, &open.place)
         });
     }
@@ -199,9 +203,9 @@
 
     /// Tells whether an open link gives way to a new one. Both ends come to the same verdict when
     /// they dial each other at once: the link dialled by the lower name stays.
-    fn gives_way(
+    fn is_replaceable(
         &self,
-        old: Line,
+        old: Handle,
         dialed: bool,
         incarnation: id::Incarnation,
         now: Instant,
@@ -209,8 +213,8 @@
         let Some(open) = self.open.get(&old) else {
             return true;
         };
-        let patience = self.bounds(&open.place).floor;
-        let silent = now.saturating_duration_since(open.heard) > patience;
+        let timeout = self.bounds(&open.place).floor;
+        let silent = now.saturating_duration_since(open.last_received) > timeout;
         if silent || open.incarnation != incarnation || open.dialed == dialed {
             return true;
         }
@@ -220,25 +224,25 @@
 }
 
 async fn write(
-    line: Line,
-    mut queue: mpsc::Receiver<Message>,
+    handle: Handle,
+    mut messages: mpsc::Receiver<Message>,
     mut sender: Sender,
     spread: Addr<Spread>,
 ) {
-    while let Some(message) = queue.recv().await {
+    while let Some(message) = messages.recv().await {
         if sender.send(Frame::Gossip(message)).await.is_err() {
             break;
         }
     }
-    spread.do_send(Closed(line));
+    spread.do_send(Closed(handle));
 }
 
-async fn read(line: Line, mut receiver: Receiver, spread: Addr<Spread>) {
+async fn read(handle: Handle, mut receiver: Receiver, spread: Addr<Spread>) {
     // Waiting for the actor bounds what a peer that sends without end can pile up here.
     while let Some(Ok(Frame::Gossip(message))) = receiver.next().await {
-        if spread.send(Received(line, message)).await.is_err() {
+        if spread.send(Received(handle, message)).await.is_err() {
             return;
         }
     }
-    spread.do_send(Closed(line));
+    spread.do_send(Closed(handle));
 }
--- a/crates/zinniastall-entry/src/spread/messages.rs
+++ b/crates/zinniastall-entry/src/spread/messages.rs
@@ -6,7 +6,7 @@
     link::{self, Link},
 };
 
-use super::lines::Line;
+use super::links::Handle;
 
 /// A link was accepted.
 #[derive(Debug, Message)]
@@ -26,12 +26,12 @@
 /// A message arrived on a link.
 #[derive(Debug, Message)]
 #[rtype(result = "()")]
-pub struct Received(pub Line, pub gossip::Message);
+pub struct Received(pub Handle, pub gossip::Message);
 
 /// A link broke.
 #[derive(Debug, Message)]
 #[rtype(result = "()")]
-pub struct Closed(pub Line);
+pub struct Closed(pub Handle);
 
 /// Targets changed some time ago and are to be published.
 #[derive(Debug, Message)]
@@ -41,7 +41,7 @@
 /// Facts arrived some time ago and are to be passed on.
 #[derive(Debug, Message)]
 #[rtype(result = "()")]
-pub struct PassOn;
+pub struct ForwardFacts;
 
 /// The instance stops: it closes its links.
 #[derive(Debug, Message)]
--- a/crates/zinniastall-entry/src/spread/mod.rs
+++ b/crates/zinniastall-entry/src/spread/mod.rs
@@ -8,34 +8,34 @@
 //! [`crate::targets::table`].
 
 pub mod actor;
-pub mod atlas;
-pub mod book;
+pub mod address_book;
 pub mod capacity;
 pub mod digests;
-pub mod lines;
+mod dissemination;
+pub mod forwarder;
+pub mod links;
 pub mod messages;
-mod passing;
 mod peers;
 pub mod renewals;
 pub mod settings;
 pub mod speaker;
+pub mod topology;
 pub mod traffic;
-pub mod ways;
 mod zone;
 
 use actix::{Actor, Addr};
 use zinniastall_wire::link::Link;
 
 use self::{
-    actor::{Spread, Surroundings},
+    actor::{Dependencies, Spread},
     messages::Linked,
 };
 use crate::{links::Acceptor, settings::Entry};
 
 /// Starts membership on the calling arbiter.
-pub fn start(settings: &Entry, around: Surroundings) -> Addr<Spread> {
+pub fn start(settings: &Entry, dependencies: Dependencies) -> Addr<Spread> {
     let seeds = settings.seeds.iter().map(ToString::to_string);
-    Spread::new(settings.spread, seeds, around).start()
+    Spread::new(settings.spread, seeds, dependencies).start()
 }
 
 /// Takes gossip links for the actor.
--- a/crates/zinniastall-entry/src/spread/peers.rs
+++ b/crates/zinniastall-entry/src/spread/peers.rs
@@ -10,7 +10,7 @@
     hello::Hello,
 };
 
-use super::{actor::Spread, lines::Line, settings::FAR};
+use super::{actor::Spread, links::Handle, settings::CROSS_REGION_PERIODS};
 use crate::{
     publish::{Peers, Raised},
     targets::table::millis,
@@ -18,12 +18,12 @@
 
 /// Most times that this run takes a higher number; two processes under one name would otherwise
 /// outbid each other for ever.
-const RAISES: u32 = 3;
+const MAX_RAISES: u32 = 3;
 
 impl Spread {
     /// Returns what this instance says of itself.
-    pub(super) fn own_word(&self, now: Instant) -> Peer {
-        let identity = &self.around.identity;
+    pub(super) fn own_peer(&self, now: Instant) -> Peer {
+        let identity = &self.dependencies.identity;
         let addresses = identity.addresses();
         let up = millis(now.saturating_duration_since(self.started));
         Peer {
@@ -33,8 +33,8 @@
             links: addresses.links.clone(),
             callers: addresses.callers.clone(),
             targets: addresses.targets.clone(),
-            draining: self.around.board.view().draining,
-            load: self.around.board.load(),
+            draining: self.dependencies.shared_view.view().draining,
+            load: self.dependencies.shared_view.load(),
             up_ms: up.min(gossip::UP),
         }
     }
@@ -43,60 +43,69 @@
     /// zones, and one of each other zone if the end is in another one. A zone's facts don't reach a
     /// second by a third, so that is how zones find each other.
     pub(super) fn introduction(&self, to: &Place, now: Instant) -> Vec<Peer> {
-        let own = self.around.identity.place();
-        let other = to != own;
+        let own = self.dependencies.identity.place();
+        let is_other_zone = to != own;
         let mut zones = IndexSet::new();
-        let told = |peer: &&Peer| {
+        let relevant = |peer: &&Peer| {
             let near = peer.place == *own || peer.place == *to;
-            near || (other && zones.insert(peer.place.clone()))
+            near || (is_other_zone && zones.insert(peer.place.clone()))
         };
-        let others = self.published.values().skip(1).filter(told).cloned();
-        std::iter::once(self.own_word(now)).chain(others).collect()
+        let others = self
+            .published_peers
+            .values()
+            .skip(1)
+            .filter(relevant)
+            .cloned();
+        std::iter::once(self.own_peer(now)).chain(others).collect()
     }
 
     /// Judges who answered at an address that was dialled. Whoever answers there owns it; a peer
     /// that was known there is gone.
-    pub(super) fn answers(&mut self, address: &str, peer: &Hello, now: Instant) -> bool {
-        if peer.instance == self.around.identity.instance() {
-            self.book.drop_seed(address);
+    pub(super) fn check_dialed(&mut self, address: &str, peer: &Hello, now: Instant) -> bool {
+        if peer.instance == self.dependencies.identity.instance() {
+            self.address_book.remove_seed(address);
             return false;
         }
-        self.book.place_seed(address, &peer.place);
-        if let Some(former) = self.book.at(address).cloned()
+        self.address_book.set_seed_place(address, &peer.place);
+        if let Some(former) = self.address_book.find_by_address(address).cloned()
             && former != peer.instance
         {
             tracing::info!(event = "address-reused", former, by = peer.instance);
-            self.book.forget(&former);
+            self.address_book.remove(&former);
             self.roster.forget(&former, now);
         }
         true
     }
 
-    pub(super) fn hear(
+    pub(super) fn handle_heartbeat(
         &mut self,
-        line: Line,
+        link: Handle,
         (peer, place): (&id::Instance, &Place),
         heartbeat: &Heartbeat,
         now: Instant,
     ) {
-        let bounds = self.lines.bounds(place);
+        let bounds = self.links.bounds(place);
         let heard = self.roster.hear_within(peer, heartbeat.beat, bounds, now);
         match heard {
-            Heard::Stale(known) => self.lines.send(line, gossip::Message::Stale(known)),
+            Heard::Stale(known) => self.links.send(link, gossip::Message::Stale(known)),
             Heard::Duplicate => {}
-            Heard::NewRun | Heard::Fresh => self.update((peer, place), heartbeat, now),
+            Heard::NewRun | Heard::Fresh => self.apply_heartbeat((peer, place), heartbeat, now),
         }
     }
 
-    fn update(
+    fn apply_heartbeat(
         &mut self,
         (instance, place): (&id::Instance, &Place),
         heartbeat: &Heartbeat,
         now: Instant,
     ) {
-        let periods = if self.lines.is_far(place) { FAR } else { 1 };
-        self.book.linked(instance, now);
-        let Some(peer) = self.book.sworn(instance) else {
+        let periods = if self.links.is_cross_region(place) {
+            CROSS_REGION_PERIODS
+        } else {
+            1
+        };
+        self.address_book.mark_linked(instance, now);
+        let Some(peer) = self.address_book.confirmed(instance) else {
             return;
         };
         peer.incarnation = heartbeat.beat.incarnation;
@@ -109,30 +118,30 @@
         }
     }
 
-    pub(super) fn raise(&mut self, remembered: id::Incarnation) {
+    pub(super) fn raise_incarnation(&mut self, remembered: id::Incarnation) {
         if remembered < self.roster.incarnation() {
             return;
         }
-        if self.raises == RAISES {
+        if self.raise_count == MAX_RAISES {
             tracing::error!(event = "duplicate-instance", incarnation = remembered);
             return;
         }
-        self.raises += 1;
+        self.raise_count += 1;
         self.roster.raise_incarnation(remembered);
         let raised = self.roster.incarnation();
-        self.around.identity.raise(raised);
+        self.dependencies.identity.raise_incarnation(raised);
         tracing::warn!(event = "incarnation-raised", remembered, raised);
-        self.around.publisher.do_send(Raised(raised));
+        self.dependencies.publisher.do_send(Raised(raised));
     }
 
-    pub(super) fn meet(&mut self, from: &str, peers: Vec<Peer>, now: Instant) {
+    pub(super) fn handle_peers(&mut self, from: &str, peers: Vec<Peer>, now: Instant) {
         for peer in peers {
             if peer.instance != from {
-                self.atlas.hearsay(&peer, now);
-                self.book.hearsay(peer, now);
+                self.topology.report(&peer, now);
+                self.address_book.report(peer, now);
                 continue;
             }
-            if let Some(former) = self.book.swear(peer, now) {
+            if let Some(former) = self.address_book.confirm(peer, now) {
                 tracing::info!(event = "address-reused", former, by = from);
                 self.roster.forget(&former, now);
             }
@@ -142,62 +151,63 @@
     /// Publishes this instance, the peers that are alive by their own evidence, and the doors of
     /// zones that are heard of.
     pub(super) fn publish_peers(&mut self, now: Instant) {
-        let own = self.own_word(now);
+        let own = self.own_peer(now);
         let mut peers = IndexMap::from([(own.instance.clone(), own)]);
         for instance in self.roster.alive(now) {
-            if let Some(peer) = self.book.sworn(instance) {
+            if let Some(peer) = self.address_book.confirmed(instance) {
                 peers.insert(instance.clone(), peer.clone());
             }
         }
-        let doors = self.digests.doors(now);
-        for door in doors.iter().flat_map(|(_, doors)| doors) {
-            if !peers.contains_key(&door.instance) {
-                peers.insert(door.instance.clone(), door.clone());
+        let contacts = self.digests.contacts(now);
+        for contact in contacts.iter().flat_map(|(_, contacts)| contacts) {
+            if !peers.contains_key(&contact.instance) {
+                peers.insert(contact.instance.clone(), contact.clone());
             }
         }
-        self.atlas.update(doors, now);
-        if peers != *self.published {
-            self.introduce(&peers);
-            self.published = Arc::new(peers);
-            let message = Peers(Arc::clone(&self.published));
-            self.around.publisher.do_send(message);
+        self.topology.update(contacts, now);
+        if peers != *self.published_peers {
+            self.announce_new_peers(&peers);
+            self.published_peers = Arc::new(peers);
+            let message = Peers(Arc::clone(&self.published_peers));
+            self.dependencies.publisher.do_send(message);
         }
     }
 
     /// Tells the zone of its instances that are newly alive, so that those that haven't met dial
     /// each other.
-    fn introduce(&mut self, peers: &IndexMap<id::Instance, Peer>) {
-        let new = |peer: &&Peer| !self.published.contains_key(&peer.instance);
+    fn announce_new_peers(&mut self, peers: &IndexMap<id::Instance, Peer>) {
+        let new = |peer: &&Peer| !self.published_peers.contains_key(&peer.instance);
         for peer in peers.values().filter(new) {
             tracing::info!(event = "peer-alive", peer = peer.instance, place = %peer.place);
         }
-        for lost in self.published.keys() {
+        for lost in self.published_peers.keys() {
             if !peers.contains_key(lost) {
                 tracing::info!(event = "peer-lost", peer = lost);
             }
         }
-        let identity = &self.around.identity;
+        let identity = &self.dependencies.identity;
         let place = identity.place().clone();
         let near = |peer: &&Peer| peer.place == place && peer.instance != identity.instance();
-        let met: Vec<Peer> = peers.values().filter(new).filter(near).cloned().collect();
-        let known = self.published.values().map(|peer| peer.place.clone());
+        let new_neighbors: Vec<Peer> = peers.values().filter(new).filter(near).cloned().collect();
+        let known = self.published_peers.values().map(|peer| peer.place.clone());
         let mut known: IndexSet<Place> = known.collect();
         let first = |peer: &&Peer| known.insert(peer.place.clone());
         let zones: Vec<Peer> = peers.values().filter(first).cloned().collect();
-        if !met.is_empty() {
-            self.lines.send_within(&place, &gossip::Message::Peers(met));
+        if !new_neighbors.is_empty() {
+            self.links
+                .send_within(&place, &gossip::Message::Peers(new_neighbors));
         }
-        self.introduce_zones(&place, &zones);
+        self.announce_zones(&place, &zones);
     }
 
     /// Tells other zones of zones that are newly heard of, so that they look for each other.
-    fn introduce_zones(&mut self, own: &Place, zones: &[Peer]) {
-        for (line, _, place) in self.lines.peers() {
+    fn announce_zones(&mut self, own: &Place, zones: &[Peer]) {
+        for (link, _, place) in self.links.peers() {
             if place == *own || zones.is_empty() {
                 continue;
             }
             let zones = zones.to_vec();
-            self.lines.send(line, gossip::Message::Peers(zones));
+            self.links.send(link, gossip::Message::Peers(zones));
         }
     }
 }
--- a/crates/zinniastall-entry/src/spread/renewals.rs
+++ b/crates/zinniastall-entry/src/spread/renewals.rs
@@ -6,19 +6,19 @@
 use zinniastall_model::id;
 use zinniastall_wire::gossip::{self, Load};
 
-use crate::targets::{body::PREFIXES, table::Table};
+use crate::targets::{body::MAX_PREFIXES, table::Table};
 
 /// Bytes of one prefix on the wire.
-const PREFIX: u64 = 9;
+const PREFIX_BYTES: u64 = 9;
 
 /// Renewals that wait to be sent; a later one of the same target takes the place of the earlier.
 #[derive(Debug, Default)]
 pub struct Renewals {
-    waiting: IndexMap<id::Target, Waiting>,
+    pending: IndexMap<id::Target, Pending>,
 }
 
 #[derive(Debug, Default)]
-struct Waiting {
+struct Pending {
     renewed: bool,
     added: Vec<u64>,
 }
@@ -26,36 +26,36 @@
 impl Renewals {
     /// Adds a renewal and the prefixes that are new in it.
     pub fn add(&mut self, target: &str, added: &[u64]) {
-        let waiting = self.waiting.entry(target.to_owned()).or_default();
-        waiting.renewed = true;
-        waiting.added.extend_from_slice(added);
-        let over = waiting.added.len().saturating_sub(PREFIXES);
-        waiting.added.drain(..over);
+        let pending = self.pending.entry(target.to_owned()).or_default();
+        pending.renewed = true;
+        pending.added.extend_from_slice(added);
+        let excess = pending.added.len().saturating_sub(MAX_PREFIXES);
+        pending.added.drain(..excess);
     }
 
     /// Drops a target's renewal, because its whole report goes out.
-    pub fn drop(&mut self, target: &str) {
-        self.waiting.swap_remove(target);
+    pub fn remove(&mut self, target: &str) {
+        self.pending.swap_remove(target);
     }
 
     /// Takes all renewals, with each lease's time left as of now. Prefixes go along as far as
     /// `bytes` allows; the others wait, since a cache known late costs less than a lease.
     pub fn take(&mut self, table: &Table, bytes: u64, now: Instant) -> Vec<Load> {
-        let mut left = bytes / PREFIX;
+        let mut left = bytes / PREFIX_BYTES;
         let mut loads = Vec::new();
-        for (target, waiting) in &mut self.waiting {
-            let count = waiting
+        for (target, pending) in &mut self.pending {
+            let count = pending
                 .added
                 .len()
                 .min(usize::try_from(left).unwrap_or(usize::MAX));
             left -= count as u64;
-            let added = waiting.added.drain(..count).collect();
-            let renewed = std::mem::take(&mut waiting.renewed);
+            let added = pending.added.drain(..count).collect();
+            let renewed = std::mem::take(&mut pending.renewed);
             if renewed || count > 0 {
                 loads.extend(table.load(target, added, now));
             }
         }
-        self.waiting.retain(|_, waiting| !waiting.added.is_empty());
+        self.pending.retain(|_, pending| !pending.added.is_empty());
         loads
     }
 }
@@ -63,7 +63,10 @@
 /// Returns the prefixes by which a target's list grew, or `None` when it changed in another way.
 ///
 /// The list is bounded and has the newest last, so growth may push out the oldest.
-pub fn grown<'a>(before: &gossip::Target, after: &'a gossip::Target) -> Option<&'a [u64]> {
+pub fn appended_prefixes<'a>(
+    before: &gossip::Target,
+    after: &'a gossip::Target,
+) -> Option<&'a [u64]> {
     let (old, new) = (&before.prefixes, &after.prefixes);
     if old.is_empty() {
         return Some(new);
--- a/crates/zinniastall-entry/src/spread/settings.rs
+++ b/crates/zinniastall-entry/src/spread/settings.rs
@@ -9,7 +9,7 @@
 ///
 /// A link between regions is slow and few things hang on it: what is known of another region by its
 /// facts ages out after five intervals anyway.
-pub const FAR: u32 = 3;
+pub const CROSS_REGION_PERIODS: u32 = 3;
 
 /// Settings of membership, targets' leases and digests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -24,7 +24,7 @@
     pub lease: Duration,
     /// Time between two words of a zone that its digests still hold; one that is late by five of
     /// them counts as unknown.
-    pub digest: Duration,
+    pub digest_interval: Duration,
     /// Bytes a second that gossip may send; what can wait gives way to what can't.
     pub bytes_per_second: u32,
 }
@@ -37,30 +37,34 @@
             floor: reader.millis("floor_ms", 150..=60_000, 1_500),
             ceiling: reader.millis("ceiling_ms", 500..=120_000, 6_000),
             lease: reader.millis("lease_ms", 500..=60_000, 3_000),
-            digest: reader.millis("digest_ms", 100..=60_000, 2_000),
-            bytes_per_second: bytes(reader.number("bytes_per_second", 1_000..=10_000_000, 17_000)),
+            digest_interval: reader.millis("digest_ms", 100..=60_000, 2_000),
+            bytes_per_second: saturate(reader.number(
+                "bytes_per_second",
+                1_000..=10_000_000,
+                17_000,
+            )),
         }
     }
 
     /// Returns when a target is to announce again: in time for two lost attempts.
-    pub fn renew(&self) -> Duration {
+    pub fn renewal_interval(&self) -> Duration {
         self.lease / 3
     }
 
     /// Returns the bounds on silence of an instance of the own region, or of another one.
-    pub fn bounds(&self, far: bool) -> membership::Bounds {
-        let own = self.membership();
-        if !far {
+    pub fn bounds(&self, cross_region: bool) -> membership::Bounds {
+        let local = self.membership();
+        if !cross_region {
             return membership::Bounds {
-                floor: own.floor,
-                ceiling: own.ceiling,
+                floor: local.floor,
+                ceiling: local.ceiling,
             };
         }
         // Facts are believed for five intervals; the peer that carries them needn't be lost sooner.
-        let floor = own.floor.max(own.period * 3) * FAR;
+        let floor = local.floor.max(local.period * 3) * CROSS_REGION_PERIODS;
         membership::Bounds {
             floor,
-            ceiling: own.ceiling.max(self.digest * 5).max(floor),
+            ceiling: local.ceiling.max(self.digest_interval * 5).max(floor),
         }
     }
 
@@ -77,6 +81,6 @@
 }
 
 /// Converts a checked number; its range keeps it within 32 bits.
-fn bytes(number: u64) -> u32 {
+fn saturate(number: u64) -> u32 {
     u32::try_from(number).unwrap_or(u32::MAX)
 }
--- a/crates/zinniastall-entry/src/spread/atlas.rs
+++ b/crates/zinniastall-entry/src/spread/topology.rs
@@ -13,28 +13,28 @@
 use zinniastall_wire::gossip::Peer;
 
 /// Most zones remembered.
-const ZONES: usize = 1_024;
+const MAX_ZONES: usize = 1_024;
 /// How long the doors of a zone that is cut off are remembered, for when it comes back.
-const MEMORY: Duration = Duration::from_hours(2);
+const RETENTION: Duration = Duration::from_hours(2);
 /// How long one door of a silent zone is tried before the next.
-const TURN: u64 = 4;
+const ROTATION_SECS: u64 = 4;
 
 #[derive(Debug)]
 struct Zone {
-    doors: Vec<Peer>,
-    seen: Instant,
+    contacts: Vec<Peer>,
+    last_heard: Instant,
     fresh: bool,
 }
 
 /// Doors of other zones, also of those that are silent.
 #[derive(Debug)]
-pub struct Atlas {
+pub struct Topology {
     own: Place,
     started: Instant,
     zones: IndexMap<Place, Zone>,
 }
 
-impl Atlas {
+impl Topology {
     /// Creates an empty atlas.
     pub fn new(own: Place, now: Instant) -> Self {
         Self {
@@ -54,15 +54,15 @@
             }
         }
         self.zones
-            .retain(|_, zone| now.saturating_duration_since(zone.seen) <= MEMORY);
-        for (place, doors) in known {
-            if !self.hears(&place) {
+            .retain(|_, zone| now.saturating_duration_since(zone.last_heard) <= RETENTION);
+        for (place, contacts) in known {
+            if !self.is_fresh(&place) {
                 tracing::info!(event = "zone-heard", place = %place);
             }
-            if self.zones.len() < ZONES || self.zones.contains_key(&place) {
+            if self.zones.len() < MAX_ZONES || self.zones.contains_key(&place) {
                 let zone = Zone {
-                    doors,
-                    seen: now,
+                    contacts,
+                    last_heard: now,
                     fresh: true,
                 };
                 self.zones.insert(place, zone);
@@ -71,12 +71,12 @@
     }
 
     /// Takes note of a zone that another one has named; it is tried as a silent one is.
-    pub fn hearsay(&mut self, peer: &Peer, now: Instant) {
+    pub fn report(&mut self, peer: &Peer, now: Instant) {
         let known = self.zones.contains_key(&peer.place) || peer.place == self.own;
-        if !known && self.zones.len() < ZONES {
+        if !known && self.zones.len() < MAX_ZONES {
             let zone = Zone {
-                doors: vec![peer.clone()],
-                seen: now,
+                contacts: vec![peer.clone()],
+                last_heard: now,
                 fresh: false,
             };
             self.zones.insert(peer.place.clone(), zone);
@@ -84,29 +84,29 @@
     }
 
     /// Tells whether something is heard of a zone.
-    pub fn hears(&self, place: &Place) -> bool {
+    pub fn is_fresh(&self, place: &Place) -> bool {
         self.zones.get(place).is_some_and(|zone| zone.fresh)
     }
 
     /// Returns the peers that a speaker of this rank links to.
     pub fn wanted(&self, rank: usize, now: Instant) -> Vec<Peer> {
-        let places = self.places();
-        let turn = now.saturating_duration_since(self.started).as_secs() / TURN;
-        let pick = |place: &Place| self.pick(place, rank, turn);
+        let places = self.wanted_places();
+        let rotation = now.saturating_duration_since(self.started).as_secs() / ROTATION_SECS;
+        let pick = |place: &Place| self.pick(place, rank, rotation);
         places.iter().filter_map(pick).collect()
     }
 
-    fn pick(&self, place: &Place, rank: usize, turn: u64) -> Option<Peer> {
+    fn pick(&self, place: &Place, rank: usize, rotation: u64) -> Option<Peer> {
         let zone = self.zones.get(place)?;
         if zone.fresh {
-            return overlay::counterpart(rank, &zone.doors).cloned();
+            return overlay::counterpart(rank, &zone.contacts).cloned();
         }
-        let turns = usize::try_from(turn).unwrap_or_default();
-        let at = (rank + turns).checked_rem(zone.doors.len())?;
-        zone.doors.get(at).cloned()
+        let rotations = usize::try_from(rotation).unwrap_or_default();
+        let index = (rank + rotations).checked_rem(zone.contacts.len())?;
+        zone.contacts.get(index).cloned()
     }
 
-    fn places(&self) -> IndexSet<Place> {
+    fn wanted_places(&self) -> IndexSet<Place> {
         let mut places = IndexSet::new();
         let mut first: IndexMap<&id::Region, &Place> = IndexMap::new();
         for (place, zone) in &self.zones {
--- a/crates/zinniastall-entry/src/spread/traffic.rs
+++ b/crates/zinniastall-entry/src/spread/traffic.rs
@@ -7,7 +7,7 @@
 
 /// Bytes that the transport adds to a message: WebSocket, TCP and IP headers, and its share of an
 /// acknowledgement.
-const OVERHEAD: u64 = 70;
+const TRANSPORT_OVERHEAD_BYTES: u64 = 70;
 
 /// Names of one purpose's figures.
 #[derive(Debug)]
@@ -59,7 +59,7 @@
             let since = count.since(std::mem::replace(counted, count));
             names.record(since, recorder);
             if names.purpose == Purpose::Gossip {
-                gossip = since.sent_bytes + since.sent_messages * OVERHEAD;
+                gossip = since.sent_bytes + since.sent_messages * TRANSPORT_OVERHEAD_BYTES;
             }
         }
         gossip
@@ -68,13 +68,13 @@
 
 impl Names {
     fn record(&self, count: Count, recorder: &Recorder) {
-        let figures = [
+        let metrics = [
             (self.sent_bytes, count.sent_bytes),
             (self.sent_messages, count.sent_messages),
             (self.received_bytes, count.received_bytes),
             (self.received_messages, count.received_messages),
         ];
-        for (name, amount) in figures {
+        for (name, amount) in metrics {
             if amount > 0 {
                 recorder.count(name, i64::try_from(amount).unwrap_or(i64::MAX));
             }
--- a/crates/zinniastall-entry/src/spread/zone.rs
+++ b/crates/zinniastall-entry/src/spread/zone.rs
@@ -6,13 +6,13 @@
 use zinniastall_model::{id, place::Place};
 use zinniastall_wire::gossip::{self, Load, Peer};
 
-use super::{actor::Spread, renewals::grown};
+use super::{actor::Spread, renewals::appended_prefixes};
 use crate::{
     publish::Targets,
     targets::{
         body::{Lease, Leave},
         problem::Problem,
-        table::{Taken, millis},
+        table::{Change, millis},
     },
     view,
 };
@@ -26,109 +26,118 @@
     ) -> Result<Lease, Problem> {
         report.left_ms = millis(self.settings.lease);
         let before = self.targets.report(&report.target, now);
-        let added = before.as_ref().and_then(|before| grown(before, &report));
+        let added = before
+            .as_ref()
+            .and_then(|before| appended_prefixes(before, &report));
         let added = added.map(<[u64]>::to_vec);
         let target = report.target.clone();
-        let taken = self.targets.take(report, now)?;
-        match (taken, added) {
-            (Taken::Old, _) => {}
-            (Taken::Load, Some(added)) => {
+        let change = self.targets.apply(report, now)?;
+        match (change, added) {
+            (Change::Unchanged, _) => {}
+            (Change::Load, Some(added)) => {
                 self.renewals.add(&target, &added);
-                self.publishing = true;
+                self.publish_pending = true;
             }
-            _ => self.tell(&target, now),
+            _ => self.broadcast_report(&target, now),
         }
-        Ok(self.granted())
+        Ok(self.lease_response())
     }
 
     /// Notes that a target leaves and spreads it at once.
     pub(super) fn leave(&mut self, leave: &Leave, now: Instant) -> Result<(), Problem> {
         let left = self.targets.leave(&leave.target, leave.incarnation)?;
         if left.is_some() {
-            self.tell(&leave.target, now);
+            self.broadcast_report(&leave.target, now);
         }
         Ok(())
     }
 
     /// Takes whole reports in from an instance of the zone.
-    pub(super) fn take(&mut self, place: &Place, reports: Vec<gossip::Target>, now: Instant) {
-        if place != self.around.identity.place() {
+    pub(super) fn apply_reports(
+        &mut self,
+        place: &Place,
+        reports: Vec<gossip::Target>,
+        now: Instant,
+    ) {
+        if place != self.dependencies.identity.place() {
             return;
         }
-        let news = |report| self.targets.take(report, now).unwrap_or(Taken::Old);
-        let most = reports.into_iter().map(news).max();
-        self.note(most, now);
+        let apply = |report| self.targets.apply(report, now).unwrap_or(Change::Unchanged);
+        let change = reports.into_iter().map(apply).max();
+        self.schedule_publish(change, now);
     }
 
     /// Takes renewals in from an instance of the zone.
-    pub(super) fn renew(&mut self, place: &Place, loads: &[Load], now: Instant) {
-        if place != self.around.identity.place() {
+    pub(super) fn apply_renewals(&mut self, place: &Place, loads: &[Load], now: Instant) {
+        if place != self.dependencies.identity.place() {
             return;
         }
-        let news = |load| self.targets.renew(load, now).unwrap_or(Taken::Old);
-        let most = loads.iter().map(news).max();
-        self.note(most, now);
+        let apply = |load| self.targets.renew(load, now).unwrap_or(Change::Unchanged);
+        let change = loads.iter().map(apply).max();
+        self.schedule_publish(change, now);
     }
 
-    fn note(&mut self, most: Option<Taken>, now: Instant) {
-        match most {
-            Some(Taken::Kept) => self.publish_targets(now),
-            Some(Taken::Load) => self.publishing = true,
+    fn schedule_publish(&mut self, change: Option<Change>, now: Instant) {
+        match change {
+            Some(Change::Targets) => self.publish_targets(now),
+            Some(Change::Load) => self.publish_pending = true,
             _ => {}
         }
     }
 
     /// Takes the renewals of the last period, for all of the zone.
-    pub(super) fn loads(&mut self, now: Instant) -> Vec<Load> {
-        let bytes = self.bucket.available(now) / (self.lines.count().max(1) as u64);
+    pub(super) fn take_renewals(&mut self, now: Instant) -> Vec<Load> {
+        let bytes = self.bucket.available(now) / (self.links.count().max(1) as u64);
         self.renewals.take(&self.targets, bytes, now)
     }
 
     /// Spreads a target's whole report at once and publishes it.
-    fn tell(&mut self, target: &str, now: Instant) {
-        self.renewals.drop(target);
+    fn broadcast_report(&mut self, target: &str, now: Instant) {
+        self.renewals.remove(target);
         if let Some(report) = self.targets.report(target, now) {
-            self.tell_zone(&gossip::Message::Targets(vec![report]));
+            self.send_to_zone(&gossip::Message::Targets(vec![report]));
         }
         self.publish_targets(now);
     }
 
-    fn tell_zone(&mut self, message: &gossip::Message) {
-        let place = self.around.identity.place().clone();
-        self.lines.send_within(&place, message);
+    fn send_to_zone(&mut self, message: &gossip::Message) {
+        let place = self.dependencies.identity.place().clone();
+        self.links.send_within(&place, message);
     }
 
-    fn granted(&self) -> Lease {
-        let identity = &self.around.identity;
+    fn lease_response(&self) -> Lease {
+        let identity = &self.dependencies.identity;
         let own = std::iter::once(identity.addresses().targets.clone());
         let near = |peer: &&Peer| peer.place == *identity.place() && !peer.draining;
-        let others = self.published.values().skip(1).filter(near);
+        let others = self.published_peers.values().skip(1).filter(near);
         Lease {
             lease_ms: millis(self.settings.lease),
-            renew_ms: millis(self.settings.renew()),
+            renew_ms: millis(self.settings.renewal_interval()),
             instances: own.chain(others.map(|peer| peer.targets.clone())).collect(),
         }
     }
 
     /// Publishes the targets that may get work.
     pub(super) fn publish_targets(&mut self, now: Instant) {
-        self.publishing = false;
+        self.publish_pending = false;
         let targets = self.targets.serving(now);
         let run = |(name, target): (&id::Target, &view::Target)| {
             (name.clone(), target.report.incarnation)
         };
         let serving: IndexMap<_, _> = targets.iter().map(run).collect();
         for (target, incarnation) in &serving {
-            if self.serving.get(target) != Some(incarnation) {
+            if self.published_targets.get(target) != Some(incarnation) {
                 tracing::info!(event = "target-serving", target, incarnation);
             }
         }
-        for (target, incarnation) in &self.serving {
+        for (target, incarnation) in &self.published_targets {
             if !serving.contains_key(target) {
                 tracing::info!(event = "target-gone", target, incarnation);
             }
         }
-        self.serving = serving;
-        self.around.publisher.do_send(Targets(Arc::new(targets)));
+        self.published_targets = serving;
+        self.dependencies
+            .publisher
+            .do_send(Targets(Arc::new(targets)));
     }
 }
--- a/crates/zinniastall-entry/src/targets/body.rs
+++ b/crates/zinniastall-entry/src/targets/body.rs
@@ -9,17 +9,17 @@
 use super::problem::Problem;
 
 /// Longest body, in bytes.
-pub const BODY: usize = 64 * 1024;
+pub const MAX_BODY_BYTES: usize = 64 * 1024;
 /// Longest name, version, kind or role, in bytes.
-const NAME: usize = 64;
+const MAX_NAME_BYTES: usize = 64;
 /// Most models and services of one target.
-const SERVES: usize = 64;
+const MAX_SERVED: usize = 64;
 /// Most adapters of one model.
-const ADAPTERS: usize = 64;
+const MAX_ADAPTERS: usize = 64;
 /// Most slots of one target.
-const SLOTS: u32 = 65_536;
+const MAX_SLOTS: u32 = 65_536;
 /// Most prefixes kept of one target; the newest stay.
-pub const PREFIXES: usize = 256;
+pub const MAX_PREFIXES: usize = 256;
 
 /// Body of an announcement.
 #[derive(Debug, Deserialize)]
@@ -85,12 +85,12 @@
     ///
     /// Names the first field that is out of bounds.
     pub fn check(self, place: &Place) -> Result<gossip::Target, Problem> {
-        name("target", &self.target)?;
-        name("kind", &self.kind)?;
-        name("role", &self.role)?;
-        within("slots", (1..=SLOTS).contains(&self.slots))?;
-        within("price", self.price.is_finite() && self.price >= 0.0)?;
-        within("serves", (1..=SERVES).contains(&self.serves.len()))?;
+        check_name("target", &self.target)?;
+        check_name("kind", &self.kind)?;
+        check_name("role", &self.role)?;
+        ensure("slots", (1..=MAX_SLOTS).contains(&self.slots))?;
+        ensure("price", self.price.is_finite() && self.price >= 0.0)?;
+        ensure("serves", (1..=MAX_SERVED).contains(&self.serves.len()))?;
         let serves = self.serves.into_iter().map(Serves::check);
         Ok(gossip::Target {
             serves: serves.collect::<Result<_, _>>()?,
@@ -119,11 +119,11 @@
             (None, Some(service)) => Subject::Service(service),
             _ => return Err(Problem::Field("serves")),
         };
-        name("serves", subject.name())?;
-        within("version", self.version.len() <= NAME)?;
-        within("adapters", self.adapters.len() <= ADAPTERS)?;
+        check_name("serves", subject.name())?;
+        ensure("version", self.version.len() <= MAX_NAME_BYTES)?;
+        ensure("adapters", self.adapters.len() <= MAX_ADAPTERS)?;
         for adapter in &self.adapters {
-            name("adapters", adapter)?;
+            check_name("adapters", adapter)?;
         }
         Ok(gossip::Serving {
             subject,
@@ -135,8 +135,8 @@
 
 impl Cache {
     fn check(&self) -> Result<Vec<u64>, Problem> {
-        let newest = &self.prefixes[self.prefixes.len().saturating_sub(PREFIXES)..];
-        newest.iter().map(|text| prefix(text)).collect()
+        let newest = &self.prefixes[self.prefixes.len().saturating_sub(MAX_PREFIXES)..];
+        newest.iter().map(|text| parse_prefix(text)).collect()
     }
 }
 
@@ -147,23 +147,23 @@
     ///
     /// Fails when the target's name is out of bounds.
     pub fn check(self) -> Result<Self, Problem> {
-        name("target", &self.target)?;
+        check_name("target", &self.target)?;
         Ok(self)
     }
 }
 
-fn prefix(text: &str) -> Result<u64, Problem> {
-    within("cache.prefixes", text.len() == 16)?;
+fn parse_prefix(text: &str) -> Result<u64, Problem> {
+    ensure("cache.prefixes", text.len() == 16)?;
     u64::from_str_radix(text, 16).map_err(|_| Problem::Field("cache.prefixes"))
 }
 
-fn name(field: &'static str, value: &str) -> Result<(), Problem> {
+fn check_name(field: &'static str, value: &str) -> Result<(), Problem> {
     let permitted = |c: char| c.is_ascii_alphanumeric() || "._-/:@".contains(c);
-    let fits = (1..=NAME).contains(&value.len());
-    within(field, fits && value.chars().all(permitted))
+    let fits = (1..=MAX_NAME_BYTES).contains(&value.len());
+    ensure(field, fits && value.chars().all(permitted))
 }
 
-const fn within(field: &'static str, holds: bool) -> Result<(), Problem> {
+const fn ensure(field: &'static str, holds: bool) -> Result<(), Problem> {
     if holds {
         Ok(())
     } else {
--- a/crates/zinniastall-entry/src/targets/mod.rs
+++ b/crates/zinniastall-entry/src/targets/mod.rs
@@ -19,7 +19,7 @@
 };
 
 /// Most connections of targets at once; a zone has a few hundred targets.
-pub const CONNECTIONS: usize = 4_096;
+pub const MAX_CONNECTIONS: usize = 4_096;
 
 /// A checked announcement on its way to the owner of the table.
 #[derive(Debug, Message)]
@@ -33,7 +33,7 @@
 
 /// Where the handlers find the owner of the table.
 #[derive(Debug, Clone)]
-pub struct Desk {
+pub struct Registry {
     /// Place that announcements are for.
     pub place: Place,
     /// Takes announcements.
@@ -43,15 +43,15 @@
 }
 
 /// Adds the targets' paths to an application.
-pub fn configure(desk: Desk) -> impl FnOnce(&mut web::ServiceConfig) {
+pub fn configure(registry: Registry) -> impl FnOnce(&mut web::ServiceConfig) {
     move |config| {
         let json = web::JsonConfig::default()
-            .limit(body::BODY)
+            .limit(body::MAX_BODY_BYTES)
             .content_type_required(false)
             .error_handler(|error, _| malformed(&error).into());
         config
             .app_data(json)
-            .app_data(web::Data::new(desk))
+            .app_data(web::Data::new(registry))
             .route("/v1/targets/announce", web::post().to(announce))
             .route("/v1/targets/leave", web::post().to(leave))
             .default_service(web::to(unknown));
@@ -59,17 +59,20 @@
 }
 
 async fn announce(
-    desk: web::Data<Desk>,
+    registry: web::Data<Registry>,
     body: web::Json<Announce>,
 ) -> Result<HttpResponse, Problem> {
-    let report = body.into_inner().check(&desk.place)?;
-    let lease = desk.announced.send(Announced(report)).await;
+    let report = body.into_inner().check(&registry.place)?;
+    let lease = registry.announced.send(Announced(report)).await;
     Ok(HttpResponse::Ok().json(lease.map_err(busy)??))
 }
 
-async fn leave(desk: web::Data<Desk>, body: web::Json<Leave>) -> Result<HttpResponse, Problem> {
+async fn leave(
+    registry: web::Data<Registry>,
+    body: web::Json<Leave>,
+) -> Result<HttpResponse, Problem> {
     let leave = body.into_inner().check()?;
-    desk.left.send(Left(leave)).await.map_err(busy)??;
+    registry.left.send(Left(leave)).await.map_err(busy)??;
     Ok(HttpResponse::Ok().json(serde_json::json!({})))
 }
 
--- a/crates/zinniastall-entry/src/targets/table.rs
+++ b/crates/zinniastall-entry/src/targets/table.rs
@@ -6,29 +6,29 @@
 use zinniastall_model::id;
 use zinniastall_wire::gossip::{self, Load};
 
-use super::{body::PREFIXES, problem::Problem};
+use super::{body::MAX_PREFIXES, problem::Problem};
 use crate::view;
 
 /// Most targets held; a target that invents names must not make the process grow.
-const TARGETS: usize = 4096;
+const MAX_TARGETS: usize = 4096;
 /// How long the run of a target is remembered after its lease. A late report of it would otherwise
 /// bring it back.
-const MEMORY: Duration = Duration::from_secs(30);
+const RETENTION: Duration = Duration::from_secs(30);
 
 /// What a report changed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Taken {
+pub enum Change {
     /// Nothing: it is doubled or late.
-    Old,
+    Unchanged,
     /// Load, lease or cached prefixes.
     Load,
     /// Which targets there are and what they serve.
-    Kept,
+    Targets,
 }
 
 /// A target's newest report.
 #[derive(Debug, Clone)]
-struct Held {
+struct Entry {
     report: gossip::Target,
     tag: u64,
     heard: Instant,
@@ -43,7 +43,7 @@
 #[derive(Debug)]
 pub struct Table {
     lease: Duration,
-    held: IndexMap<id::Target, Held>,
+    entries: IndexMap<id::Target, Entry>,
     tags: IndexMap<u64, id::Target>,
 }
 
@@ -52,7 +52,7 @@
     pub fn new(lease: Duration) -> Self {
         Self {
             lease,
-            held: IndexMap::new(),
+            entries: IndexMap::new(),
             tags: IndexMap::new(),
         }
     }
@@ -62,12 +62,12 @@
     /// # Errors
     ///
     /// [`Problem::Stale`] for an earlier run, [`Problem::Full`] for a new target beyond the bound.
-    pub fn take(&mut self, report: gossip::Target, now: Instant) -> Result<Taken, Problem> {
-        let Some(held) = self.held.get(&report.target) else {
-            if self.held.len() >= TARGETS {
+    pub fn apply(&mut self, report: gossip::Target, now: Instant) -> Result<Change, Problem> {
+        let Some(held) = self.entries.get(&report.target) else {
+            if self.entries.len() >= MAX_TARGETS {
                 return Err(Problem::Full);
             }
-            return Ok(self.put(report, now, false));
+            return Ok(self.insert(report, now, false));
         };
         if report.incarnation < held.report.incarnation {
             return Err(Problem::Stale(held.report.incarnation));
@@ -76,35 +76,39 @@
         let late = report.sequence <= held.report.sequence;
         let leaves = report.leaving && !held.left;
         if same_run && late && !leaves {
-            return Ok(Taken::Old);
+            return Ok(Change::Unchanged);
         }
         // Two instances may report one run out of order. Once it leaves it takes no new work, even
         // if an announcement that was made before arrives by another way.
         let left = same_run && held.left;
-        Ok(self.put(report, now, left))
+        Ok(self.insert(report, now, left))
     }
 
     /// Takes a renewal in; `None` when the whole report it renews isn't held.
-    pub fn renew(&mut self, load: &Load, now: Instant) -> Option<Taken> {
+    pub fn renew(&mut self, load: &Load, now: Instant) -> Option<Change> {
         let target = self.tags.get(&load.tag)?;
         let held = self
-            .held
+            .entries
             .get_mut(target)
             .filter(|held| held.tag == load.tag)?;
         let late = load.sequence <= held.report.sequence;
         if late && load.added.is_empty() {
-            return Some(Taken::Old);
+            return Some(Change::Unchanged);
         }
         append(&mut held.report.prefixes, &load.added);
         if late {
-            return Some(Taken::Load);
+            return Some(Change::Load);
         }
-        let lapsed = held.until <= now;
+        let expired = held.until <= now;
         held.report.sequence = load.sequence;
         held.report.busy = load.busy;
         held.heard = now;
         held.until = now + self.lease.min(Duration::from_millis(load.left_ms));
-        Some(if lapsed { Taken::Kept } else { Taken::Load })
+        Some(if expired {
+            Change::Targets
+        } else {
+            Change::Load
+        })
     }
 
     /// Notes that a target leaves; `None` when this run of it isn't known or has left before.
@@ -117,7 +121,7 @@
         target: &str,
         incarnation: id::Incarnation,
     ) -> Result<Option<gossip::Target>, Problem> {
-        let Some(held) = self.held.get_mut(target) else {
+        let Some(held) = self.entries.get_mut(target) else {
             return Ok(None);
         };
         let known = held.report.incarnation;
@@ -134,8 +138,8 @@
 
     /// Returns the targets that may get work: their lease runs and they aren't leaving.
     pub fn serving(&self, now: Instant) -> IndexMap<id::Target, view::Target> {
-        let serves = |held: &&Held| !held.left && held.until > now;
-        let entry = |held: &Held| {
+        let serves = |held: &&Entry| !held.left && held.until > now;
+        let entry = |held: &Entry| {
             let target = view::Target {
                 report: held.report.clone(),
                 heard: held.heard,
@@ -143,24 +147,28 @@
             };
             (held.report.target.clone(), target)
         };
-        self.held.values().filter(serves).map(entry).collect()
+        self.entries.values().filter(serves).map(entry).collect()
     }
 
     /// Returns every report with the time left of its lease, for an instance that has none.
     pub fn reports(&self, now: Instant) -> Vec<gossip::Target> {
-        let left = |held: &Held| held.until.saturating_duration_since(now);
-        let report = |held: &Held| gossip::Target {
+        let left = |held: &Entry| held.until.saturating_duration_since(now);
+        let report = |held: &Entry| gossip::Target {
             left_ms: millis(left(held)),
             leaving: held.left,
             ..held.report.clone()
         };
-        let worth = |held: &&Held| held.left || !left(held).is_zero();
-        self.held.values().filter(worth).map(report).collect()
+        let is_relevant = |held: &&Entry| held.left || !left(held).is_zero();
+        self.entries
+            .values()
+            .filter(is_relevant)
+            .map(report)
+            .collect()
     }
 
     /// Returns one report with the time left of its lease.
     pub fn report(&self, target: &str, now: Instant) -> Option<gossip::Target> {
-        let held = self.held.get(target)?;
+        let held = self.entries.get(target)?;
         Some(gossip::Target {
             left_ms: millis(held.until.saturating_duration_since(now)),
             leaving: held.left,
@@ -170,7 +178,7 @@
 
     /// Returns a renewal of a target with the prefixes that are new.
     pub fn load(&self, target: &str, added: Vec<u64>, now: Instant) -> Option<Load> {
-        let held = self.held.get(target)?;
+        let held = self.entries.get(target)?;
         Some(Load {
             tag: held.tag,
             sequence: held.report.sequence,
@@ -182,47 +190,47 @@
 
     /// Drops what has been out of lease for long. Returns whether a lease ran out since `last`.
     pub fn sweep(&mut self, last: Instant, now: Instant) -> bool {
-        self.held.retain(|_, held| held.until + MEMORY > now);
-        let held = &self.held;
+        self.entries.retain(|_, held| held.until + RETENTION > now);
+        let entries = &self.entries;
         self.tags
-            .retain(|tag, target| held.get(target).is_some_and(|held| held.tag == *tag));
-        let ran_out = |held: &Held| held.until > last && held.until <= now;
-        self.held.values().any(ran_out)
+            .retain(|tag, target| entries.get(target).is_some_and(|held| held.tag == *tag));
+        let expired = |held: &Entry| held.until > last && held.until <= now;
+        self.entries.values().any(expired)
     }
 
     /// Returns how many targets are held, those remembered after their lease included.
     pub fn len(&self) -> usize {
-        self.held.len()
+        self.entries.len()
     }
 
     /// Tells whether no target is held.
     pub fn is_empty(&self) -> bool {
-        self.held.is_empty()
+        self.entries.is_empty()
     }
 
-    fn put(&mut self, report: gossip::Target, now: Instant, left: bool) -> Taken {
+    fn insert(&mut self, report: gossip::Target, now: Instant, left: bool) -> Change {
         let tag = report.tag();
-        let before = self.held.get(&report.target);
+        let before = self.entries.get(&report.target);
         let same = before.is_some_and(|held| held.tag == tag && held.until > now);
         let left = left || report.leaving;
         self.tags.insert(tag, report.target.clone());
-        let held = Held {
+        let held = Entry {
             tag,
             heard: now,
             until: now + self.lease.min(Duration::from_millis(report.left_ms)),
             left,
             report,
         };
-        self.held.insert(held.report.target.clone(), held);
-        if same { Taken::Load } else { Taken::Kept }
+        self.entries.insert(held.report.target.clone(), held);
+        if same { Change::Load } else { Change::Targets }
     }
 }
 
 /// Appends prefixes and keeps the newest.
 fn append(prefixes: &mut Vec<u64>, added: &[u64]) {
     prefixes.extend_from_slice(added);
-    let over = prefixes.len().saturating_sub(PREFIXES);
-    prefixes.drain(..over);
+    let excess = prefixes.len().saturating_sub(MAX_PREFIXES);
+    prefixes.drain(..excess);
 }
 
 /// Converts a duration for the wire.
--- a/crates/zinniastall-entry/src/view.rs
+++ b/crates/zinniastall-entry/src/view.rs
@@ -95,13 +95,13 @@
 
 /// Where the control arbiter publishes and traffic threads read.
 #[derive(Debug, Clone)]
-pub struct Board {
+pub struct Shared {
     current: Arc<ArcSwap<View>>,
     load: Arc<AtomicU32>,
     revision: Arc<watch::Sender<id::Revision>>,
 }
 
-impl Board {
+impl Shared {
     /// Creates a board with a first view.
     pub fn new(view: View) -> Self {
         let revision = Arc::new(watch::Sender::new(view.revision()));
--- a/crates/zinniastall-entry/tests/callers/harness.rs
+++ b/crates/zinniastall-entry/tests/callers/harness.rs
@@ -14,7 +14,7 @@
 use zinniastall_entry::{
     callers::{Service, server, settings::Callers},
     settings::{Entry, Limits},
-    view::{Board, Target, View},
+    view::{Shared, Target, View},
 };
 use zinniastall_model::{
     change::{Answer, Body, Change},
@@ -39,7 +39,7 @@
 pub(crate) struct Harness {
     /// Address for callers.
     pub(crate) address: SocketAddr,
-    board: Board,
+    shared_view: Shared,
     handle: ServerHandle,
 }
 
@@ -52,13 +52,13 @@
     /// Starts the interface with a target that runs one request at a time.
     pub(crate) fn with_one_slot(target: SocketAddr) -> Self {
         let harness = Self::start(&[target]);
-        let mut view = (*harness.board.view()).clone();
+        let mut view = (*harness.shared_view.view()).clone();
         let mut targets = (*view.targets).clone();
         for target in targets.values_mut() {
             target.report.slots = 1;
         }
         view.targets = Arc::new(targets);
-        harness.board.publish(view);
+        harness.shared_view.publish(view);
         harness
     }
 
@@ -71,9 +71,9 @@
             arrival: Duration::from_millis(700),
             ..settings.limits.clone()
         };
-        let board = Board::new(view(targets));
+        let shared_view = Shared::new(view(targets));
         let hub = Hub::start("test", None).unwrap();
-        let service = Service::new(board.clone(), hub, limits, &settings.callers);
+        let service = Service::new(shared_view.clone(), hub, limits, &settings.callers);
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
         let server = server::start(&service, listener, 1, Duration::from_secs(30)).unwrap();
@@ -81,25 +81,25 @@
         actix_web::rt::spawn(server);
         Self {
             address,
-            board,
+            shared_view,
             handle,
         }
     }
 
     /// Publishes a view with a changed configuration.
     pub(crate) fn apply(&self, object: Object) {
-        let mut view = (*self.board.view()).clone();
+        let mut view = (*self.shared_view.view()).clone();
         let mut state = view.state.as_deref().cloned().unwrap_or_default();
         apply(&mut state, object);
         view.state = Some(Arc::new(state));
-        self.board.publish(view);
+        self.shared_view.publish(view);
     }
 
     /// Removes the configuration, as on an instance that is no longer listed in it.
     pub(crate) fn remove_configuration(&self) {
-        let mut view = (*self.board.view()).clone();
+        let mut view = (*self.shared_view.view()).clone();
         view.state = None;
-        self.board.publish(view);
+        self.shared_view.publish(view);
     }
 
     /// Sends raw bytes and reads until the connection closes or the read times out.
--- a/crates/zinniastall-entry/tests/follow.rs
+++ b/crates/zinniastall-entry/tests/follow.rs
@@ -6,8 +6,8 @@
 use indexmap::IndexMap;
 use zinniastall_entry::follow::{
     choice::{Choice, Source},
-    confirm::Gathered,
-    kept::{self, Fault, Kept},
+    confirmations::Collector,
+    storage::{self, Error, Snapshot},
 };
 use zinniastall_model::place::Place;
 use zinniastall_wire::{follow::Confirmation, gossip::Peer};
@@ -88,29 +88,29 @@
 #[test]
 fn a_silent_follower_is_not_reported() {
     let now = Instant::now();
-    let mut gathered = Gathered::default();
-    gathered.note(confirmation("a1", 3), now);
-    assert_eq!(gathered.take(now, true), [confirmation("a1", 3)]);
-    assert_eq!(gathered.take(now, false), []);
-    gathered.note(confirmation("a1", 4), now);
-    gathered.note(confirmation("a1", 2), now);
-    assert_eq!(gathered.take(now, false), [confirmation("a1", 4)]);
+    let mut confirmations = Collector::default();
+    confirmations.record(confirmation("a1", 3), now);
+    assert_eq!(confirmations.take(now, true), [confirmation("a1", 3)]);
+    assert_eq!(confirmations.take(now, false), []);
+    confirmations.record(confirmation("a1", 4), now);
+    confirmations.record(confirmation("a1", 2), now);
+    assert_eq!(confirmations.take(now, false), [confirmation("a1", 4)]);
     let later = now + Duration::from_mins(1);
-    assert_eq!(gathered.take(later, true), []);
+    assert_eq!(confirmations.take(later, true), []);
 }
 
 /// The disk returns other bytes than were written. A damaged configuration could permit what no
 /// configuration ever permitted, so it must not be used.
 #[test]
-fn a_damaged_configuration_is_refused() -> Result<(), Fault> {
+fn a_damaged_configuration_is_refused() -> Result<(), Error> {
     let folder = tempfile::tempdir().expect("a temporary folder");
-    let held = Kept {
+    let held = Snapshot {
         cluster: "c".to_owned(),
         state: std::sync::Arc::default(),
     };
-    assert_eq!(kept::load(folder.path())?, None);
-    kept::save(folder.path(), &held)?;
-    assert_eq!(kept::load(folder.path())?, Some(held));
+    assert_eq!(storage::load(folder.path())?, None);
+    storage::save(folder.path(), &held)?;
+    assert_eq!(storage::load(folder.path())?, Some(held));
     let file = folder.path().join("configuration");
     let whole = std::fs::read(&file).expect("the file");
     for at in 0..whole.len() {
@@ -118,13 +118,13 @@
         damaged[at] ^= 1;
         std::fs::write(&file, &damaged).expect("a write");
         assert!(matches!(
-            kept::load(folder.path()),
-            Err(Fault::Damaged { .. })
+            storage::load(folder.path()),
+            Err(Error::Damaged { .. })
         ));
         std::fs::write(&file, &whole[..at]).expect("a write");
         assert!(matches!(
-            kept::load(folder.path()),
-            Err(Fault::Damaged { .. })
+            storage::load(folder.path()),
+            Err(Error::Damaged { .. })
         ));
     }
     Ok(())
--- a/crates/zinniastall-entry/tests/speaker.rs
+++ b/crates/zinniastall-entry/tests/speaker.rs
@@ -10,8 +10,8 @@
 use zinniastall_entry::{
     spread::{
         digests::Digests,
-        lines::Line,
-        speaker::{Knowledge, Speaker, Voice},
+        links::Handle,
+        speaker::{Scope, Snapshot, Speaker},
     },
     view,
 };
@@ -23,8 +23,8 @@
 const HORIZON: Duration = Duration::from_secs(10);
 const TICK: Duration = Duration::from_millis(500);
 /// Links used by the tests: from athens/a to athens/b, and from athens/a to patras/a.
-const TO_B: Line = 1;
-const TO_PATRAS: Line = 2;
+const TO_B: Handle = 1;
+const TO_PATRAS: Handle = 2;
 
 fn capacity(slots: u32, free: u32) -> Capacity {
     Capacity {
@@ -40,11 +40,11 @@
 }
 
 /// Returns the knowledge of athens/a: its own free slots of 24, and those of other zones.
-fn knowledge(own: u32, others: &[(&str, u32)]) -> Knowledge {
+fn snapshot(own: u32, others: &[(&str, u32)]) -> Snapshot {
     let key = (subject(), "both".to_owned());
     let zone = |(zone, free): &(&str, u32)| ((*zone).to_owned(), capacity(24, *free));
-    Knowledge {
-        doors: Vec::new(),
+    Snapshot {
+        contacts: Vec::new(),
         own: [(key.clone(), capacity(24, own))].into(),
         others: [(key, others.iter().map(zone).collect())].into(),
     }
@@ -70,8 +70,8 @@
     let now = Instant::now();
     let mut speaker = speaker(now);
     let mut announce = |own, others: &[(&str, u32)], after| {
-        let knowledge = knowledge(own, others);
-        let news = speaker.speak(Voice::Region, &knowledge, now + TICK * after);
+        let snapshot = snapshot(own, others);
+        let news = speaker.speak(Scope::Region, &snapshot, now + TICK * after);
         region_fact(&news.items).map(|(zone, free)| (zone.to_owned(), free))
     };
     assert_eq!(announce(4, &[("b", 20)], 0), Some(("b".to_owned(), 20)));
@@ -86,8 +86,8 @@
 fn region_fact_is_withdrawn_when_the_role_ends() {
     let now = Instant::now();
     let mut speaker = speaker(now);
-    speaker.speak(Voice::Region, &knowledge(4, &[]), now);
-    let news = speaker.speak(Voice::Zone, &knowledge(4, &[]), now + TICK);
+    speaker.speak(Scope::Region, &snapshot(4, &[]), now);
+    let news = speaker.speak(Scope::Zone, &snapshot(4, &[]), now + TICK);
     let [withdrawn] = &news.items[..] else {
         panic!("{:?}", news.items);
     };
@@ -115,7 +115,7 @@
             now += TICK;
             let b = b.map(|free| ("b", free));
             let zones: Vec<(&str, u32)> = b.into_iter().chain([("c", c)]).collect();
-            let news = speaker.speak(Voice::Region, &knowledge(own, &zones), now);
+            let news = speaker.speak(Scope::Region, &snapshot(own, &zones), now);
             let free: IndexMap<&str, u32> = zones.into_iter().chain([("a", own)]).collect();
             if let Some((zone, now_free)) = region_fact(&news.items) {
                 if let Some((before, was_free, at)) = &announced
@@ -151,15 +151,15 @@
 }
 
 impl Zone {
-    fn new(region: &str, zone: &str, lines: &[(Line, Place)], now: Instant) -> Self {
+    fn new(region: &str, zone: &str, lines: &[(Handle, Place)], now: Instant) -> Self {
         let place = Place::new(region, zone);
         let name = format!("entry-{region}-{zone}");
         let mut digests = Digests::new(&name, 1, place.clone(), INTERVAL, now);
-        digests.paths(&lines.iter().cloned().collect());
+        digests.set_links(&lines.iter().cloned().collect());
         Self { place, digests }
     }
 
-    fn speak(&mut self, voice: Voice, busy: u32, now: Instant) {
+    fn speak(&mut self, scope: Scope, busy: u32, now: Instant) {
         let door = Peer {
             instance: format!("entry-{}", self.place.zone),
             incarnation: 1,
@@ -172,16 +172,16 @@
             up_ms: 60_000,
         };
         let targets = [("engine".to_owned(), target(&self.place, busy, now))].into();
-        self.digests.speak(voice, vec![door], &targets, now);
+        self.digests.speak(scope, vec![door], &targets, now);
     }
 
-    fn flush(&mut self, now: Instant) -> IndexMap<Line, News> {
+    fn flush(&mut self, now: Instant) -> IndexMap<Handle, News> {
         self.digests.flush(1_000_000, now).0.into_iter().collect()
     }
 
     fn take(&mut self, from: &Place, news: Option<&News>, now: Instant) {
         if let Some(news) = news {
-            self.digests.take(TO_B, from, news.clone(), now);
+            self.digests.apply(TO_B, from, news.clone(), now);
         }
     }
 
@@ -241,9 +241,9 @@
 fn regions_exchange_one_fact_per_model() {
     let now = Instant::now();
     let [mut a, mut b, mut patras] = three_zones(now);
-    b.speak(Voice::Zone, 0, now);
+    b.speak(Scope::Zone, 0, now);
     a.take(&b.place.clone(), b.flush(now).get(&TO_B), now);
-    a.speak(Voice::Region, 6, now);
+    a.speak(Scope::Region, 6, now);
     let out = a.flush(now);
     let facts_for = |line| -> Vec<&Item> {
         let items = &out[&line].items;
@@ -272,18 +272,18 @@
 fn long_fact_on_a_new_link_is_not_starved() {
     let mut now = Instant::now();
     let [mut a, _, _] = three_zones(now);
-    let place = |line: Line| Place::new(format!("region-{line}"), "a");
-    let mut lines: IndexMap<Line, Place> = (1..20).map(|line| (line, place(line))).collect();
-    a.digests.paths(&lines);
-    a.speak(Voice::Region, 0, now);
+    let place = |line: Handle| Place::new(format!("region-{line}"), "a");
+    let mut lines: IndexMap<Handle, Place> = (1..20).map(|line| (line, place(line))).collect();
+    a.digests.set_links(&lines);
+    a.speak(Scope::Region, 0, now);
     a.flush(now);
     lines.insert(20, place(20));
-    a.digests.paths(&lines);
+    a.digests.set_links(&lines);
     let mut balance = 0;
     for turn in 0..200 {
         now += TICK;
         balance += 400;
-        a.speak(Voice::Region, if turn % 2 == 0 { 8 } else { 0 }, now);
+        a.speak(Scope::Region, if turn % 2 == 0 { 8 } else { 0 }, now);
         let (out, spent) = a.digests.flush(balance, now);
         let items = || {
             out.iter()
@@ -305,12 +305,12 @@
 fn lost_zone_is_not_renewed_by_its_region() {
     let start = Instant::now();
     let [mut a, mut b, mut patras] = three_zones(start);
-    b.speak(Voice::Zone, 0, start);
+    b.speak(Scope::Zone, 0, start);
     let news = b.flush(start);
     a.take(&b.place.clone(), news.get(&TO_B), start);
     for tick in 0..40 {
         let now = start + TICK * tick;
-        a.speak(Voice::Region, 6, now);
+        a.speak(Scope::Region, 6, now);
         patras.take(&a.place.clone(), a.flush(now).get(&TO_PATRAS), now);
         let offered = patras.known(now) == ["athens/b"];
         assert!(
@@ -328,10 +328,10 @@
 fn zone_without_known_instances_is_not_offered() {
     let start = Instant::now();
     let [mut a, mut b, mut patras] = three_zones(start);
-    b.speak(Voice::Zone, 0, start);
+    b.speak(Scope::Zone, 0, start);
     a.take(&b.place.clone(), b.flush(start).get(&TO_B), start);
     let later = start + HORIZON / 2;
-    a.speak(Voice::Region, 6, later);
+    a.speak(Scope::Region, 6, later);
     patras.take(&a.place.clone(), a.flush(later).get(&TO_PATRAS), later);
     assert_eq!(patras.known(later), ["athens/b"]);
     let over = start + HORIZON + TICK;
@@ -349,16 +349,16 @@
 fn zone_fact_does_not_renew_the_region_fact() {
     let start = Instant::now();
     let [mut a, mut b, mut patras] = three_zones(start);
-    let to_patras: IndexMap<Line, Place> = [(TO_PATRAS, patras.place.clone())].into();
-    b.digests.paths(&to_patras);
-    b.speak(Voice::Region, 0, start);
+    let to_patras: IndexMap<Handle, Place> = [(TO_PATRAS, patras.place.clone())].into();
+    b.digests.set_links(&to_patras);
+    b.speak(Scope::Region, 0, start);
     patras.take(&b.place.clone(), b.flush(start).get(&TO_PATRAS), start);
     assert_eq!(patras.known(start), ["athens/b"]);
-    let to_a: IndexMap<Line, Place> = [(TO_B, a.place.clone())].into();
-    b.digests.paths(&to_a);
+    let to_a: IndexMap<Handle, Place> = [(TO_B, a.place.clone())].into();
+    b.digests.set_links(&to_a);
     for tick in 1..60 {
         let now = start + TICK * tick;
-        b.speak(Voice::Zone, 8, now);
+        b.speak(Scope::Zone, 8, now);
         a.take(&b.place.clone(), b.flush(now).get(&TO_B), now);
         patras.take(&a.place.clone(), a.flush(now).get(&TO_PATRAS), now);
         let offered = patras.known(now);
@@ -367,6 +367,6 @@
             "{offered:?} after {tick} ticks"
         );
     }
-    let doors = patras.digests.doors(start + TICK * 60);
+    let doors = patras.digests.contacts(start + TICK * 60);
     assert_eq!(doors.len(), 1, "the zone's own facts are still renewed");
 }
--- a/crates/zinniastall-entry/tests/spread.rs
+++ b/crates/zinniastall-entry/tests/spread.rs
@@ -10,19 +10,19 @@
     publish::Publisher,
     spread::{
         Gossip,
-        actor::{Spread, Surroundings},
-        atlas::Atlas,
-        book::Book,
+        actor::{Dependencies, Spread},
+        address_book::Book,
         messages::Stop,
-        renewals::{Renewals, grown},
+        renewals::{Renewals, appended_prefixes},
         settings,
+        topology::Topology,
     },
     targets::{
         body::Announce,
         problem::Problem,
-        table::{Table, Taken},
+        table::{Change, Table},
     },
-    view::{Board, View},
+    view::{Shared, View},
 };
 use zinniastall_model::{object::Subject, place::Place};
 use zinniastall_settings::metrics::Hub;
@@ -86,7 +86,7 @@
         left_ms: 1_200,
         ..target("engine", 1, 1)
     };
-    assert_eq!(table.take(report, now), Ok(Taken::Kept));
+    assert_eq!(table.apply(report, now), Ok(Change::Targets));
     assert_eq!(table.serving(now + seconds(1)).len(), 1);
     assert_eq!(table.serving(now + seconds(2)).len(), 0);
     assert!(
@@ -106,7 +106,7 @@
         left_ms: 3_600_000,
         ..target("engine", 1, 1)
     };
-    assert_eq!(table.take(report, now), Ok(Taken::Kept));
+    assert_eq!(table.apply(report, now), Ok(Change::Targets));
     assert_eq!(table.serving(now + seconds(4)).len(), 0);
 }
 
@@ -116,9 +116,9 @@
 fn renewal_of_another_report_is_ignored() {
     let now = Instant::now();
     let (mut near, mut far) = (Table::new(LEASE), Table::new(LEASE));
-    assert_eq!(near.take(target("engine", 1, 1), now), Ok(Taken::Kept));
-    assert_eq!(far.take(target("engine", 2, 1), now), Ok(Taken::Kept));
-    assert_eq!(near.take(target("engine", 1, 2), now), Ok(Taken::Load));
+    assert_eq!(near.apply(target("engine", 1, 1), now), Ok(Change::Targets));
+    assert_eq!(far.apply(target("engine", 2, 1), now), Ok(Change::Targets));
+    assert_eq!(near.apply(target("engine", 1, 2), now), Ok(Change::Load));
     let load = near.load("engine", Vec::new(), now).unwrap();
     assert_eq!(far.renew(&load, now + seconds(2)), None);
     assert_eq!(far.serving(now + seconds(4)).len(), 0);
@@ -131,15 +131,15 @@
     let mut table = Table::new(LEASE);
     for number in 0..4_096 {
         assert_eq!(
-            table.take(target(&format!("engine-{number}"), 1, 1), now),
-            Ok(Taken::Kept)
+            table.apply(target(&format!("engine-{number}"), 1, 1), now),
+            Ok(Change::Targets)
         );
     }
     assert_eq!(
-        table.take(target("one-more", 1, 1), now),
+        table.apply(target("one-more", 1, 1), now),
         Err(Problem::Full)
     );
-    assert_eq!(table.take(target("engine-7", 1, 2), now), Ok(Taken::Load));
+    assert_eq!(table.apply(target("engine-7", 1, 2), now), Ok(Change::Load));
 }
 
 // The byte budget is spent. Leases are still renewed; prefixes wait for a later message.
@@ -148,7 +148,10 @@
     let now = Instant::now();
     let mut table = Table::new(LEASE);
     let mut renewals = Renewals::default();
-    assert_eq!(table.take(target("engine", 1, 1), now), Ok(Taken::Kept));
+    assert_eq!(
+        table.apply(target("engine", 1, 1), now),
+        Ok(Change::Targets)
+    );
     renewals.add("engine", &[1, 2, 3]);
     let loads = renewals.take(&table, 0, now);
     assert_eq!((loads.len(), loads[0].added.len()), (1, 0));
@@ -164,7 +167,7 @@
         fn $name() {
             let with = |prefixes: &[u64]| Target { prefixes: prefixes.to_vec(), ..target("e", 1, 1) };
             let expected: Option<&[u64]> = $grown;
-            assert_eq!(grown(&with(&$before), &with(&$after)), expected);
+            assert_eq!(appended_prefixes(&with(&$before), &with(&$after)), expected);
         }
     )*};
 }
@@ -188,7 +191,7 @@
         ["seed:1".to_owned()].into_iter(),
         start,
     );
-    book.hearsay(peer("entry-2", "athens", "a"), start);
+    book.report(peer("entry-2", "athens", "a"), start);
     let (mut peers, mut seeds) = (0, 0);
     for step in 0..60 {
         let now = start + Duration::from_millis(500) * step;
@@ -208,16 +211,19 @@
 fn secondhand_report_does_not_confirm_a_peer() {
     let now = Instant::now();
     let mut book = Book::new("entry-1".to_owned(), std::iter::empty(), now);
-    book.hearsay(peer("entry-2", "athens", "a"), now);
-    assert!(book.sworn("entry-2").is_none());
-    assert!(book.swear(peer("entry-2", "athens", "a"), now).is_none());
-    assert!(book.sworn("entry-2").is_some());
+    book.report(peer("entry-2", "athens", "a"), now);
+    assert!(book.confirmed("entry-2").is_none());
+    assert!(book.confirm(peer("entry-2", "athens", "a"), now).is_none());
+    assert!(book.confirmed("entry-2").is_some());
     let successor = Peer {
         links: "entry-2:1".to_owned(),
         ..peer("entry-3", "athens", "a")
     };
-    assert_eq!(book.swear(successor, now).as_deref(), Some("entry-2"));
-    assert!(book.sworn("entry-2").is_none(), "two owners of one address");
+    assert_eq!(book.confirm(successor, now).as_deref(), Some("entry-2"));
+    assert!(
+        book.confirmed("entry-2").is_none(),
+        "two owners of one address"
+    );
 }
 
 #[test]
@@ -231,18 +237,18 @@
         };
         zones.iter().map(door).collect()
     };
-    let wanted = |atlas: &Atlas, rank| -> Vec<String> {
-        let peers = atlas.wanted(rank, now);
+    let wanted = |topology: &Topology, rank| -> Vec<String> {
+        let peers = topology.wanted(rank, now);
         peers.into_iter().map(|peer| peer.instance).collect()
     };
-    let mut first = Atlas::new(Place::new("athens", "a"), now);
+    let mut first = Topology::new(Place::new("athens", "a"), now);
     first.update(
         doors(&[("athens", "b"), ("patras", "a"), ("patras", "b")]),
         now,
     );
     assert_eq!(wanted(&first, 0), ["athens-b-1", "patras-a-1"]);
     assert_eq!(wanted(&first, 1), ["athens-b-2", "patras-a-2"]);
-    let mut second = Atlas::new(Place::new("athens", "b"), now);
+    let mut second = Topology::new(Place::new("athens", "b"), now);
     second.update(doors(&[("athens", "a"), ("patras", "a")]), now);
     assert_eq!(wanted(&second, 0), ["athens-a-1"]);
     // All speakers dial every zone of a region from which nothing is heard any more.
@@ -285,7 +291,7 @@
     name: &str,
     incarnation: u64,
     seeds: Vec<String>,
-) -> (Board, Identity, Addr<Spread>) {
+) -> (Shared, Identity, Addr<Spread>) {
     instance_at(Place::new("athens", "a"), name, incarnation, seeds).await
 }
 
@@ -294,7 +300,7 @@
     name: &str,
     incarnation: u64,
     seeds: Vec<String>,
-) -> (Board, Identity, Addr<Spread>) {
+) -> (Shared, Identity, Addr<Spread>) {
     let listener = link::listen("127.0.0.1:0").await.expect("a free port");
     let links = listener.local_addr().expect("a bound socket").to_string();
     let addresses = Addresses {
@@ -303,11 +309,11 @@
         links,
     };
     let identity = Identity::new(name.to_owned(), incarnation, place.clone(), addresses);
-    let board = Board::new(View::new(name.to_owned(), incarnation, place));
-    let around = Surroundings {
+    let shared_view = Shared::new(View::new(name.to_owned(), incarnation, place));
+    let dependencies = Dependencies {
         identity: identity.clone(),
-        board: board.clone(),
-        publisher: Publisher::new(board.clone()).start(),
+        shared_view: shared_view.clone(),
+        publisher: Publisher::new(shared_view.clone()).start(),
         recorder: Hub::start("test", None)
             .expect("no socket is needed")
             .recorder(),
@@ -317,14 +323,14 @@
         floor: Duration::from_millis(500),
         ceiling: Duration::from_secs(2),
         lease: LEASE,
-        digest: Duration::from_millis(500),
+        digest_interval: Duration::from_millis(500),
         bytes_per_second: 100_000,
     };
-    let spread = Spread::new(settings, seeds.into_iter(), around).start();
+    let spread = Spread::new(settings, seeds.into_iter(), dependencies).start();
     let acceptors = Acceptors::new(identity.clone());
     let acceptors = acceptors.owner(Purpose::Gossip, Gossip(spread.clone()));
     actix::spawn(links::serve(listener, acceptors));
-    (board, identity, spread)
+    (shared_view, identity, spread)
 }
 
 async fn until(what: &str, condition: impl Fn() -> bool) {
@@ -335,8 +341,8 @@
     }
 }
 
-fn seen_incarnation(board: &Board, name: &str) -> Option<u64> {
-    let view = board.view();
+fn seen_incarnation(shared_view: &Shared, name: &str) -> Option<u64> {
+    let view = shared_view.view();
     let peers: &IndexMap<_, _> = &view.peers;
     peers.get(name).map(|peer| peer.incarnation)
 }
@@ -378,17 +384,17 @@
         ("nantes", "a"),
     ];
     let mut seeds = Vec::new();
-    let mut boards = Vec::new();
+    let mut shared_views = Vec::new();
     for (number, (region, zone)) in places.into_iter().enumerate() {
         let name = format!("entry-{number}");
         let started = instance_at(Place::new(region, zone), &name, 1, seeds.clone()).await;
         if seeds.is_empty() {
             seeds.push(started.1.addresses().links.clone());
         }
-        boards.push(started.0);
+        shared_views.push(started.0);
     }
-    for (board, place) in boards.iter().zip(places) {
+    for (shared_view, place) in shared_views.iter().zip(places) {
         let what = format!("{place:?} sees all zones");
-        until(&what, || board.view().peers.len() == places.len()).await;
+        until(&what, || shared_view.view().peers.len() == places.len()).await;
     }
 }
