--- a/crates/zinniastall-control/src/rpc/operators.rs
+++ b/crates/zinniastall-control/src/rpc/operators.rs
@@ -295,7 +295,7 @@
     let current = state.current(key);
     status
         .metadata_mut()
-        .insert(metadata::CURRENT, current.into());
+        .insert(metadata::CURRENT_REVISION, current.into());
     status
 }
 
--- a/crates/zinniastall-ctl/src/arguments.rs
+++ b/crates/zinniastall-ctl/src/arguments.rs
@@ -9,8 +9,8 @@
 };
 
 use crate::{
-    call::{Call, Order, Replica, Watch},
-    explain::Question,
+    call::{Call, Invocation, Replica, Watch},
+    explain::Query,
     input,
 };
 
@@ -66,15 +66,15 @@
 5 command id reused, 6 invalid, 7 unknown outcome (resend under the same command id).";
 
 /// Time after which a run gives up by default.
-const TIMEOUT: Duration = Duration::from_secs(15);
+const DEFAULT_TIMEOUT: Duration = Duration::from_secs(15);
 
 /// What the command line asks for.
 #[derive(Debug)]
 pub enum Action {
     /// Runs one call.
-    Run(Box<Order>),
+    Run(Box<Invocation>),
     /// Tells the story of a request from logs.
-    Explain(Question),
+    Explain(Query),
     /// Prints the help text.
     Help,
     /// Prints the version.
@@ -89,31 +89,31 @@
     Arguments(#[from] lexopt::Error),
     /// No address is given.
     #[error("--address is required")]
-    Address,
+    MissingAddress,
     /// No call is given, or there is no such call.
     #[error("no such call: {0}")]
-    Call(String),
+    UnknownCall(String),
     /// A call lacks an argument.
     #[error("{0} is required")]
-    Argument(&'static str),
+    MissingArgument(&'static str),
     /// There is no such kind.
     #[error("no such kind: {0}")]
-    Kind(String),
+    UnknownKind(String),
     /// There is no such step.
     #[error("no such step: {0}; expected admit, promote or remove")]
-    Step(String),
+    UnknownStep(String),
     /// An argument is left over.
     #[error("unexpected argument: {0}")]
-    Left(String),
+    UnexpectedArgument(String),
     /// A number is malformed.
     #[error("not a number: {0}")]
-    Number(String),
+    InvalidNumber(String),
     /// A command id without an expected revision could run twice.
     #[error("--command needs --expected, or a late resend could run twice")]
-    Expected,
+    MissingExpected,
     /// The object is wrong.
     #[error(transparent)]
-    Object(#[from] input::Fault),
+    Object(#[from] input::Error),
 }
 
 #[derive(Debug, Default)]
@@ -139,7 +139,7 @@
     pub fn parse(arguments: impl IntoIterator<Item = OsString>) -> Result<Self, Error> {
         let mut parser = lexopt::Parser::from_args(arguments);
         let mut options = Options::default();
-        let mut words = Vec::new();
+        let mut operands = Vec::new();
         while let Some(argument) = parser.next()? {
             match argument {
                 Short('h') | Long("help") => return Ok(Self::Help),
@@ -159,67 +159,69 @@
                 Long("timeout") => {
                     options.timeout = Some(Duration::from_millis(parser.value()?.parse()?));
                 }
-                Value(word) => words.push(word.string()?),
+                Value(operand) => operands.push(operand.string()?),
                 other => return Err(other.unexpected().into()),
             }
         }
-        if words.first().is_some_and(|word| word == "explain") {
-            return Ok(Self::Explain(question(&options, words)?));
+        if operands.first().is_some_and(|operand| operand == "explain") {
+            return Ok(Self::Explain(explain_query(&options, operands)?));
         }
-        Ok(Self::Run(Box::new(order(options, words)?)))
+        Ok(Self::Run(Box::new(invocation(options, operands)?)))
     }
 }
 
-fn question(options: &Options, words: Vec<String>) -> Result<Question, Error> {
-    let mut words = words.into_iter().skip(1);
-    Ok(Question {
-        id: words.next().ok_or(Error::Argument("the id of a request"))?,
-        logs: words.collect(),
+fn explain_query(options: &Options, operands: Vec<String>) -> Result<Query, Error> {
+    let mut operands = operands.into_iter().skip(1);
+    Ok(Query {
+        id: operands
+            .next()
+            .ok_or(Error::MissingArgument("the id of a request"))?,
+        logs: operands.collect(),
         json: options.json,
     })
 }
 
-fn order(options: Options, words: Vec<String>) -> Result<Order, Error> {
-    let call = call(&options, words)?;
+fn invocation(options: Options, operands: Vec<String>) -> Result<Invocation, Error> {
+    let call = call(&options, operands)?;
     if options.addresses.is_empty() {
-        return Err(Error::Address);
+        return Err(Error::MissingAddress);
     }
-    let checked = matches!(call, Call::Apply(_) | Call::Delete(..));
-    if checked && options.command.is_some() && options.expected.is_none() {
-        return Err(Error::Expected);
+    let needs_expected = matches!(call, Call::Apply(_) | Call::Delete(..));
+    if needs_expected && options.command.is_some() && options.expected.is_none() {
+        return Err(Error::MissingExpected);
     }
-    Ok(Order {
+    Ok(Invocation {
         addresses: options.addresses,
         command: Command {
             operator: options.operator.unwrap_or_else(|| "ctl".to_owned()),
-            id: options.command.unwrap_or_else(fresh),
+            id: options.command.unwrap_or_else(random_command_id),
             expected: options.expected,
         },
         wait_ms: options.wait_ms,
-        timeout: options.timeout.unwrap_or(TIMEOUT),
+        timeout: options.timeout.unwrap_or(DEFAULT_TIMEOUT),
         call,
     })
 }
 
 /// Makes a command id that no other run makes.
-fn fresh() -> String {
+fn random_command_id() -> String {
     format!("{:032x}", rand::random::<u128>())
 }
 
-fn call(options: &Options, words: Vec<String>) -> Result<Call, Error> {
-    let mut words = words.into_iter();
-    let name = words.next().ok_or(Error::Argument("a call"))?;
-    let mut word = |what| words.next().ok_or(Error::Argument(what));
+fn call(options: &Options, operands: Vec<String>) -> Result<Call, Error> {
+    let mut operands = operands.into_iter();
+    let name = operands.next().ok_or(Error::MissingArgument("a call"))?;
+    let mut operand = |what| operands.next().ok_or(Error::MissingArgument(what));
     let call = match name.as_str() {
         "bootstrap" => Call::Bootstrap,
-        "apply" => Call::Apply(input::object(&word("an object")?)?),
-        "delete" => Call::Delete(kind(&word("a kind")?)?, word("an id")?),
-        "get" => Call::Get(kind(&word("a kind")?)?, word("an id")?),
-        "list" => Call::List(kind(&word("a kind")?)?),
+        "apply" => Call::Apply(input::object(&operand("an object")?)?),
+        "delete" => Call::Delete(kind(&operand("a kind")?)?, operand("an id")?),
+        "get" => Call::Get(kind(&operand("a kind")?)?, operand("an id")?),
+        "list" => Call::List(kind(&operand("a kind")?)?),
         "watch" => Call::Watch(Watch {
-            kinds: words
+            kinds: operands
                 .by_ref()
-                .map(|word| kind(&word))
+                .map(|operand| kind(&operand))
                 .collect::<Result<_, _>>()?,
             after: options.after,
             count: options.count,
@@ -227,33 +229,35 @@
         "status" => Call::Status {
             local: options.local,
         },
-        "instance" => Call::Instance(word("an instance")?),
-        "change" => Call::Change(number(&word("a revision")?)?),
-        "histograms" => Call::Histograms(words.next().unwrap_or_default()),
-        "replica" => replica(&mut word)?,
-        "retire" => Call::Retire(word("an instance")?),
-        "publish" => Call::Publish(input::table(&word("a routing table")?)?),
+        "instance" => Call::Instance(operand("an instance")?),
+        "change" => Call::Change(number(&operand("a revision")?)?),
+        "histograms" => Call::Histograms(operands.next().unwrap_or_default()),
+        "replica" => replica(&mut operand)?,
+        "retire" => Call::Retire(operand("an instance")?),
+        "publish" => Call::Publish(input::table(&operand("a routing table")?)?),
         "routing" => Call::Routing,
-        "evacuate" => evacuate(word("a zone")?, false),
-        "reopen" => evacuate(word("a zone")?, true),
+        "evacuate" => evacuate(operand("a zone")?, false),
+        "reopen" => evacuate(operand("a zone")?, true),
         "quarantine" => Call::Quarantine,
-        "release" => Call::Release(word("a fingerprint")?),
-        _ => return Err(Error::Call(name)),
+        "release" => Call::Release(operand("a fingerprint")?),
+        _ => return Err(Error::UnknownCall(name)),
     };
-    words.next().map_or(Ok(call), |word| Err(Error::Left(word)))
+    operands
+        .next()
+        .map_or(Ok(call), |operand| Err(Error::UnexpectedArgument(operand)))
 }
 
 const fn evacuate(zone: String, reopen: bool) -> Call {
     Call::Evacuate { zone, reopen }
 }
 
-fn replica(word: &mut impl FnMut(&'static str) -> Result<String, Error>) -> Result<Call, Error> {
-    let name = word("a step")?;
+fn replica(operand: &mut impl FnMut(&'static str) -> Result<String, Error>) -> Result<Call, Error> {
+    let name = operand("a step")?;
     let step = Step::parse(&name).filter(|step| *step != Step::Unspecified);
-    let step = step.ok_or(Error::Step(name))?;
-    let id = word("a replica id")?;
+    let step = step.ok_or(Error::UnknownStep(name))?;
+    let id = operand("a replica id")?;
     let address = match step {
-        Step::Admit => word("the address of its links")?,
+        Step::Admit => operand("the address of its links")?,
         _ => String::new(),
     };
     Ok(Call::Replica(Replica { step, id, address }))
@@ -261,9 +265,10 @@
 
 fn kind(name: &str) -> Result<Kind, Error> {
     let kind = Kind::parse(name).filter(|kind| *kind != Kind::Unspecified);
-    kind.ok_or_else(|| Error::Kind(name.to_owned()))
+    kind.ok_or_else(|| Error::UnknownKind(name.to_owned()))
 }
 
 fn number(text: &str) -> Result<u64, Error> {
-    text.parse().map_err(|_| Error::Number(text.to_owned()))
+    text.parse()
+        .map_err(|_| Error::InvalidNumber(text.to_owned()))
 }
--- a/crates/zinniastall-ctl/src/call.rs
+++ b/crates/zinniastall-ctl/src/call.rs
@@ -73,7 +73,7 @@
 
 /// A call, whom to ask and under which command id.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Order {
+pub struct Invocation {
     /// Addresses of control instances' operator interfaces.
     pub addresses: Vec<String>,
     /// Operator, command id and expected revision of a write.
--- a/crates/zinniastall-ctl/src/verdict.rs
+++ b/crates/zinniastall-ctl/src/exit.rs
@@ -7,7 +7,7 @@
 /// How a run ended; the number is the exit code.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[repr(u8)]
-pub enum Verdict {
+pub enum Status {
     /// The call succeeded; a write is accepted.
     Accepted = 0,
     /// The call failed, or no replica could be reached before anything was sent.
@@ -26,13 +26,13 @@
     Unknown = 7,
 }
 
-impl From<Verdict> for ExitCode {
-    fn from(verdict: Verdict) -> Self {
-        Self::from(verdict as u8)
+impl From<Status> for ExitCode {
+    fn from(status: Status) -> Self {
+        Self::from(status as u8)
     }
 }
 
-impl From<Outcome> for Verdict {
+impl From<Outcome> for Status {
     fn from(outcome: Outcome) -> Self {
         match outcome {
             Outcome::Accepted => Self::Accepted,
--- a/crates/zinniastall-ctl/src/explain/line.rs
+++ b/crates/zinniastall-ctl/src/explain/line.rs
@@ -3,13 +3,13 @@
 use indexmap::IndexMap;
 
 /// Seconds of a day; times of day are compared within one.
-const DAY: f64 = 86_400.0;
+const SECONDS_PER_DAY: f64 = 86_400.0;
 
 /// One log line.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Line {
     /// Seconds since some start that all lines of a log share.
-    pub at: f64,
+    pub time: f64,
     /// Process that wrote it, empty where the log doesn't say.
     pub process: String,
     /// Its pairs, in order.
@@ -19,21 +19,21 @@
 impl Line {
     /// Parses a line, or returns nothing where it holds no event.
     ///
-    /// Collectors put what they know before a line: its time in seconds and the process, or the
+    /// Collectors put what they know prefix a line: its time in seconds and the process, or the
     /// process alone. Without a time, the line's own is taken.
     pub fn parse(text: &str) -> Option<Self> {
         let start = text.find("ts=")?;
-        let mut before = text[..start].split_whitespace().peekable();
-        let time = before.peek().and_then(|word| word.parse::<f64>().ok());
-        if time.is_some() {
-            before.next();
+        let mut prefix = text[..start].split_whitespace().peekable();
+        let prefix_time = prefix.peek().and_then(|word| word.parse::<f64>().ok());
+        if prefix_time.is_some() {
+            prefix.next();
         }
-        let process = before.next().unwrap_or_default().trim_end_matches(':');
+        let process = prefix.next().unwrap_or_default().trim_end_matches(':');
         let fields = pairs(&text[start..]);
-        let own = fields.get("ts").and_then(|ts| time_of_day(ts));
+        let own_time = fields.get("ts").and_then(|ts| time_of_day(ts));
         fields.get("event")?;
         Some(Self {
-            at: time.or(own)?,
+            time: prefix_time.or(own_time)?,
             process: process.to_owned(),
             fields,
         })
@@ -87,5 +87,5 @@
     let seconds = part()? * 3_600.0 + part()? * 60.0 + part()?;
     // Lines around midnight stay in order, as long as a log spans no end of a month.
     let day: f64 = date.rsplit('-').next()?.parse().ok()?;
-    Some(day * DAY + seconds)
+    Some(day * SECONDS_PER_DAY + seconds)
 }
--- a/crates/zinniastall-ctl/src/explain/mod.rs
+++ b/crates/zinniastall-ctl/src/explain/mod.rs
@@ -16,13 +16,13 @@
 use serde::Serialize;
 
 use self::line::Line;
-use crate::verdict::Verdict;
+use crate::exit;
 
 /// Seconds before a request's first line from which changes of belief are told: a target's silence,
 /// an ejection and a reload take no longer to matter.
-const BEFORE: f64 = 10.0;
+const CONTEXT_SECONDS: f64 = 10.0;
 /// Events that change what a process believes, and the fields by which they name their subject.
-const BELIEFS: [(&str, &str); 11] = [
+const STATE_EVENTS: [(&str, &str); 11] = [
     ("target", "target"),
     ("target-out", "target"),
     ("instance", "instance"),
@@ -38,7 +38,7 @@
 
 /// What is to be explained, and from which logs.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Question {
+pub struct Query {
     /// Id of the request.
     pub id: String,
     /// Files; standard input if there are none.
@@ -48,34 +48,34 @@
 }
 
 /// Prints the story of a request.
-pub fn run(question: &Question) -> Verdict {
-    let lines = match gather(&question.logs) {
+pub fn run(query: &Query) -> exit::Status {
+    let lines = match read_all(&query.logs) {
         Ok(lines) => lines,
         Err(error) => {
             eprintln!("zinniastall-ctl: {error}");
-            return Verdict::Failed;
+            return exit::Status::Failed;
         }
     };
-    let Some(story) = tell(&question.id, &lines) else {
-        eprintln!("zinniastall-ctl: no line speaks of request {}", question.id);
-        return Verdict::Failed;
+    let Some(timeline) = reconstruct(&query.id, &lines) else {
+        eprintln!("zinniastall-ctl: no line speaks of request {}", query.id);
+        return exit::Status::Failed;
     };
-    if question.json {
-        match serde_json::to_string(&story) {
+    if query.json {
+        match serde_json::to_string(&timeline) {
             Ok(text) => println!("{text}"),
             Err(error) => {
                 eprintln!("zinniastall-ctl: {error}");
-                return Verdict::Failed;
+                return exit::Status::Failed;
             }
         }
     } else {
-        print!("{story}");
+        print!("{timeline}");
     }
-    Verdict::Accepted
+    exit::Status::Accepted
 }
 
 /// Reads all logs; a log that names no process is that of the process its file is named after.
-fn gather(logs: &[String]) -> io::Result<Vec<Line>> {
+fn read_all(logs: &[String]) -> io::Result<Vec<Line>> {
     if logs.is_empty() {
         return read(io::stdin().lock());
     }
@@ -108,7 +108,7 @@
 
 /// The story of one request.
 #[derive(Debug, Clone, PartialEq, Serialize)]
-pub struct Story {
+pub struct Timeline {
     /// Its id.
     pub id: String,
     /// How it ended for its caller, as the logs say.
@@ -131,41 +131,49 @@
 }
 
 /// Tells the story of a request, if any line speaks of it.
-pub fn tell(id: &str, lines: &[Line]) -> Option<Story> {
-    let own: Vec<&Line> = lines.iter().filter(|line| line.field("id") == id).collect();
-    let first = own.iter().map(|line| line.at).reduce(f64::min)?;
-    let last = own.iter().map(|line| line.at).reduce(f64::max)?;
-    let met = met(&own);
-    let matters = |line: &&Line| {
-        let in_time = line.at >= first - BEFORE && line.at <= last;
-        in_time && line.field("id").is_empty() && is_belief(line, &met)
+pub fn reconstruct(id: &str, lines: &[Line]) -> Option<Timeline> {
+    let request_lines: Vec<&Line> = lines.iter().filter(|line| line.field("id") == id).collect();
+    let first = request_lines
+        .iter()
+        .map(|line| line.time)
+        .reduce(f64::min)?;
+    let last = request_lines
+        .iter()
+        .map(|line| line.time)
+        .reduce(f64::max)?;
+    let encountered = encountered(&request_lines);
+    let is_context = |line: &&Line| {
+        let in_time = line.time >= first - CONTEXT_SECONDS && line.time <= last;
+        in_time && line.field("id").is_empty() && is_related_state(line, &encountered)
     };
-    let beliefs = lines.iter().filter(matters);
-    let mut all: Vec<&Line> = own.iter().copied().chain(beliefs).collect();
-    all.sort_by(|a, b| a.at.total_cmp(&b.at));
-    Some(Story {
+    let context = lines.iter().filter(is_context);
+    let mut all: Vec<&Line> = request_lines.iter().copied().chain(context).collect();
+    all.sort_by(|a, b| a.time.total_cmp(&b.time));
+    Some(Timeline {
         id: id.to_owned(),
-        end: end(&own).map(|line| line.field("outcome").to_owned()),
+        end: end(&request_lines).map(|line| line.field("outcome").to_owned()),
         steps: all.into_iter().map(|line| step(line, first)).collect(),
     })
 }
 
 /// Returns the line that says how a request ended for its caller: the last one of an instance to which it came
 /// from the caller. Where the logs lack that, the last one of an instance to which it was passed on.
-fn end<'a>(own: &[&'a Line]) -> Option<&'a Line> {
-    let ends = own.iter().filter(|line| line.event() == "request-ended");
-    let is_callers = |line: &Line| line.field("passed_on") != "true";
+fn end<'a>(request_lines: &[&'a Line]) -> Option<&'a Line> {
+    let ends = request_lines
+        .iter()
+        .filter(|line| line.event() == "request-ended");
+    let is_from_caller = |line: &Line| line.field("passed_on") != "true";
     let last = ends.max_by(|a, b| {
-        let own = is_callers(a).cmp(&is_callers(b));
-        own.then(a.at.total_cmp(&b.at))
+        let order = is_from_caller(a).cmp(&is_from_caller(b));
+        order.then(a.time.total_cmp(&b.time))
     });
     last.copied()
 }
 
 /// Returns the names of whatever a request met: processes, targets, instances.
-fn met<'a>(own: &[&'a Line]) -> IndexSet<&'a str> {
-    let named = own.iter().map(|line| line.field("place"));
-    let processes = own.iter().map(|line| line.process.as_str());
+fn encountered<'a>(request_lines: &[&'a Line]) -> IndexSet<&'a str> {
+    let named = request_lines.iter().map(|line| line.field("place"));
+    let processes = request_lines.iter().map(|line| line.process.as_str());
     named
         .chain(processes)
         .filter(|name| !name.is_empty())
@@ -174,20 +182,25 @@
 
 /// Tells whether a line says what a process that the request passed through came to believe of what
 /// the request met; with logs that name no process, any process counts.
-fn is_belief(line: &Line, met: &IndexSet<&str>) -> bool {
-    let is_near = line.process.is_empty() || met.contains(line.process.as_str());
-    let mut beliefs = BELIEFS.iter().filter(|(event, _)| *event == line.event());
-    is_near && beliefs.any(|(_, subject)| subject.is_empty() || met.contains(line.field(subject)))
+fn is_related_state(line: &Line, encountered: &IndexSet<&str>) -> bool {
+    let is_relevant_process =
+        line.process.is_empty() || encountered.contains(line.process.as_str());
+    let mut events = STATE_EVENTS
+        .iter()
+        .filter(|(event, _)| *event == line.event());
+    is_relevant_process
+        && events
+            .any(|(_, subject)| subject.is_empty() || encountered.contains(line.field(subject)))
 }
 
 fn step(line: &Line, first: f64) -> Step {
-    let left_out = ["ts", "level", "event", "id"];
+    let omitted = ["ts", "level", "event", "id"];
     let fields = line
         .fields
         .iter()
-        .filter(|(name, _)| !left_out.contains(&name.as_str()));
+        .filter(|(name, _)| !omitted.contains(&name.as_str()));
     Step {
-        after: ((line.at - first) * 10_000.0).round() / 10_000.0,
+        after: ((line.time - first) * 10_000.0).round() / 10_000.0,
         process: line.process.clone(),
         event: line.event().to_owned(),
         fields: fields
@@ -196,7 +209,7 @@
     }
 }
 
-impl std::fmt::Display for Story {
+impl std::fmt::Display for Timeline {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         let end = self.end.as_deref().unwrap_or("no line says how it ended");
         writeln!(f, "request {}: {end}", self.id)?;
--- a/crates/zinniastall-ctl/src/group.rs
+++ b/crates/zinniastall-ctl/src/group.rs
@@ -17,20 +17,21 @@
 };
 
 /// Longest time to connect.
-const CONNECT: Duration = Duration::from_secs(1);
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 /// Shortest and longest time of one attempt, beside what the call itself waits.
-const ATTEMPT: (Duration, Duration) = (Duration::from_millis(250), Duration::from_secs(3));
+const ATTEMPT_TIMEOUT_RANGE: (Duration, Duration) =
+    (Duration::from_millis(250), Duration::from_secs(3));
 /// First wait after all addresses were tried in vain.
-const FIRST_WAIT: Duration = Duration::from_millis(50);
+const MIN_BACKOFF: Duration = Duration::from_millis(50);
 /// Longest wait between rounds.
-const LONGEST_WAIT: Duration = Duration::from_secs(1);
+const MAX_BACKOFF: Duration = Duration::from_secs(1);
 
 /// A client of one replica.
 pub type Client = OperatorClient<Channel>;
 
 /// Why a call has no answer.
 #[derive(Debug, thiserror::Error)]
-pub enum Fault {
+pub enum Error {
     /// A replica answered with a refusal that asking another one would not change.
     #[error("{}", .0.message())]
     Refused(Box<Status>),
@@ -49,7 +50,7 @@
 pub struct Group {
     addresses: Vec<String>,
     deadline: Instant,
-    attempt: Duration,
+    attempt_timeout: Duration,
 }
 
 impl Group {
@@ -57,12 +58,13 @@
     pub fn new(addresses: Vec<String>, timeout: Duration, wait: Duration) -> Self {
         // A frozen replica takes the connection and never answers. Each address gets its turn twice
         // within the time, so that one such replica does not use all of it up.
-        let turns = u32::try_from(2 * addresses.len()).unwrap_or(u32::MAX);
-        let attempt = (timeout / turns.max(1)).clamp(ATTEMPT.0, ATTEMPT.1);
+        let attempts = u32::try_from(2 * addresses.len()).unwrap_or(u32::MAX);
+        let attempt_timeout =
+            (timeout / attempts.max(1)).clamp(ATTEMPT_TIMEOUT_RANGE.0, ATTEMPT_TIMEOUT_RANGE.1);
         Self {
             addresses,
             deadline: Instant::now() + timeout.max(wait),
-            attempt: attempt + wait,
+            attempt_timeout: attempt_timeout + wait,
         }
     }
 
@@ -74,45 +76,49 @@
     pub async fn call<T: Answer>(
         &self,
         call: impl AsyncFn(Client) -> Result<T, Status>,
-    ) -> Result<T, Fault> {
-        let mut wait = FIRST_WAIT;
+    ) -> Result<T, Error> {
+        let mut backoff = MIN_BACKOFF;
         let mut last = "not tried".to_owned();
         let mut sent = false;
         while Instant::now() < self.deadline {
-            let mut round: VecDeque<String> = self.addresses.iter().cloned().collect();
-            let mut hints = self.addresses.len();
-            while let Some(address) = round.pop_front() {
+            let mut pending: VecDeque<String> = self.addresses.iter().cloned().collect();
+            let mut redirects_left = self.addresses.len();
+            while let Some(address) = pending.pop_front() {
                 let Some(client) = self.connect(&address).await else {
                     last = format!("{address} cannot be reached");
                     continue;
                 };
                 let answer = time::timeout_at(self.deadline, call(client)).await;
                 let answer = answer.unwrap_or_else(|_| Err(Status::deadline_exceeded("timeout")));
-                match judge(answer)? {
-                    Step::Done(answer) => return Ok(answer),
-                    Step::Elsewhere(Some(leader)) if hints > 0 && leader != address => {
-                        hints -= 1;
-                        round.push_front(leader);
+                match classify(answer)? {
+                    Disposition::Done(answer) => return Ok(answer),
+                    Disposition::NotLeader(Some(leader))
+                        if redirects_left > 0 && leader != address =>
+                    {
+                        redirects_left -= 1;
+                        pending.push_front(leader);
                         "another replica leads".clone_into(&mut last);
                     }
-                    Step::Elsewhere(_) => "no replica leads".clone_into(&mut last),
-                    Step::Later(reason) => last = reason,
-                    Step::Lost(reason) => {
+                    Disposition::NotLeader(_) => "no replica leads".clone_into(&mut last),
+                    Disposition::Unavailable(reason) => last = reason,
+                    Disposition::Unknown(reason) => {
                         sent = true;
                         last = format!("{address}: {reason}");
                     }
                 }
             }
-            time::sleep(wait.mul_f64(rand::rng().random_range(0.5..1.0))).await;
-            wait = (wait * 2).min(LONGEST_WAIT);
+            time::sleep(backoff.mul_f64(rand::rng().random_range(0.5..1.0))).await;
+            backoff = (backoff * 2).min(MAX_BACKOFF);
         }
-        Err(Fault::Unreachable { last, sent })
+        Err(Error::Unreachable { last, sent })
     }
 
     /// Connects to one replica, or says that it can't be reached.
     pub async fn connect(&self, address: &str) -> Option<Client> {
         let endpoint = Endpoint::from_shared(format!("http://{address}")).ok()?;
-        let endpoint = endpoint.connect_timeout(CONNECT).timeout(self.attempt);
+        let endpoint = endpoint
+            .connect_timeout(CONNECT_TIMEOUT)
+            .timeout(self.attempt_timeout);
         Some(OperatorClient::new(endpoint.connect().await.ok()?))
     }
 
@@ -123,17 +129,17 @@
 }
 
 #[derive(Debug)]
-enum Step<T> {
+enum Disposition<T> {
     Done(T),
-    Elsewhere(Option<String>),
-    Later(String),
-    Lost(String),
+    NotLeader(Option<String>),
+    Unavailable(String),
+    Unknown(String),
 }
 
 /// An answer that may say that another replica has to be asked.
 pub trait Answer: Sized {
     /// Tells whether the replica led, and if not, which one does.
-    fn elsewhere(&self) -> Option<Option<String>> {
+    fn not_leader(&self) -> Option<Option<String>> {
         None
     }
 
@@ -149,7 +155,7 @@
 }
 
 impl Answer for ChangeResponse {
-    fn elsewhere(&self) -> Option<Option<String>> {
+    fn not_leader(&self) -> Option<Option<String>> {
         let leader = (!self.leader.is_empty()).then(|| self.leader.clone());
         (self.outcome() == Outcome::NotLeader).then_some(leader)
     }
@@ -183,30 +189,30 @@
 
 impl<T> Answer for tonic::Streaming<T> {}
 
-fn judge<T: Answer>(answer: Result<T, Status>) -> Result<Step<T>, Fault> {
+fn classify<T: Answer>(answer: Result<T, Status>) -> Result<Disposition<T>, Error> {
     match answer {
-        Ok(answer) => Ok(if let Some(leader) = answer.elsewhere() {
-            Step::Elsewhere(leader)
+        Ok(answer) => Ok(if let Some(leader) = answer.not_leader() {
+            Disposition::NotLeader(leader)
         } else if let Some(reason) = answer.unavailable() {
-            Step::Later(reason)
+            Disposition::Unavailable(reason)
         } else if answer.is_unknown() {
-            Step::Lost("unknown outcome".to_owned())
+            Disposition::Unknown("unknown outcome".to_owned())
         } else {
-            Step::Done(answer)
+            Disposition::Done(answer)
         }),
         Err(status) => match status.code() {
             Code::FailedPrecondition => {
                 let leader = status.metadata().get(metadata::LEADER);
                 let leader = leader.and_then(|leader| leader.to_str().ok());
-                Ok(Step::Elsewhere(leader.map(str::to_owned)))
+                Ok(Disposition::NotLeader(leader.map(str::to_owned)))
             }
             // The connection broke or the replica is too slow: it may have taken the call.
             Code::Unavailable
             | Code::Unknown
             | Code::Cancelled
             | Code::DeadlineExceeded
-            | Code::Internal => Ok(Step::Lost(status.message().to_owned())),
-            _ => Err(Fault::Refused(Box::new(status))),
+            | Code::Internal => Ok(Disposition::Unknown(status.message().to_owned())),
+            _ => Err(Error::Refused(Box::new(status))),
         },
     }
 }
--- a/crates/zinniastall-ctl/src/input.rs
+++ b/crates/zinniastall-ctl/src/input.rs
@@ -8,7 +8,7 @@
 
 /// Why an object can't be read.
 #[derive(Debug, thiserror::Error)]
-pub enum Fault {
+pub enum Error {
     /// The file or standard input can't be read.
     #[error("{path} cannot be read: {error}")]
     Unreadable {
@@ -22,10 +22,10 @@
     Malformed(#[from] serde_json::Error),
     /// The JSON has fields that no object has.
     #[error("unknown field {0}")]
-    Unknown(String),
+    UnknownField(String),
     /// The JSON names no kind of object.
     #[error("expected one of client, route, model, adapter, residency, role")]
-    Kind,
+    MissingKind,
 }
 
 /// Reads an object from inline JSON, a file name, or `-` for standard input.
@@ -33,7 +33,7 @@
 /// # Errors
 ///
 /// [`Fault`] says what is wrong.
-pub fn object(argument: &str) -> Result<Object, Fault> {
+pub fn object(argument: &str) -> Result<Object, Error> {
     parse(&text(argument)?)
 }
 
@@ -42,11 +42,11 @@
 /// # Errors
 ///
 /// [`Fault`] says what is wrong.
-pub fn table(argument: &str) -> Result<RoutingTable, Fault> {
-    understood(&text(argument)?)
+pub fn table(argument: &str) -> Result<RoutingTable, Error> {
+    parse_strict(&text(argument)?)
 }
 
-fn text(argument: &str) -> Result<String, Fault> {
+fn text(argument: &str) -> Result<String, Error> {
     if argument.trim_start().starts_with('{') {
         return Ok(argument.to_owned());
     }
@@ -55,7 +55,7 @@
     } else {
         fs::read_to_string(argument)
     };
-    text.map_err(|error| Fault::Unreadable {
+    text.map_err(|error| Error::Unreadable {
         path: argument.to_owned(),
         error,
     })
@@ -66,37 +66,37 @@
 /// # Errors
 ///
 /// [`Fault`] says what is wrong; an unknown field is a fault, since it is a misspelt one as a rule.
-pub fn parse(text: &str) -> Result<Object, Fault> {
-    let object: Object = understood(text)?;
+pub fn parse(text: &str) -> Result<Object, Error> {
+    let object: Object = parse_strict(text)?;
     if object.object.is_none() {
-        return Err(Fault::Kind);
+        return Err(Error::MissingKind);
     }
     Ok(object)
 }
 
 /// Parses JSON all of whose fields have to be understood.
-fn understood<T: Serialize + DeserializeOwned>(text: &str) -> Result<T, Fault> {
+fn parse_strict<T: Serialize + DeserializeOwned>(text: &str) -> Result<T, Error> {
     let given: Value = serde_json::from_str(text)?;
     let read: T = serde_json::from_value(given.clone())?;
-    match unknown(&given, &serde_json::to_value(&read)?, "") {
-        Some(field) => Err(Fault::Unknown(field)),
+    match find_unknown_field(&given, &serde_json::to_value(&read)?, "") {
+        Some(field) => Err(Error::UnknownField(field)),
         None => Ok(read),
     }
 }
 
 /// Finds a field that was given and not understood.
-fn unknown(given: &Value, understood: &Value, path: &str) -> Option<String> {
-    if let (Some(given), Some(understood)) = (given.as_array(), understood.as_array()) {
-        let mut items = given.iter().zip(understood);
-        return items.find_map(|(given, own)| unknown(given, own, path));
+fn find_unknown_field(given: &Value, parse_strict: &Value, path: &str) -> Option<String> {
+    if let (Some(given), Some(parse_strict)) = (given.as_array(), parse_strict.as_array()) {
+        let mut items = given.iter().zip(parse_strict);
+        return items.find_map(|(given, own)| find_unknown_field(given, own, path));
     }
     let given = given.as_object()?;
     for (field, value) in given {
         let path = format!("{path}.{field}");
-        let Some(own) = understood.get(field) else {
+        let Some(own) = parse_strict.get(field) else {
             return Some(path.trim_start_matches('.').to_owned());
         };
-        if let Some(inner) = unknown(value, own, &path) {
+        if let Some(inner) = find_unknown_field(value, own, &path) {
             return Some(inner);
         }
     }
--- a/crates/zinniastall-ctl/src/lib.rs
+++ b/crates/zinniastall-ctl/src/lib.rs
@@ -6,8 +6,8 @@
 
 pub mod arguments;
 pub mod call;
+pub mod exit;
 pub mod explain;
 pub mod group;
 pub mod input;
 pub mod run;
-pub mod verdict;
--- a/crates/zinniastall-ctl/src/main.rs
+++ b/crates/zinniastall-ctl/src/main.rs
@@ -4,25 +4,24 @@
 
 use zinniastall_ctl::{
     arguments::{Action, HELP},
-    explain, run,
-    verdict::Verdict,
+    exit, explain, run,
 };
 
 fn main() -> ExitCode {
     match Action::parse(std::env::args_os().skip(1)) {
         Ok(Action::Help) => print(HELP),
         Ok(Action::Version) => print(concat!("zinniastall-ctl ", env!("CARGO_PKG_VERSION"))),
-        Ok(Action::Run(order)) => run::run(&order).into(),
-        Ok(Action::Explain(question)) => explain::run(&question).into(),
+        Ok(Action::Run(invocation)) => run::run(&invocation).into(),
+        Ok(Action::Explain(query)) => explain::run(&query).into(),
         Err(error) => {
             eprintln!("zinniastall-ctl: {error}");
             eprintln!("Try 'zinniastall-ctl --help'.");
-            Verdict::Usage.into()
+            exit::Status::Usage.into()
         }
     }
 }
 
 fn print(text: &str) -> ExitCode {
     println!("{text}");
-    Verdict::Accepted.into()
+    exit::Status::Accepted.into()
 }
--- a/crates/zinniastall-ctl/src/run.rs
+++ b/crates/zinniastall-ctl/src/run.rs
@@ -15,13 +15,13 @@
 };
 
 use crate::{
-    call::{Call, Order, Replica, Watch},
-    group::{Answer, Client, Fault, Group},
-    verdict::Verdict,
+    call::{Call, Invocation, Replica, Watch},
+    exit,
+    group::{Answer, Client, Error, Group},
 };
 
 /// Runs an order and prints what it answers.
-pub fn run(order: &Order) -> Verdict {
+pub fn run(invocation: &Invocation) -> exit::Status {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build();
@@ -29,19 +29,19 @@
         Ok(runtime) => runtime,
         Err(error) => {
             eprintln!("zinniastall-ctl: {error}");
-            return Verdict::Failed;
+            return exit::Status::Failed;
         }
     };
-    match runtime.block_on(perform(order)) {
-        Ok(verdict) => verdict,
-        Err(fault) => fail(order, &fault),
+    match runtime.block_on(dispatch(invocation)) {
+        Ok(status) => status,
+        Err(error) => report_error(invocation, &error),
     }
 }
 
-fn fail(order: &Order, fault: &Fault) -> Verdict {
-    eprintln!("zinniastall-ctl: {fault}");
+fn report_error(invocation: &Invocation, error: &Error) -> exit::Status {
+    eprintln!("zinniastall-ctl: {error}");
     let writes = matches!(
-        order.call,
+        invocation.call,
         Call::Apply(_)
             | Call::Delete(..)
             | Call::Retire(_)
@@ -50,35 +50,35 @@
             | Call::Evacuate { .. }
             | Call::Release(_)
     );
-    match fault {
-        Fault::Refused(status) if status.code() == Code::InvalidArgument => Verdict::Invalid,
-        Fault::Unreachable { sent: true, .. } if writes => {
+    match error {
+        Error::Refused(status) if status.code() == Code::InvalidArgument => exit::Status::Invalid,
+        Error::Unreachable { sent: true, .. } if writes => {
             eprintln!(
                 "zinniastall-ctl: outcome unknown; resend with --command {}",
-                order.command.id
+                invocation.command.id
             );
-            Verdict::Unknown
+            exit::Status::Unknown
         }
-        _ => Verdict::Failed,
+        _ => exit::Status::Failed,
     }
 }
 
-async fn perform(order: &Order) -> Result<Verdict, Fault> {
-    let wait = Duration::from_millis(order.wait_ms);
-    let group = Group::new(order.addresses.clone(), order.timeout, wait);
-    match &order.call {
+async fn dispatch(invocation: &Invocation) -> Result<exit::Status, Error> {
+    let wait = Duration::from_millis(invocation.wait_ms);
+    let group = Group::new(invocation.addresses.clone(), invocation.timeout, wait);
+    match &invocation.call {
         Call::Bootstrap => bootstrap(&group).await,
-        Call::Apply(object) => apply(&group, order, object).await,
-        Call::Delete(kind, id) => delete(&group, order, *kind, id).await,
+        Call::Apply(object) => apply(&group, invocation, object).await,
+        Call::Delete(kind, id) => delete(&group, invocation, *kind, id).await,
         Call::Get(kind, id) => {
             let request = get_request(*kind, id);
             let call = async |mut client: Client| client.get(request.clone()).await;
-            Ok(show(&group.call(unwrapped(call)).await?))
+            Ok(print_answer(&group.call(unwrapped(call)).await?))
         }
         Call::List(kind) => {
             let kind = i32::from(*kind);
             let call = async |mut client: Client| client.list(ListRequest { kind }).await;
-            Ok(show(&group.call(unwrapped(call)).await?))
+            Ok(print_answer(&group.call(unwrapped(call)).await?))
         }
         Call::Watch(watch) => follow(&group, watch).await,
         Call::Status { local } => status(&group, *local).await,
@@ -87,42 +87,48 @@
                 let instance = instance.clone();
                 client.instance(InstanceRequest { instance }).await
             };
-            Ok(show(&group.call(unwrapped(call)).await?))
+            Ok(print_answer(&group.call(unwrapped(call)).await?))
         }
         Call::Change(revision) => {
             let revision = *revision;
             let call = async |mut client: Client| client.change(ChangeRequest { revision }).await;
             let status = group.call(unwrapped(call)).await?;
-            let verdict = status.outcome().into();
+            let exit = status.outcome().into();
             print(&status);
-            Ok(verdict)
+            Ok(exit)
         }
         Call::Histograms(instance) => {
             let call = async |mut client: Client| {
                 let instance = instance.clone();
                 client.histograms(HistogramsRequest { instance }).await
             };
-            Ok(show(&group.call(unwrapped(call)).await?))
+            Ok(print_answer(&group.call(unwrapped(call)).await?))
         }
-        Call::Replica(replica) => regroup(&group, order, replica).await,
+        Call::Replica(replica) => change_replica(&group, invocation, replica).await,
         Call::Retire(instance) => {
             let request = RetireRequest {
-                command: Some(order.command.clone()),
+                command: Some(invocation.command.clone()),
                 instance: instance.clone(),
             };
             let call = async |mut client: Client| client.retire(request.clone()).await;
-            Ok(conclude(order, &group.call(unwrapped(call)).await?))
+            Ok(print_change(
+                invocation,
+                &group.call(unwrapped(call)).await?,
+            ))
         }
         Call::Publish(table) => {
             let request = PublishRequest {
                 table: Some(table.clone()),
             };
             let call = async |mut client: Client| client.publish(request.clone()).await;
-            Ok(conclude(order, &group.call(unwrapped(call)).await?))
+            Ok(print_change(
+                invocation,
+                &group.call(unwrapped(call)).await?,
+            ))
         }
         Call::Routing => {
             let call = async |mut client: Client| client.routing(RoutingRequest {}).await;
-            Ok(show(&group.call(unwrapped(call)).await?))
+            Ok(print_answer(&group.call(unwrapped(call)).await?))
         }
         Call::Evacuate { zone, reopen } => {
             let request = EvacuateRequest {
@@ -130,18 +136,24 @@
                 reopen: *reopen,
             };
             let call = async |mut client: Client| client.evacuate(request.clone()).await;
-            Ok(conclude(order, &group.call(unwrapped(call)).await?))
+            Ok(print_change(
+                invocation,
+                &group.call(unwrapped(call)).await?,
+            ))
         }
         Call::Quarantine => {
             let call = async |mut client: Client| client.quarantine(QuarantineRequest {}).await;
-            Ok(show(&group.call(unwrapped(call)).await?))
+            Ok(print_answer(&group.call(unwrapped(call)).await?))
         }
         Call::Release(request) => {
             let call = async |mut client: Client| {
                 let request = request.clone();
                 client.release(ReleaseRequest { request }).await
             };
-            Ok(conclude(order, &group.call(unwrapped(call)).await?))
+            Ok(print_change(
+                invocation,
+                &group.call(unwrapped(call)).await?,
+            ))
         }
     }
 }
@@ -152,57 +164,79 @@
     async move |client| call(client).await.map(tonic::Response::into_inner)
 }
 
-async fn bootstrap(group: &Group) -> Result<Verdict, Fault> {
+async fn bootstrap(group: &Group) -> Result<exit::Status, Error> {
     let call = async |mut client: Client| client.bootstrap(BootstrapRequest {}).await;
-    Ok(show(&group.call(unwrapped(call)).await?))
+    Ok(print_answer(&group.call(unwrapped(call)).await?))
 }
 
-async fn apply(group: &Group, order: &Order, object: &Object) -> Result<Verdict, Fault> {
-    let command = match name(object) {
-        Some((kind, id)) => with_expected(group, &order.command, kind, id).await?,
-        None => order.command.clone(),
+async fn apply(
+    group: &Group,
+    invocation: &Invocation,
+    object: &Object,
+) -> Result<exit::Status, Error> {
+    let command = match object_key(object) {
+        Some((kind, id)) => fill_expected(group, &invocation.command, kind, id).await?,
+        None => invocation.command.clone(),
     };
     let request = ApplyRequest {
         command: Some(command),
         object: Some(object.clone()),
-        wait_ms: order.wait_ms,
+        wait_ms: invocation.wait_ms,
     };
     let call = async |mut client: Client| client.apply(request.clone()).await;
-    Ok(conclude(order, &group.call(unwrapped(call)).await?))
+    Ok(print_change(
+        invocation,
+        &group.call(unwrapped(call)).await?,
+    ))
 }
 
-async fn delete(group: &Group, order: &Order, kind: Kind, id: &str) -> Result<Verdict, Fault> {
+async fn delete(
+    group: &Group,
+    invocation: &Invocation,
+    kind: Kind,
+    id: &str,
+) -> Result<exit::Status, Error> {
     let request = DeleteRequest {
-        command: Some(with_expected(group, &order.command, kind, id).await?),
+        command: Some(fill_expected(group, &invocation.command, kind, id).await?),
         kind: kind.into(),
         id: id.to_owned(),
-        wait_ms: order.wait_ms,
+        wait_ms: invocation.wait_ms,
     };
     let call = async |mut client: Client| client.delete(request.clone()).await;
-    Ok(conclude(order, &group.call(unwrapped(call)).await?))
+    Ok(print_change(
+        invocation,
+        &group.call(unwrapped(call)).await?,
+    ))
 }
 
-async fn regroup(group: &Group, order: &Order, replica: &Replica) -> Result<Verdict, Fault> {
+async fn change_replica(
+    group: &Group,
+    invocation: &Invocation,
+    replica: &Replica,
+) -> Result<exit::Status, Error> {
     let request = ReplicaRequest {
-        command: Some(order.command.clone()),
+        command: Some(invocation.command.clone()),
         step: replica.step.into(),
         replica: replica.id.clone(),
         address: replica.address.clone(),
     };
     let call = async |mut client: Client| client.replica(request.clone()).await;
-    Ok(conclude(order, &group.call(unwrapped(call)).await?))
+    Ok(print_change(
+        invocation,
+        &group.call(unwrapped(call)).await?,
+    ))
 }
 
 /// Fills in the present revision of the object, when none is given.
 ///
 /// That is safe only because the command id is fresh in this run: whatever is sent again carries
 /// the revision that was read before the first time.
-async fn with_expected(
+async fn fill_expected(
     group: &Group,
     command: &Command,
     kind: Kind,
     id: &str,
-) -> Result<Command, Fault> {
+) -> Result<Command, Error> {
     if command.expected.is_some() {
         return Ok(command.clone());
     }
@@ -210,8 +244,8 @@
     let call = async |mut client: Client| client.get(request.clone()).await;
     let current = match group.call(unwrapped(call)).await {
         Ok(record) => record.revision,
-        Err(Fault::Refused(status)) if status.code() == Code::NotFound => absent(&status),
-        Err(fault) => return Err(fault),
+        Err(Error::Refused(status)) if status.code() == Code::NotFound => absent_revision(&status),
+        Err(error) => return Err(error),
     };
     Ok(Command {
         expected: Some(current),
@@ -219,8 +253,8 @@
     })
 }
 
-fn absent(status: &Status) -> u64 {
-    let current = status.metadata().get(metadata::CURRENT);
+fn absent_revision(status: &Status) -> u64 {
+    let current = status.metadata().get(metadata::CURRENT_REVISION);
     let current = current.and_then(|current| current.to_str().ok()?.parse().ok());
     current.unwrap_or_default()
 }
@@ -232,7 +266,7 @@
     }
 }
 
-fn name(object: &Object) -> Option<(Kind, &str)> {
+fn object_key(object: &Object) -> Option<(Kind, &str)> {
     use object::Object as Api;
     Some(match object.object.as_ref()? {
         Api::Client(client) => (Kind::Client, &client.id),
@@ -245,11 +279,11 @@
 }
 
 /// Prints the status as the leader sees it, or as the first that answers sees it.
-async fn status(group: &Group, local: bool) -> Result<Verdict, Fault> {
+async fn status(group: &Group, local: bool) -> Result<exit::Status, Error> {
     let call = async |mut client: Client| client.status(StatusRequest {}).await;
     let first = group.call(unwrapped(call)).await?;
     if local {
-        return Ok(show(&first));
+        return Ok(print_answer(&first));
     }
     let leader = [first.leader.clone()];
     let others = group.addresses().iter().chain(&leader);
@@ -259,25 +293,25 @@
         };
         if let Ok(status) = client.status(StatusRequest {}).await {
             let status = status.into_inner();
-            if leads(&status) {
-                return Ok(show(&status));
+            if is_from_leader(&status) {
+                return Ok(print_answer(&status));
             }
         }
     }
-    Ok(show(&first))
+    Ok(print_answer(&first))
 }
 
 /// Tells whether a status is the leader's own: only a leader hears the others.
-fn leads(status: &SystemStatus) -> bool {
-    let own = |replica: &&zinniastall_api::operator::ReplicaStatus| replica.heard_ms == 0;
+fn is_from_leader(status: &SystemStatus) -> bool {
+    let is_self = |replica: &&zinniastall_api::operator::ReplicaStatus| replica.heard_ms == 0;
     status
         .replicas
         .iter()
-        .filter(own)
+        .filter(is_self)
         .any(|replica| replica.leader)
 }
 
-async fn follow(group: &Group, watch: &Watch) -> Result<Verdict, Fault> {
+async fn follow(group: &Group, watch: &Watch) -> Result<exit::Status, Error> {
     let mut after = watch.after;
     let mut left = watch.count;
     loop {
@@ -292,13 +326,13 @@
             print(&event);
             left = left.map(|left| left.saturating_sub(1));
             if left == Some(0) {
-                return Ok(Verdict::Accepted);
+                return Ok(exit::Status::Accepted);
             }
         }
     }
 }
 
-fn conclude(order: &Order, response: &ChangeResponse) -> Verdict {
+fn print_change(invocation: &Invocation, response: &ChangeResponse) -> exit::Status {
     #[derive(Debug, Serialize)]
     struct Printed<'a> {
         command: &'a str,
@@ -306,15 +340,15 @@
         response: &'a ChangeResponse,
     }
     print(&Printed {
-        command: &order.command.id,
+        command: &invocation.command.id,
         response,
     });
     response.outcome().into()
 }
 
-fn show<T: Answer + Serialize>(answer: &T) -> Verdict {
+fn print_answer<T: Answer + Serialize>(answer: &T) -> exit::Status {
     print(answer);
-    Verdict::Accepted
+    exit::Status::Accepted
 }
 
 fn print(value: &impl Serialize) {
--- a/crates/zinniastall-ctl/tests/command_line.rs
+++ b/crates/zinniastall-ctl/tests/command_line.rs
@@ -10,20 +10,20 @@
     Action::parse(line.split(' ').map(Into::into))
 }
 
-macro_rules! understood {
+macro_rules! accepted {
     ($($name:ident: $line:literal => $call:pat,)*) => {
         $(#[test]
         fn $name() {
-            let Ok(Action::Run(order)) = parse(concat!("--address 127.0.0.1:1 ", $line)) else {
+            let Ok(Action::Run(invocation)) = parse(concat!("--address 127.0.0.1:1 ", $line)) else {
                 panic!("not understood: {}", $line);
             };
-            assert!(matches!(order.call, $call), "{order:?}");
-            assert!(!order.command.id.is_empty());
+            assert!(matches!(invocation.call, $call), "{invocation:?}");
+            assert!(!invocation.command.id.is_empty());
         })*
     };
 }
 
-understood! {
+accepted! {
     bootstrap: "bootstrap" => Call::Bootstrap,
     apply: r#"apply {"client":{"id":"studio"}}"# => Call::Apply(_),
     get: "get model m" => Call::Get(..),
@@ -44,12 +44,12 @@
 }
 
 refused! {
-    no_address: "status" => Error::Address,
-    no_such_call: "--address a:1 frobnicate" => Error::Call(_),
-    no_such_kind: "--address a:1 list cats" => Error::Kind(_),
-    left_over: "--address a:1 status now" => Error::Left(_),
-    resend_without_revision: "--address a:1 --command c1 delete model m" => Error::Expected,
-    admit_without_address: "--address a:1 replica admit 00ff" => Error::Argument(_),
-    misspelt_field: r#"--address a:1 apply {"client":{"idd":"x"}}"# => Error::Object(input::Fault::Unknown(_)),
-    no_object: "--address a:1 apply {}" => Error::Object(input::Fault::Kind),
+    no_address: "status" => Error::MissingAddress,
+    no_such_call: "--address a:1 frobnicate" => Error::UnknownCall(_),
+    no_such_kind: "--address a:1 list cats" => Error::UnknownKind(_),
+    left_over: "--address a:1 status now" => Error::UnexpectedArgument(_),
+    resend_without_revision: "--address a:1 --command c1 delete model m" => Error::MissingExpected,
+    admit_without_address: "--address a:1 replica admit 00ff" => Error::MissingArgument(_),
+    misspelt_field: r#"--address a:1 apply {"client":{"idd":"x"}}"# => Error::Object(input::Error::UnknownField(_)),
+    no_object: "--address a:1 apply {}" => Error::Object(input::Error::MissingKind),
 }
--- a/crates/zinniastall-ctl/tests/explain.rs
+++ b/crates/zinniastall-ctl/tests/explain.rs
@@ -3,16 +3,16 @@
 use std::{fs, path::PathBuf, process::Command};
 
 use serde_json::Value;
-use zinniastall_ctl::explain::{line::Line, read, tell};
+use zinniastall_ctl::explain::{line::Line, read, reconstruct};
 
-fn kept(name: &str) -> PathBuf {
+fn sample_log(name: &str) -> PathBuf {
     let root = PathBuf::from(env!("CARGO_MANIFEST_DIR"));
     root.join("../../docs/operations").join(name)
 }
 
 /// Returns the id of the request that a kept log is about.
-fn id(log: &str) -> String {
-    let text = fs::read_to_string(kept(log)).expect("the log is kept");
+fn request_id(log: &str) -> String {
+    let text = fs::read_to_string(sample_log(log)).expect("the log is kept");
     let lines = read(text.as_bytes()).expect("the log can be read");
     let line = lines.iter().find(|line| !line.field("id").is_empty());
     line.expect("a line has an id").field("id").to_owned()
@@ -21,18 +21,18 @@
 /// Runs the command that the page shows.
 fn explain(log: &str) -> Value {
     let output = Command::new(env!("CARGO_BIN_EXE_zinniastall-ctl"))
-        .args(["--json", "explain", &id(log)])
-        .arg(kept(log))
+        .args(["--json", "explain", &request_id(log)])
+        .arg(sample_log(log))
         .output()
         .expect("the command runs");
     assert!(output.status.success(), "{output:?}");
     serde_json::from_slice(&output.stdout).expect("the story is JSON")
 }
 
-fn step<'a>(story: &'a Value, event: &str) -> &'a Value {
-    let steps = story["steps"].as_array().expect("a story has steps");
+fn step<'a>(timeline: &'a Value, event: &str) -> &'a Value {
+    let steps = timeline["steps"].as_array().expect("a story has steps");
     let step = steps.iter().find(|step| step["event"] == event);
-    step.unwrap_or_else(|| panic!("no {event} in {story}"))
+    step.unwrap_or_else(|| panic!("no {event} in {timeline}"))
 }
 
 fn number(step: &Value, field: &str) -> u64 {
@@ -44,9 +44,9 @@
 /// objective, and when the request should have come back.
 #[test]
 fn a_refusal_names_the_queue() {
-    let story = explain("refused.log");
-    assert_eq!(story["end"], "not-sent");
-    let given_up = step(&story, "given-up");
+    let timeline = explain("refused.log");
+    assert_eq!(timeline["end"], "not-sent");
+    let given_up = step(&timeline, "given-up");
     assert!(number(given_up, "wait_ms") * 10 > number(given_up, "objective_ms") * 8);
     assert!(number(given_up, "retry_after_ms") > 0);
 }
@@ -54,13 +54,13 @@
 /// A user complains of a 502. The log names the target that closed without an answer.
 #[test]
 fn an_unknown_outcome_names_the_target() {
-    let story = explain("unknown.log");
-    assert_eq!(story["end"], "unknown");
-    let attempt = step(&story, "attempt");
+    let timeline = explain("unknown.log");
+    assert_eq!(timeline["end"], "unknown");
+    let attempt = step(&timeline, "attempt");
     let outcome = attempt["fields"]["outcome"].as_str().unwrap_or_default();
-    assert!(["unknown", "broken"].contains(&outcome), "{story}");
+    assert!(["unknown", "broken"].contains(&outcome), "{timeline}");
     assert_eq!(
-        step(&story, "placed")["fields"]["place"],
+        step(&timeline, "placed")["fields"]["place"],
         attempt["fields"]["place"]
     );
 }
@@ -68,23 +68,23 @@
 /// A user complains of a late answer. The log shows that it went to another region and for how long it
 /// waited there.
 #[test]
-fn a_late_answer_names_its_way() {
-    let story = explain("late.log");
-    assert_eq!(step(&story, "placed")["fields"]["far"], "true");
-    let mut ended = story["steps"].as_array().expect("steps").iter();
+fn a_late_answer_shows_where_it_waited() {
+    let timeline = explain("late.log");
+    assert_eq!(step(&timeline, "placed")["fields"]["far"], "true");
+    let mut ended = timeline["steps"].as_array().expect("steps").iter();
     let ended = ended
         .rfind(|step| step["event"] == "request-ended")
         .expect("an end");
     assert!(
         number(ended, "first_ms") > number(ended, "objective_ms"),
-        "{story}"
+        "{timeline}"
     );
 }
 
 #[test]
-fn a_request_that_no_line_names_is_told_apart() {
+fn an_unknown_request_has_no_timeline() {
     assert_eq!(
-        tell(
+        reconstruct(
             "nobody",
             &read(&b"ts=1 event=x id=other"[..]).expect("a log")
         ),
@@ -103,16 +103,16 @@
         ("placed", "two words", "")
     );
     let named = line(&format!("edge-1 {own}"));
-    assert_eq!((named.process.as_str(), named.at), ("edge-1", bare.at));
+    assert_eq!((named.process.as_str(), named.time), ("edge-1", bare.time));
     let timed = line(&format!("  -9.25 edge-1 {own}"));
-    assert_eq!((timed.process.as_str(), timed.at), ("edge-1", -9.25));
+    assert_eq!((timed.process.as_str(), timed.time), ("edge-1", -9.25));
     assert_eq!(Line::parse("no line of a log"), None);
 }
 
 /// What a process came to believe of the target that the request met is part of its story; what it came
 /// to believe of others, or what other processes believe, is not.
 #[test]
-fn beliefs_are_told_where_they_matter() {
+fn only_related_state_changes_are_included() {
     let log = "\
         1.0 edge-1 ts=1 event=target target=t1 state=ready\n\
         1.1 edge-1 ts=1 event=target target=t2 state=ready\n\
@@ -121,31 +121,35 @@
         2.5 edge-1 ts=1 event=target-out target=t1 why=unknown\n\
         3.0 edge-1 ts=1 event=request-ended id=a outcome=unknown\n\
         4.0 edge-1 ts=1 event=target target=t1 state=gone\n";
-    let story = tell("a", &read(log.as_bytes()).expect("a log")).expect("a story");
-    let events: Vec<&str> = story.steps.iter().map(|step| step.event.as_str()).collect();
+    let timeline = reconstruct("a", &read(log.as_bytes()).expect("a log")).expect("a story");
+    let events: Vec<&str> = timeline
+        .steps
+        .iter()
+        .map(|step| step.event.as_str())
+        .collect();
     assert_eq!(events, ["target", "placed", "target-out", "request-ended"]);
-    assert_eq!(story.end.as_deref(), Some("unknown"));
+    assert_eq!(timeline.end.as_deref(), Some("unknown"));
 }
 
 /// A request was passed on to another region. Both instances write how it ended, in logs of their own that come in
 /// any order and from clocks that differ; what its caller saw is what the instance says to which it came.
 #[test]
 fn the_end_is_what_the_caller_saw() {
-    let near = "\
+    let receiver = "\
         2.5 edge-1 ts=1 event=request-ended id=a outcome=left passed_on=false\n";
-    let far = "\
+    let forwarded = "\
         2.4 edge-9 ts=1 event=request-ended id=a outcome=answered passed_on=true\n\
         9.0 edge-9 ts=1 event=request-ended id=b outcome=answered passed_on=true\n";
-    let later = "\
+    let forwarded_later = "\
         2.6 edge-9 ts=1 event=request-ended id=a outcome=answered passed_on=true\n";
     for log in [
-        [near, far].concat(),
-        [far, near].concat(),
-        [near, later].concat(),
+        [receiver, forwarded].concat(),
+        [forwarded, receiver].concat(),
+        [receiver, forwarded_later].concat(),
     ] {
         let lines = read(log.as_bytes()).expect("a log");
-        let story = tell("a", &lines).expect("a story");
-        assert_eq!(story.end.as_deref(), Some("left"), "{log}");
+        let timeline = reconstruct("a", &lines).expect("a story");
+        assert_eq!(timeline.end.as_deref(), Some("left"), "{log}");
     }
 }
 
@@ -156,6 +160,6 @@
         3.0 edge-2 ts=1 event=request-ended id=a outcome=answered passed_on=false\n\
         2.0 edge-1 ts=1 event=request-ended id=a outcome=not-run passed_on=false\n";
     let lines = read(log.as_bytes()).expect("a log");
-    let story = tell("a", &lines).expect("a story");
-    assert_eq!(story.end.as_deref(), Some("answered"));
+    let timeline = reconstruct("a", &lines).expect("a story");
+    assert_eq!(timeline.end.as_deref(), Some("answered"));
 }
