--- a/crates/zinniastall-control/src/control.rs
+++ b/crates/zinniastall-control/src/control.rs
@@ -5,10 +5,10 @@
 //! sent goes to the peers, and what is committed is applied and published.
 
 mod apply;
+mod bootstrap;
 mod confirmed;
 mod drive;
 mod entries;
-mod found;
 mod group;
 mod heal;
 mod order;
@@ -42,80 +42,82 @@
     hello::Hello,
 };
 
-pub(crate) use self::found::FOUNDING;
+pub(crate) use self::bootstrap::FOUNDING;
 pub use self::{
+    bootstrap::{Bootstrap, BootstrapError, Founded},
     confirmed::Confirmed,
-    entries::Heard,
-    found::{Bootstrap, Founded, Refused},
-    group::Regroup,
-    heal::{Glance, Glimpse, Members, Reseed},
-    read::{Look, Read},
+    entries::Notice,
+    group::Reconfigure,
+    heal::{Members, Sample, SetSeeds, Stats},
+    read::{Read, View},
     remember::Remember,
-    repair::{Pace, STEP, next_step},
-    reply::{Later, NotLeader, Reply},
-    start::{Failure, Start, StartFault},
+    repair::{STEP_RETRY_INTERVAL, Throttle, next_step},
+    reply::{Deferred, NotLeader, Reply},
+    start::{Failure, Start, StartError},
     status::{Health, Inspect},
     stop::Stop,
     vouch::Vouch,
     write::Write,
 };
-use self::{read::Reads, status::Questions, vouch::Vouches, waiting::Waiting, write::Settling};
+use self::{
+    read::Reads, status::HealthQueries, vouch::Vouches, waiting::Waiting, write::Unconfirmed,
+};
 use crate::{
     disk::{Disk, Done},
-    links::Card,
+    links::Identity,
     orders::Orders,
     peers::{
         self, Peers, Received,
         datagram::{self, Arrived},
     },
-    recall::Told,
+    recall::Registry,
     settings,
 };
 
 /// Ticks within one heartbeat.
-const TICKS: u32 = 3;
+const TICKS_PER_HEARTBEAT: u32 = 3;
 
 /// A control instance's state, owned by the control arbiter.
 #[derive(Debug)]
 pub struct Control {
     settings: Arc<settings::Control>,
-    card: Card,
+    identity: Identity,
     replica: Replica,
     disk: Disk,
-    handed: u64,
+    submitted: u64,
     synced: u64,
     machine: Machine,
-    fresh: u64,
-    fresh_bytes: usize,
+    entries_since_snapshot: u64,
+    bytes_since_snapshot: usize,
     feed: watch::Sender<Feed>,
     peers: Peers,
-    others: IndexMap<Id, Other>,
-    told: Told,
+    replica_info: IndexMap<Id, ReplicaInfo>,
+    registry: Registry,
     waiting: Waiting,
-    settling: Vec<Settling>,
+    unconfirmed: Vec<Unconfirmed>,
     reads: Reads,
     vouches: Vouches,
-    questions: Questions,
+    health_queries: HealthQueries,
     confirmed: Confirmed,
     joining: IndexMap<String, Instant>,
     orders: Option<Orders>,
     founding: bool,
     heal: heal::Heal,
     scheduled: bool,
-    part: Role,
-    committed: Index,
+    role: Role,
+    known_commit: Index,
     failed: Option<oneshot::Sender<Failure>>,
 }
 
 /// What another replica says of itself on its links.
 #[derive(Debug)]
-struct Other {
+struct ReplicaInfo {
     /// Address of its interface for operators.
     service: String,
     zone: id::Zone,
 }
 
-impl From<Hello> for Other {
+impl From<Hello> for ReplicaInfo {
     fn from(hello: Hello) -> Self {
         Self {
             service: hello.service,
@@ -137,7 +139,7 @@
         self.replica.tick(now);
         self.drive();
         self.waiting.expire(now);
-        self.settle(now);
+        self.answer_confirmed(now);
         self.pass_on_confirmations();
         self.send_orders(now, context);
         self.heal(now, context);
@@ -152,7 +154,7 @@
     type Context = Context<Self>;
 
     fn started(&mut self, context: &mut Self::Context) {
-        context.run_interval(self.heartbeat() / TICKS, Self::tick);
+        context.run_interval(self.heartbeat() / TICKS_PER_HEARTBEAT, Self::tick);
     }
 }
 
@@ -185,7 +187,11 @@
     type Result = ();
 
     fn handle(&mut self, received: Received, context: &mut Context<Self>) {
-        let Received { hello, frame, back } = received;
+        let Received {
+            hello,
+            frame,
+            reply_queue,
+        } = received;
         let own = self.replica.id();
         if frame.to != own && frame.to != 0 {
             return;
@@ -195,23 +201,23 @@
             return;
         };
         if frame.from != 0 {
-            self.others.insert(frame.from, hello.into());
-            self.peers.note(frame.from, back.clone());
+            self.replica_info.insert(frame.from, hello.into());
+            self.peers.set_reply_queue(frame.from, reply_queue.clone());
         }
         match message {
             peers::Message::Ping => {
-                drop(back.try_send(addressed(own, frame.from, &peers::Message::Pong)));
+                drop(reply_queue.try_send(addressed(own, frame.from, &peers::Message::Pong)));
             }
             peers::Message::Confirmed(list) => self.note_confirmed(list),
             peers::Message::Join(member) => self.join(member),
-            peers::Message::Vouch { ask } => self.vouch_for_peer(ask, frame.from, back),
+            peers::Message::Vouch { ask } => self.vouch_for_peer(ask, frame.from, reply_queue),
             peers::Message::Vouched { ask, revision } => self.vouches.answered(ask, revision),
             peers::Message::Astray(list) => self.note_astray(list),
-            peers::Message::Remember(targets) => self.told.hear(targets, Instant::now()),
+            peers::Message::Remember(targets) => self.registry.record(targets, Instant::now()),
             peers::Message::Log(message) if !self.founding => {
                 self.replica.receive(frame.from, *message, Instant::now());
             }
-            peers::Message::Admit { id, address } => self.note_asking(id, address),
+            peers::Message::Admit { id, address } => self.note_join_request(id, address),
             peers::Message::Log(_) | peers::Message::Pong => {}
         }
         self.schedule(context);
--- a/crates/zinniastall-control/src/control/apply.rs
+++ b/crates/zinniastall-control/src/control/apply.rs
@@ -20,7 +20,7 @@
 
 /// Bytes of applied commands after which a snapshot is made even before its entries are due. Tables of
 /// hundreds of routes are some 100 KB each; a thousand of them would be held in memory and on disk.
-const SNAPSHOT_BYTES: usize = 2 << 20;
+const MAX_BYTES_SINCE_SNAPSHOT: usize = 2 << 20;
 
 impl Control {
     /// Applies committed entries in order.
@@ -30,23 +30,24 @@
             let reply = match &entry.payload {
                 Payload::Noop => None,
                 Payload::Voters(_) => {
-                    self.meet();
+                    self.update_peers();
                     Some(Answer::Done {
                         revision: 0,
                         narrows: false,
                     })
                 }
                 Payload::Command(command) => {
-                    self.fresh_bytes += command.len();
-                    self.run(command)
+                    self.bytes_since_snapshot += command.len();
+                    self.apply_command(command)
                 }
             };
             self.answer_write(&entry, reply);
         }
-        self.fresh += count;
-        if self.fresh >= self.settings.limits.snapshot_entries || self.fresh_bytes >= SNAPSHOT_BYTES
+        self.entries_since_snapshot += count;
+        if self.entries_since_snapshot >= self.settings.limits.snapshot_entries
+            || self.bytes_since_snapshot >= MAX_BYTES_SINCE_SNAPSHOT
         {
-            (self.fresh, self.fresh_bytes) = (0, 0);
+            (self.entries_since_snapshot, self.bytes_since_snapshot) = (0, 0);
             self.save_snapshot();
         }
     }
@@ -59,8 +60,8 @@
                 self.machine = machine;
                 let state = Arc::clone(self.machine.state()).stripped();
                 self.feed.send_modify(|feed| feed.restore(state));
-                self.waiting.skip(snapshot.last.index);
-                self.fresh = 0;
+                self.waiting.abandon_through(snapshot.last.index);
+                self.entries_since_snapshot = 0;
             }
             Err(error) => {
                 // Going on would apply later entries to a state that lacks earlier ones.
@@ -90,7 +91,7 @@
         status.leader.is_some() && status.commit > 0 && status.applied >= status.commit
     }
 
-    fn run(&mut self, command: &[u8]) -> Option<Answer> {
+    fn apply_command(&mut self, command: &[u8]) -> Option<Answer> {
         let change: Change = match ciborium::from_reader(command) {
             Ok(change) => change,
             Err(error) => {
@@ -125,7 +126,7 @@
             return;
         }
         match outcome {
-            Some(outcome) => self.conclude(&outcome, write.wait, write.reply),
+            Some(outcome) => self.finish_write(&outcome, write.wait, write.reply),
             None => answer(write.reply, Reply::Unknown),
         }
     }
@@ -137,6 +138,6 @@
             return;
         }
         let snapshot = self.replica.snapshot(data);
-        self.disk.hand(Work::Snapshot(Box::new(snapshot)));
+        self.disk.submit(Work::Snapshot(Box::new(snapshot)));
     }
 }
--- a/crates/zinniastall-control/src/control/found.rs
+++ b/crates/zinniastall-control/src/control/bootstrap.rs
@@ -10,7 +10,7 @@
 use zinniastall_store::Fault;
 use zinniastall_wire::{hello::Hello, link};
 
-use super::{Control, Later, hex, waiting::answer};
+use super::{Control, Deferred, hex, waiting::answer};
 use crate::{disk::Work, peers};
 
 /// What a founding instance says in place of its cluster, so that two that are told to found at
@@ -19,7 +19,7 @@
 
 /// Founds a cluster on this replica.
 #[derive(Debug, Message)]
-#[rtype(result = "Later<Result<Founded, Refused>>")]
+#[rtype(result = "Deferred<Result<Founded, BootstrapError>>")]
 pub struct Bootstrap;
 
 /// A founded cluster.
@@ -33,16 +33,16 @@
 
 /// Why no cluster was founded.
 #[derive(Debug, thiserror::Error)]
-pub enum Refused {
+pub enum BootstrapError {
     /// This replica belongs to a cluster.
     #[error("this replica belongs to a cluster already")]
-    Belongs,
+    AlreadyMember,
     /// Another replica of the settings belongs to a cluster.
     #[error("{0} belongs to a cluster already; admit this replica there")]
-    Exists(String),
+    PeerHasCluster(String),
     /// Another replica of the settings cannot be asked.
     #[error("{address} cannot be asked whether it belongs to a cluster: {error}")]
-    Silent {
+    PeerUnreachable {
         /// Its address.
         address: String,
         /// Why.
@@ -50,7 +50,7 @@
     },
     /// It is being founded.
     #[error("a cluster is being founded")]
-    Busy,
+    InProgress,
     /// The disk refused.
     #[error(transparent)]
     Disk(#[from] Fault),
@@ -60,10 +60,10 @@
     type Result = MessageResult<Bootstrap>;
 
     fn handle(&mut self, _: Bootstrap, context: &mut Context<Self>) -> Self::Result {
-        let (reply, later) = oneshot::channel();
+        let (reply, deferred) = oneshot::channel();
         if self.founding {
-            answer(reply, Err(Refused::Busy));
-            return MessageResult(later);
+            answer(reply, Err(BootstrapError::InProgress));
+            return MessageResult(deferred);
         }
         if self
             .replica
@@ -71,12 +71,12 @@
             .cluster
             .is_some()
         {
-            answer(reply, Err(Refused::Belongs));
-            return MessageResult(later);
+            answer(reply, Err(BootstrapError::AlreadyMember));
+            return MessageResult(deferred);
         }
         self.founding = true;
-        self.card.borrow_mut().cluster = Some(FOUNDING.to_owned());
-        let hello = self.card.borrow().clone();
+        self.identity.borrow_mut().cluster = Some(FOUNDING.to_owned());
+        let hello = self.identity.borrow().clone();
         let peers = self
             .settings
             .peers
@@ -85,24 +85,24 @@
             .collect();
         let asked = ask_all(peers, hello).into_actor(self);
         context.spawn(asked.map(|verdict, control, _| control.found(verdict, reply)));
-        MessageResult(later)
+        MessageResult(deferred)
     }
 }
 
 impl Control {
     fn found(
         &mut self,
-        verdict: Result<(), Refused>,
-        reply: oneshot::Sender<Result<Founded, Refused>>,
+        verdict: Result<(), BootstrapError>,
+        reply: oneshot::Sender<Result<Founded, BootstrapError>>,
     ) {
         match verdict {
-            Ok(()) => self.disk.hand(Work::Found {
-                address: self.card.borrow().links.clone(),
+            Ok(()) => self.disk.submit(Work::Found {
+                address: self.identity.borrow().links.clone(),
                 reply,
             }),
             Err(refused) => {
                 self.founding = false;
-                self.meet();
+                self.update_peers();
                 answer(reply, Err(refused));
             }
         }
@@ -111,9 +111,9 @@
     /// Starts as the only voter of a new cluster.
     pub(super) fn founded(&mut self, founded: crate::disk::Founded) {
         self.founding = false;
-        let outcome = founded.outcome.map_err(Refused::from);
+        let outcome = founded.outcome.map_err(BootstrapError::from);
         let answered = outcome.map(|restored| self.rebuild(restored));
-        self.meet();
+        self.update_peers();
         answer(founded.reply, answered);
     }
 
@@ -134,7 +134,7 @@
         // The same timings built the replica before, so they fit.
         if let Ok(replica) = built {
             self.replica = replica;
-            (self.handed, self.synced) = (0, 0);
+            (self.submitted, self.synced) = (0, 0);
         }
         tracing::info!(event = "cluster-founded", cluster);
         Founded {
@@ -146,7 +146,7 @@
 
 /// Asks every other replica of the settings. One that can't be asked might belong to a cluster, and
 /// founding a second one beside it would part the system for good.
-async fn ask_all(addresses: Vec<String>, hello: Hello) -> Result<(), Refused> {
+async fn ask_all(addresses: Vec<String>, hello: Hello) -> Result<(), BootstrapError> {
     let ask = async |address: String| {
         let answer = peers::ask_cluster(&address, hello.clone()).await;
         (address, answer)
@@ -154,8 +154,8 @@
     for (address, answer) in join_all(addresses.into_iter().map(ask)).await {
         match answer {
             Ok(None) => {}
-            Ok(Some(_)) => return Err(Refused::Exists(address)),
-            Err(error) => return Err(Refused::Silent { address, error }),
+            Ok(Some(_)) => return Err(BootstrapError::PeerHasCluster(address)),
+            Err(error) => return Err(BootstrapError::PeerUnreachable { address, error }),
         }
     }
     Ok(())
--- a/crates/zinniastall-control/src/control/confirmed.rs
+++ b/crates/zinniastall-control/src/control/confirmed.rs
@@ -8,7 +8,7 @@
 
 /// An instance's last word.
 #[derive(Debug, Clone)]
-struct Word {
+struct Latest {
     confirmation: Confirmation,
     heard: Instant,
 }
@@ -19,35 +19,35 @@
 /// until it does it names them as missing, which is the safe side.
 #[derive(Debug, Default)]
 pub struct Confirmed {
-    words: IndexMap<id::Instance, Word>,
-    news: IndexSet<id::Instance>,
+    latest: IndexMap<id::Instance, Latest>,
+    unsent: IndexSet<id::Instance>,
 }
 
 impl Confirmed {
     /// Notes a confirmation of a member; what an earlier run of it says late is dropped.
     pub fn note(&mut self, confirmation: Confirmation, now: Instant) {
         let instance = confirmation.instance.clone();
-        if let Some(word) = self.words.get(&instance) {
-            let held = &word.confirmation;
+        if let Some(latest) = self.latest.get(&instance) {
+            let held = &latest.confirmation;
             let is_late = (confirmation.incarnation, confirmation.revision)
                 < (held.incarnation, held.revision);
             if is_late {
                 return;
             }
         }
-        self.news.insert(instance.clone());
-        let word = Word {
+        self.unsent.insert(instance.clone());
+        let latest = Latest {
             confirmation,
             heard: now,
         };
-        self.words.insert(instance, word);
+        self.latest.insert(instance, latest);
     }
 
     /// Forgets instances that are no members any more, so that replaced ones leave no residue.
     pub fn retain(&mut self, state: &State) {
-        self.words
+        self.latest
             .retain(|instance, _| state.members.contains_key(instance));
-        self.news
+        self.unsent
             .retain(|instance| state.members.contains_key(instance));
     }
 
@@ -55,8 +55,8 @@
     /// everywhere from the start, there are none.
     pub fn missing(&self, state: &State, revision: id::Revision) -> Vec<id::Instance> {
         let confirmed = |instance: &id::Instance| {
-            let word = self.words.get(instance);
-            revision == 0 || word.is_some_and(|word| word.confirmation.revision >= revision)
+            let latest = self.latest.get(instance);
+            revision == 0 || latest.is_some_and(|latest| latest.confirmation.revision >= revision)
         };
         let mut members = state.members.keys();
         members
@@ -67,16 +67,18 @@
     }
 
     /// Returns an instance's last word and how long ago it was heard.
-    pub fn word(&self, instance: &str, now: Instant) -> Option<(&Confirmation, Duration)> {
-        let word = self.words.get(instance)?;
-        let age = now.saturating_duration_since(word.heard);
-        Some((&word.confirmation, age))
+    pub fn latest(&self, instance: &str, now: Instant) -> Option<(&Confirmation, Duration)> {
+        let latest = self.latest.get(instance)?;
+        let age = now.saturating_duration_since(latest.heard);
+        Some((&latest.confirmation, age))
     }
 
     /// Takes what was heard since the last call, to be passed on to the leader.
-    pub fn take_news(&mut self) -> Vec<Confirmation> {
-        let news = std::mem::take(&mut self.news);
-        let words = news.iter().filter_map(|instance| self.words.get(instance));
-        words.map(|word| word.confirmation.clone()).collect()
+    pub fn take_unsent(&mut self) -> Vec<Confirmation> {
+        let unsent = std::mem::take(&mut self.unsent);
+        let latest = unsent
+            .iter()
+            .filter_map(|instance| self.latest.get(instance));
+        latest.map(|latest| latest.confirmation.clone()).collect()
     }
 }
--- a/crates/zinniastall-control/src/control/drive.rs
+++ b/crates/zinniastall-control/src/control/drive.rs
@@ -19,29 +19,29 @@
             self.perform(ready, now);
         }
         self.publish();
-        self.check_part(now);
+        self.check_role(now);
         self.check_reads(now);
-        self.check_unled();
-        self.check_questions(now);
+        self.check_leaderless();
+        self.check_health_queries(now);
     }
 
     fn perform(&mut self, mut ready: Ready, now: Instant) {
         let messages = std::mem::take(&mut ready.messages);
         let committed = std::mem::take(&mut ready.committed);
-        let meets = ready.cluster.is_some();
+        let joins_cluster = ready.cluster.is_some();
         if let Some(snapshot) = ready.install.clone() {
             self.restore(&snapshot);
         }
-        if ready.needs_sync() || self.handed > self.synced {
-            self.handed = ready.batch;
-            self.disk.hand(Work::Save(Box::new(ready)));
+        if ready.needs_sync() || self.submitted > self.synced {
+            self.submitted = ready.batch;
+            self.disk.submit(Work::Save(Box::new(ready)));
         } else {
-            self.handed = ready.batch;
+            self.submitted = ready.batch;
             self.synced = ready.batch;
             self.replica.synced(ready.batch, now);
         }
-        if meets {
-            self.meet();
+        if joins_cluster {
+            self.update_peers();
         }
         let voters = self.replica.status(now).voters;
         for (to, message) in messages {
@@ -52,11 +52,11 @@
     }
 
     /// Dials the group as it is now, under the cluster that is known now.
-    pub(super) fn meet(&mut self) {
+    pub(super) fn update_peers(&mut self) {
         let status = self.replica.status(Instant::now());
         let cluster = status.cluster.map(hex);
-        self.card.borrow_mut().cluster = cluster;
-        let hello = self.card.borrow().clone();
+        self.identity.borrow_mut().cluster = cluster;
+        let hello = self.identity.borrow().clone();
         let others = status.voters.members().filter(|id| *id != status.id);
         let mut addresses: Vec<String> = others
             .filter_map(|id| status.voters.address(id).cloned())
@@ -68,7 +68,8 @@
             let fresh = seeds.filter(|seed| **seed != hello.links && !addresses.contains(*seed));
             addresses.extend(fresh.cloned().collect::<Vec<_>>());
         }
-        self.others.retain(|id, _| status.voters.is_member(*id));
+        self.replica_info
+            .retain(|id, _| status.voters.is_member(*id));
         self.peers.dial(&hello, &addresses);
     }
 
@@ -84,25 +85,26 @@
     /// Notes what is known to be committed by the word of a majority, before there is a leader.
     fn check_commit(&mut self, status: &Status) {
         let is_led = status.leader.is_some() || status.role == Role::Leader;
-        if !is_led && status.commit > self.committed {
+        if !is_led && status.commit > self.known_commit {
             let (index, term) = (status.commit, status.term);
             tracing::info!(event = "log-known", index, term);
         }
-        self.committed = status.commit;
+        self.known_commit = status.commit;
     }
 
-    fn check_part(&mut self, now: Instant) {
+    fn check_role(&mut self, now: Instant) {
         let status = self.replica.status(now);
         self.check_commit(&status);
-        if status.role == self.part {
+        if status.role == self.role {
             return;
         }
         let (part, term) = (format!("{:?}", status.role).to_lowercase(), status.term);
         tracing::info!(event = "part-changed", part, term);
-        if self.part == Role::Leader {
-            self.waiting.hurry(now + self.settings.timing.election * 2);
+        if self.role == Role::Leader {
+            self.waiting
+                .shorten_deadlines(now + self.settings.timing.election * 2);
         }
-        self.part = status.role;
+        self.role = status.role;
     }
 }
 
--- a/crates/zinniastall-control/src/control/entries.rs
+++ b/crates/zinniastall-control/src/control/entries.rs
@@ -15,12 +15,12 @@
 use crate::peers;
 
 /// Time within which a joining instance is not proposed a second time.
-const JOINING: Duration = Duration::from_millis(500);
+const JOIN_PROPOSAL_INTERVAL: Duration = Duration::from_millis(500);
 
 /// An entry instance was heard.
 #[derive(Debug, Message)]
 #[rtype(result = "()")]
-pub enum Heard {
+pub enum Notice {
     /// It presented itself.
     Member(Member),
     /// Revisions are in force.
@@ -29,14 +29,14 @@
     Astray(Vec<Astray>),
 }
 
-impl Handler<Heard> for Control {
+impl Handler<Notice> for Control {
     type Result = ();
 
-    fn handle(&mut self, heard: Heard, context: &mut Context<Self>) {
-        match heard {
-            Heard::Member(member) => self.join(member),
-            Heard::Confirmed(list) => self.note_confirmed(list),
-            Heard::Astray(list) => self.note_astray(list),
+    fn handle(&mut self, notice: Notice, context: &mut Context<Self>) {
+        match notice {
+            Notice::Member(member) => self.join(member),
+            Notice::Confirmed(list) => self.note_confirmed(list),
+            Notice::Astray(list) => self.note_astray(list),
         }
         self.schedule(context);
     }
@@ -49,11 +49,12 @@
             return;
         }
         let now = Instant::now();
-        self.joining.retain(|_, since| now < *since + JOINING);
+        self.joining
+            .retain(|_, since| now < *since + JOIN_PROPOSAL_INTERVAL);
         if self.joining.contains_key(&member.instance) {
             return;
         }
-        if self.part != Role::Leader {
+        if self.role != Role::Leader {
             self.send_leader(&peers::Message::Join(member));
             return;
         }
@@ -81,16 +82,16 @@
                 self.confirmed.note(confirmation, now);
             }
         }
-        self.settle(now);
+        self.answer_confirmed(now);
     }
 
     /// Passes what was heard since the last time on to the leader.
     pub(super) fn pass_on_confirmations(&mut self) {
         let state = self.machine.state();
         self.confirmed.retain(state);
-        let news = self.confirmed.take_news();
-        if self.part != Role::Leader && !news.is_empty() {
-            self.send_leader(&peers::Message::Confirmed(news));
+        let unsent = self.confirmed.take_unsent();
+        if self.role != Role::Leader && !unsent.is_empty() {
+            self.send_leader(&peers::Message::Confirmed(unsent));
         }
     }
 
--- a/crates/zinniastall-control/src/control/group.rs
+++ b/crates/zinniastall-control/src/control/group.rs
@@ -10,24 +10,24 @@
 };
 
 use super::{
-    Control, Later,
+    Control, Deferred,
     reply::Reply,
     waiting::{self, answer},
 };
 
 /// A change of the control group.
 #[derive(Debug, Message)]
-#[rtype(result = "Later<Reply>")]
-pub struct Regroup(pub Change);
+#[rtype(result = "Deferred<Reply>")]
+pub struct Reconfigure(pub Change);
 
-impl Handler<Regroup> for Control {
-    type Result = MessageResult<Regroup>;
+impl Handler<Reconfigure> for Control {
+    type Result = MessageResult<Reconfigure>;
 
-    fn handle(&mut self, regroup: Regroup, context: &mut Context<Self>) -> Self::Result {
-        let (reply, later) = oneshot::channel();
+    fn handle(&mut self, reconfigure: Reconfigure, context: &mut Context<Self>) -> Self::Result {
+        let (reply, deferred) = oneshot::channel();
         let now = Instant::now();
         self.replica.tick(now);
-        match self.replica.propose_voters(&regroup.0, now) {
+        match self.replica.propose_voters(&reconfigure.0, now) {
             Ok((term, index)) => {
                 let write = waiting::Write {
                     term,
@@ -36,18 +36,18 @@
                     reply,
                 };
                 self.waiting.add(index, write);
-                self.meet();
+                self.update_peers();
             }
-            Err(refusal) => answer(reply, self.regroup_refused(&regroup.0, refusal)),
+            Err(refusal) => answer(reply, self.reconfigure_refused(&reconfigure.0, refusal)),
         }
         self.schedule(context);
-        MessageResult(later)
+        MessageResult(deferred)
     }
 }
 
 impl Control {
     /// Answers a change that is in place already as done: operators resend when an answer is lost.
-    fn regroup_refused(&self, change: &Change, refusal: Refusal) -> Reply {
+    fn reconfigure_refused(&self, change: &Change, refusal: Refusal) -> Reply {
         let voters = self.replica.status(Instant::now()).voters;
         let in_place = match (change, &refusal) {
             (Change::Admit { id, address }, Refusal::Voters(Error::Member(_))) => {
@@ -58,7 +58,7 @@
             _ => false,
         };
         if !in_place {
-            return self.refused(refusal);
+            return self.refusal_reply(refusal);
         }
         Reply::Done {
             revision: 0,
--- a/crates/zinniastall-control/src/control/heal.rs
+++ b/crates/zinniastall-control/src/control/heal.rs
@@ -16,38 +16,38 @@
 };
 
 use super::{
-    Bootstrap, Control, Regroup,
-    repair::{Pace, next_step},
+    Bootstrap, Control, Reconfigure,
+    repair::{Throttle, next_step},
 };
 use crate::peers;
 
 /// Time between two questions of a replica outside the group. Each is a frame to each replica; a lost disk is
 /// replaced that much later at most.
-const ASK: Duration = Duration::from_millis(100);
+const JOIN_REQUEST_INTERVAL: Duration = Duration::from_millis(100);
 /// Time after which a question that wasn't repeated is forgotten: many of them were lost.
-const ASKING: Duration = Duration::from_millis(1_500);
+const JOIN_REQUEST_TTL: Duration = Duration::from_millis(1_500);
 /// Time without a finished sync after which a leader hands over. Others' disks may be well, and
 /// nothing is acknowledged here meanwhile; an order has six seconds in all.
-const STALLED: Duration = Duration::from_millis(1_200);
+const DISK_STALL_TIMEOUT: Duration = Duration::from_millis(1_200);
 
 /// The seeds in the settings have changed.
 #[derive(Debug, Message)]
 #[rtype(result = "()")]
-pub struct Reseed(pub Vec<Address>);
+pub struct SetSeeds(pub Vec<Address>);
 
 /// What a replica keeps for forming and repairing its group.
 #[derive(Debug)]
 pub(super) struct Heal {
     seeds: Vec<Address>,
-    asking: IndexMap<Id, Asking>,
-    pace: Pace,
-    asked: Option<Instant>,
+    join_requests: IndexMap<Id, JoinRequest>,
+    throttle: Throttle,
+    last_join_request: Option<Instant>,
     stalled: Option<(u64, Instant)>,
 }
 
 /// A replica that asks to be taken in.
 #[derive(Debug, Clone)]
-struct Asking {
+struct JoinRequest {
     address: Address,
     since: Instant,
 }
@@ -56,9 +56,9 @@
     pub(super) fn new(seeds: Vec<Address>) -> Self {
         Self {
             seeds,
-            asking: IndexMap::new(),
-            pace: Pace::default(),
-            asked: None,
+            join_requests: IndexMap::new(),
+            throttle: Throttle::default(),
+            last_join_request: None,
             stalled: None,
         }
     }
@@ -68,13 +68,13 @@
     }
 
     /// Tells whether the disk has held the same batch up for too long.
-    fn is_stalled(&mut self, handed: u64, synced: u64, now: Instant) -> bool {
-        if handed <= synced {
+    fn is_stalled(&mut self, submitted: u64, synced: u64, now: Instant) -> bool {
+        if submitted <= synced {
             self.stalled = None;
             return false;
         }
         match self.stalled {
-            Some((batch, since)) if batch == synced => now >= since + STALLED,
+            Some((batch, since)) if batch == synced => now >= since + DISK_STALL_TIMEOUT,
             _ => {
                 self.stalled = Some((synced, now));
                 false
@@ -95,19 +95,21 @@
     }
 
     /// Notes that a replica asks to be taken in, or passes it on to the leader.
-    pub(super) fn note_asking(&mut self, id: Id, address: Address) {
+    pub(super) fn note_join_request(&mut self, id: Id, address: Address) {
         if !self.settings.group.heals || id == self.replica.id() {
             return;
         }
         let now = Instant::now();
         let voters = self.replica.status(now).voters;
-        let is_there = |other: Id| other != id && voters.address(other) == Some(&address);
-        if voters.members().any(is_there) {
-            self.peers.renew(id, &address);
+        let is_replaced = |other: Id| other != id && voters.address(other) == Some(&address);
+        if voters.members().any(is_replaced) {
+            self.peers.reopen(id, &address);
         }
-        if self.part == Role::Leader {
+        if self.role == Role::Leader {
             let since = now;
-            self.heal.asking.insert(id, Asking { address, since });
+            self.heal
+                .join_requests
+                .insert(id, JoinRequest { address, since });
         } else {
             self.send_leader(&peers::Message::Admit { id, address });
         }
@@ -115,10 +117,10 @@
 
     /// Takes the next step towards a whole group.
     pub(super) fn heal(&mut self, now: Instant, context: &mut Context<Self>) {
-        if self.part == Role::Leader && self.heal.is_stalled(self.handed, self.synced, now) {
+        if self.role == Role::Leader && self.heal.is_stalled(self.submitted, self.synced, now) {
             tracing::warn!(
                 event = "disk-stalled",
-                handed = self.handed,
+                handed = self.submitted,
                 synced = self.synced
             );
             self.heal.stalled = None;
@@ -133,45 +135,49 @@
             context.notify(Bootstrap);
         }
         if !status.voters.is_member(status.id) || status.removed {
-            self.ask(status.id, now);
+            self.request_join(status.id, now);
         } else if status.role == Role::Leader {
             self.repair(&status, now, context);
         }
     }
 
-    fn ask(&mut self, id: Id, now: Instant) {
-        if self.heal.asked.is_some_and(|asked| now < asked + ASK) {
+    fn request_join(&mut self, id: Id, now: Instant) {
+        if self
+            .heal
+            .last_join_request
+            .is_some_and(|asked| now < asked + JOIN_REQUEST_INTERVAL)
+        {
             return;
         }
-        self.heal.asked = Some(now);
-        self.meet();
-        let address = self.card.borrow().links.clone();
+        self.heal.last_join_request = Some(now);
+        self.update_peers();
+        let address = self.identity.borrow().links.clone();
         self.peers.broadcast(&peers::Message::Admit { id, address });
     }
 
     fn repair(&mut self, status: &Status, now: Instant, context: &mut Context<Self>) {
         self.heal
-            .asking
-            .retain(|_, asking| now < asking.since + ASKING);
-        let asking = self.heal.asking.iter();
-        let asking = asking.map(|(id, asking)| (*id, asking.address.clone()));
-        let step = next_step(status, &asking.collect());
-        let Some(change) = step.filter(|step| self.heal.pace.is_due(step, now)) else {
+            .join_requests
+            .retain(|_, request| now < request.since + JOIN_REQUEST_TTL);
+        let join_requests = self.heal.join_requests.iter();
+        let join_requests = join_requests.map(|(id, request)| (*id, request.address.clone()));
+        let step = next_step(status, &join_requests.collect());
+        let Some(change) = step.filter(|step| self.heal.throttle.is_due(step, now)) else {
             return;
         };
         tracing::info!(event = "group-repair", change = format!("{change:?}"));
-        context.notify(Regroup(change));
+        context.notify(Reconfigure(change));
     }
 }
 
 /// Asks how the replica is, for its figures.
 #[derive(Debug, Message)]
-#[rtype(result = "Glimpse")]
-pub struct Glance;
+#[rtype(result = "Stats")]
+pub struct Sample;
 
 /// How a replica is.
 #[derive(Debug, Clone)]
-pub struct Glimpse {
+pub struct Stats {
     /// The consensus.
     pub status: Status,
     /// Configuration as it is committed.
@@ -180,14 +186,14 @@
     pub unsynced: u64,
 }
 
-impl Handler<Glance> for Control {
-    type Result = MessageResult<Glance>;
+impl Handler<Sample> for Control {
+    type Result = MessageResult<Sample>;
 
-    fn handle(&mut self, _: Glance, _: &mut Context<Self>) -> Self::Result {
-        MessageResult(Glimpse {
+    fn handle(&mut self, _: Sample, _: &mut Context<Self>) -> Self::Result {
+        MessageResult(Stats {
             status: self.replica.status(Instant::now()),
             revision: self.machine.state().revision,
-            unsynced: self.handed.saturating_sub(self.synced),
+            unsynced: self.submitted.saturating_sub(self.synced),
         })
     }
 }
@@ -209,12 +215,12 @@
     }
 }
 
-impl Handler<Reseed> for Control {
+impl Handler<SetSeeds> for Control {
     type Result = ();
 
-    fn handle(&mut self, reseed: Reseed, _: &mut Context<Self>) {
-        tracing::info!(event = "seeds-changed", seeds = reseed.0.join(","));
-        self.heal.seeds = reseed.0;
-        self.meet();
+    fn handle(&mut self, seeds: SetSeeds, _: &mut Context<Self>) {
+        tracing::info!(event = "seeds-changed", seeds = seeds.0.join(","));
+        self.heal.seeds = seeds.0;
+        self.update_peers();
     }
 }
--- a/crates/zinniastall-control/src/control/order.rs
+++ b/crates/zinniastall-control/src/control/order.rs
@@ -17,9 +17,9 @@
 };
 
 /// Path of a target's interface for orders.
-const PATH: &str = "/v1/orders";
+const ORDERS_PATH: &str = "/v1/orders";
 /// Longest wait for an answer; a target may load weights before it answers.
-const ANSWER: Duration = Duration::from_mins(10);
+const ANSWER_TIMEOUT: Duration = Duration::from_mins(10);
 
 /// An order was answered, or no answer will come.
 #[derive(Debug, Message)]
@@ -39,7 +39,7 @@
 impl Control {
     /// Notes targets that do not hold what they should, or passes them on to the leader.
     pub(super) fn note_astray(&mut self, list: Vec<Astray>) {
-        if self.part != Role::Leader {
+        if self.role != Role::Leader {
             self.send_leader(&peers::Message::Astray(list));
             return;
         }
@@ -55,7 +55,7 @@
 
     /// Sends what is due, or forgets all orders when this replica does not lead.
     pub(super) fn send_orders(&mut self, now: Instant, context: &Context<Self>) {
-        if self.part != Role::Leader {
+        if self.role != Role::Leader {
             self.orders = None;
             return;
         }
@@ -98,15 +98,15 @@
         );
         return;
     }
-    pause(data);
+    pause_if_requested(data);
     let connector = awc::Connector::new().timeout(send);
     let client = awc::Client::builder()
         .connector(connector)
-        .timeout(ANSWER)
+        .timeout(ANSWER_TIMEOUT)
         .finish();
     let number = fence.to_u64();
     let answered = client
-        .post(format!("http://{}{PATH}", astray.address))
+        .post(format!("http://{}{ORDERS_PATH}", astray.address))
         .insert_header((header::FENCE, number.to_string()))
         .send_json(&order)
         .await;
@@ -130,7 +130,7 @@
 /// Stops here while a file says so, in test builds only: a test freezes the process exactly
 /// between the look at the lease and the write, where a freeze does most harm.
 #[cfg(debug_assertions)]
-fn pause(data: &Path) {
+fn pause_if_requested(data: &Path) {
     let file = data.join("pause-order");
     if !file.exists() {
         return;
@@ -142,4 +142,4 @@
 }
 
 #[cfg(not(debug_assertions))]
-const fn pause(_: &Path) {}
+const fn pause_if_requested(_: &Path) {}
--- a/crates/zinniastall-control/src/control/read.rs
+++ b/crates/zinniastall-control/src/control/read.rs
@@ -10,14 +10,14 @@
 use zinniastall_coord::replica::{Barrier, Refusal};
 use zinniastall_model::{id, state::State};
 
-use super::{Control, Later, reply::NotLeader, waiting::answer};
+use super::{Control, Deferred, reply::NotLeader, waiting::answer};
 
 /// Most reads that wait for a barrier at once.
-const READS: usize = 4096;
+const MAX_READS: usize = 4096;
 
 /// Asks for the configuration, as late as any change acknowledged before.
 #[derive(Debug, Message)]
-#[rtype(result = "Later<Result<Look, NotLeader>>")]
+#[rtype(result = "Deferred<Result<View, NotLeader>>")]
 pub struct Read {
     /// Revision whose confirmations are wanted; 0 for none.
     pub revision: id::Revision,
@@ -25,7 +25,7 @@
 
 /// What a read saw.
 #[derive(Debug, Clone)]
-pub struct Look {
+pub struct View {
     /// Configuration.
     pub state: Arc<State>,
     /// Whether the revision asked for narrows.
@@ -45,30 +45,30 @@
     read: Read,
     barrier: Option<Barrier>,
     deadline: Instant,
-    reply: oneshot::Sender<Result<Look, NotLeader>>,
+    reply: oneshot::Sender<Result<View, NotLeader>>,
 }
 
 impl Handler<Read> for Control {
     type Result = MessageResult<Read>;
 
     fn handle(&mut self, read: Read, context: &mut Context<Self>) -> Self::Result {
-        let later = self.read(read);
+        let deferred = self.read(read);
         self.schedule(context);
-        MessageResult(later)
+        MessageResult(deferred)
     }
 }
 
 impl Control {
     /// Reads now under a lease, or once a barrier has passed.
-    pub(super) fn read(&mut self, read: Read) -> Later<Result<Look, NotLeader>> {
-        let (reply, later) = oneshot::channel();
+    pub(super) fn read(&mut self, read: Read) -> Deferred<Result<View, NotLeader>> {
+        let (reply, deferred) = oneshot::channel();
         // The clock is read here and not when the call arrived: a process that was frozen in
         // between must find its lease run out before it answers.
         let now = Instant::now();
         let leased = !self.settings.clock_stops && self.replica.lease(now).is_some();
         if leased {
-            answer(reply, Ok(self.look(&read)));
-        } else if self.reads.waiting.len() < READS {
+            answer(reply, Ok(self.view(&read)));
+        } else if self.reads.waiting.len() < MAX_READS {
             let deadline = now + self.longest_read();
             self.reads.waiting.push(Waiting {
                 read,
@@ -79,14 +79,14 @@
         } else {
             answer(reply, Err(self.not_leader()));
         }
-        later
+        deferred
     }
 
     /// Answers the reads whose barrier has passed, and those that cannot be answered here.
     pub(super) fn check_reads(&mut self, now: Instant) {
         for mut waiting in std::mem::take(&mut self.reads.waiting) {
             match self.check(&mut waiting.barrier, now) {
-                Ok(true) => answer(waiting.reply, Ok(self.look(&waiting.read))),
+                Ok(true) => answer(waiting.reply, Ok(self.view(&waiting.read))),
                 Ok(false) if now < waiting.deadline => self.reads.waiting.push(waiting),
                 Ok(false) | Err(_) => answer(waiting.reply, Err(self.not_leader())),
             }
@@ -105,9 +105,9 @@
         self.replica.passed(&barrier)
     }
 
-    fn look(&self, read: &Read) -> Look {
+    fn view(&self, read: &Read) -> View {
         let state = Arc::clone(self.machine.state());
-        Look {
+        View {
             narrows: self.machine.narrows(read.revision),
             waiting: self.confirmed.missing(&state, read.revision),
             state,
--- a/crates/zinniastall-control/src/control/remember.rs
+++ b/crates/zinniastall-control/src/control/remember.rs
@@ -22,14 +22,14 @@
 impl Handler<Remember> for Control {
     type Result = ();
 
-    fn handle(&mut self, told: Remember, _: &mut Context<Self>) {
+    fn handle(&mut self, remember: Remember, _: &mut Context<Self>) {
         let voters = self.replica.status(std::time::Instant::now()).voters;
-        let message = peers::Message::Remember(told.targets);
-        let there = self
-            .others
+        let message = peers::Message::Remember(remember.targets);
+        let zone_replicas = self
+            .replica_info
             .iter()
-            .filter(|(_, other)| other.zone == told.zone);
-        for (id, _) in there {
+            .filter(|(_, other)| other.zone == remember.zone);
+        for (id, _) in zone_replicas {
             self.peers.send(*id, voters.address(*id), &message);
         }
     }
--- a/crates/zinniastall-control/src/control/reply.rs
+++ b/crates/zinniastall-control/src/control/reply.rs
@@ -5,7 +5,7 @@
 use zinniastall_model::{change::Invalid, id};
 
 /// An answer that comes later.
-pub type Later<T> = oneshot::Receiver<T>;
+pub type Deferred<T> = oneshot::Receiver<T>;
 
 /// This replica does not lead, or cannot be sure that it does.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
--- a/crates/zinniastall-control/src/control/start.rs
+++ b/crates/zinniastall-control/src/control/start.rs
@@ -17,14 +17,14 @@
 use zinniastall_wire::feed::Feed;
 
 use super::{
-    Confirmed, Control, heal::Heal, read::Reads, status::Questions, vouch::Vouches,
+    Confirmed, Control, heal::Heal, read::Reads, status::HealthQueries, vouch::Vouches,
     waiting::Waiting,
 };
 use crate::{
     disk::Disk,
-    links::Card,
+    links::Identity,
     peers::{self, Peers, datagram::Datagrams},
-    recall::Told,
+    recall::Registry,
     settings,
 };
 
@@ -34,7 +34,7 @@
     /// Checked settings.
     pub settings: Arc<settings::Control>,
     /// What this instance says of itself.
-    pub card: Card,
+    pub identity: Identity,
     /// The opened data folder.
     pub store: Store,
     /// What the folder held.
@@ -42,7 +42,7 @@
     /// Where datagrams between replicas are sent and received; without it links carry everything.
     pub datagrams: Option<UdpSocket>,
     /// What other replicas say of the targets of this availability zone.
-    pub told: Told,
+    pub registry: Registry,
     /// Where configuration is published.
     pub feed: watch::Sender<Feed>,
     /// Where a failure that ends the process is reported.
@@ -62,7 +62,7 @@
 
 /// Why a control instance cannot start.
 #[derive(Debug, thiserror::Error)]
-pub enum StartFault {
+pub enum StartError {
     /// The timings can't keep a group safe.
     #[error(transparent)]
     Timing(#[from] zinniastall_coord::election::Error),
@@ -80,7 +80,7 @@
     /// # Errors
     ///
     /// [`StartFault`] says what stands against it.
-    pub fn create(start: Start, context: &mut Context<Self>) -> Result<Self, StartFault> {
+    pub fn create(start: Start, context: &mut Context<Self>) -> Result<Self, StartError> {
         let settings = start.settings;
         let machine = match &start.restored.snapshot {
             Some(snapshot) => ciborium::from_reader(snapshot.data.as_slice())?,
@@ -100,7 +100,7 @@
         let replica = builder.build(Instant::now())?;
         let address = context.address();
         let timing = peers::Timing::new(settings.timing.election);
-        let hello = start.card.borrow().clone();
+        let hello = start.identity.borrow().clone();
         let datagrams = start
             .datagrams
             .map(|socket| Datagrams::start(socket, address.clone().recipient()));
@@ -109,35 +109,35 @@
             .send_modify(|feed| feed.restore(Arc::clone(machine.state()).stripped()));
         let mut control = Self {
             peers: Peers::new(start.store.id(), hello, timing, address.clone().recipient())
-                .datagrams(datagrams),
+                .with_datagrams(datagrams),
             disk: Disk::start(start.store, address.recipient())?,
-            card: start.card,
+            identity: start.identity,
             replica,
-            handed: 0,
+            submitted: 0,
             synced: 0,
             machine,
-            fresh: 0,
-            fresh_bytes: 0,
+            entries_since_snapshot: 0,
+            bytes_since_snapshot: 0,
             heal: Heal::new(settings.peers.iter().map(ToString::to_string).collect()),
             feed: start.feed,
-            others: IndexMap::new(),
-            told: start.told,
+            replica_info: IndexMap::new(),
+            registry: start.registry,
             waiting: Waiting::new(settings.limits.calls),
-            settling: Vec::new(),
+            unconfirmed: Vec::new(),
             reads: Reads::default(),
             vouches: Vouches::new(settings.timing.election),
-            questions: Questions::default(),
+            health_queries: HealthQueries::default(),
             confirmed: Confirmed::default(),
             joining: IndexMap::new(),
             orders: None,
             founding: false,
             scheduled: false,
-            part: Role::Follower,
-            committed: 0,
+            role: Role::Follower,
+            known_commit: 0,
             failed: Some(start.failed),
             settings,
         };
-        control.meet();
+        control.update_peers();
         Ok(control)
     }
 }
--- a/crates/zinniastall-control/src/control/status.rs
+++ b/crates/zinniastall-control/src/control/status.rs
@@ -11,16 +11,16 @@
 };
 use zinniastall_model::member::Member;
 
-use super::{Control, Later, hex, waiting::answer};
+use super::{Control, Deferred, hex, waiting::answer};
 
 /// Part of the election timeout for which the others' answers are waited for.
-const ANSWERS: u32 = 4;
+const ELECTION_TIMEOUT_DIVISOR: u32 = 4;
 /// Most questions that wait at once.
-const QUESTIONS: usize = 256;
+const MAX_HEALTH_QUERIES: usize = 256;
 
 /// Asks how the system is, as seen from this replica.
 #[derive(Debug, Message)]
-#[rtype(result = "Later<SystemStatus>")]
+#[rtype(result = "Deferred<SystemStatus>")]
 pub struct Health;
 
 /// Asks how one entry instance is, as seen from this replica.
@@ -30,12 +30,12 @@
 
 /// Questions that wait for the others' answers.
 #[derive(Debug, Default)]
-pub(super) struct Questions {
-    waiting: Vec<Question>,
+pub(super) struct HealthQueries {
+    waiting: Vec<HealthQuery>,
 }
 
 #[derive(Debug)]
-struct Question {
+struct HealthQuery {
     barrier: Barrier,
     deadline: Instant,
     reply: oneshot::Sender<SystemStatus>,
@@ -45,13 +45,13 @@
     type Result = MessageResult<Health>;
 
     fn handle(&mut self, _: Health, context: &mut Context<Self>) -> Self::Result {
-        let (reply, later) = oneshot::channel();
+        let (reply, deferred) = oneshot::channel();
         let now = Instant::now();
         self.replica.tick(now);
         match self.replica.barrier(now) {
             Ok(barrier) if self.may_be_safe(now) => {
-                let deadline = now + self.settings.timing.election / ANSWERS;
-                self.questions.waiting.push(Question {
+                let deadline = now + self.settings.timing.election / ELECTION_TIMEOUT_DIVISOR;
+                self.health_queries.waiting.push(HealthQuery {
                     barrier,
                     deadline,
                     reply,
@@ -60,7 +60,7 @@
             _ => answer(reply, self.system(false, now)),
         }
         self.schedule(context);
-        MessageResult(later)
+        MessageResult(deferred)
     }
 }
 
@@ -78,14 +78,14 @@
     ///
     /// A voter that was lost a moment ago was still heard lately, so what was heard before the question
     /// says nothing: an operator who took another one down on that word would stop the group.
-    pub(super) fn check_questions(&mut self, now: Instant) {
-        for question in std::mem::take(&mut self.questions.waiting) {
-            match self.replica.failure_tolerance_since(&question.barrier) {
-                Ok(0) if now < question.deadline => self.questions.waiting.push(question),
+    pub(super) fn check_health_queries(&mut self, now: Instant) {
+        for query in std::mem::take(&mut self.health_queries.waiting) {
+            match self.replica.failure_tolerance_since(&query.barrier) {
+                Ok(0) if now < query.deadline => self.health_queries.waiting.push(query),
                 spare => {
                     let safe = spare.is_ok_and(|spare| spare > 0);
                     let safe = safe && self.replica.lease(now).is_some();
-                    answer(question.reply, self.system(safe, now));
+                    answer(query.reply, self.system(safe, now));
                 }
             }
         }
@@ -98,8 +98,9 @@
             let peer = status.peers.get(id);
             *id == status.id || peer.is_some_and(|peer| peer.reachable)
         };
-        let answering = status.voters.voters.keys().filter(|id| answers(id)).count();
-        answering > status.voters.majority() && self.questions.waiting.len() < QUESTIONS
+        let reachable = status.voters.voters.keys().filter(|id| answers(id)).count();
+        reachable > status.voters.majority()
+            && self.health_queries.waiting.len() < MAX_HEALTH_QUERIES
     }
 
     fn system(&self, next_loss_safe: bool, now: Instant) -> SystemStatus {
@@ -126,10 +127,10 @@
             heard_ms: u64::MAX,
             ..InstanceStatus::default()
         };
-        if let Some((word, age)) = self.confirmed.word(&member.instance, now) {
-            status.incarnation = word.incarnation;
-            status.revision = word.revision;
-            status.draining = word.draining;
+        if let Some((latest, age)) = self.confirmed.latest(&member.instance, now) {
+            status.incarnation = latest.incarnation;
+            status.revision = latest.revision;
+            status.draining = latest.draining;
             status.heard_ms = millis(age);
         }
         status
@@ -157,7 +158,7 @@
         };
         ReplicaStatus {
             id: format!("{id:016x}"),
-            address: address.unwrap_or_else(|| self.card.borrow().links.clone()),
+            address: address.unwrap_or_else(|| self.identity.borrow().links.clone()),
             voter: status.voters.is_voter(id),
             leader: status.leader == Some(id) && (!own || status.role == Role::Leader),
             matched: if own {
--- a/crates/zinniastall-control/src/control/stop.rs
+++ b/crates/zinniastall-control/src/control/stop.rs
@@ -6,19 +6,19 @@
 use tokio::sync::oneshot;
 use zinniastall_coord::replica::Role;
 
-use super::{Control, Later, waiting::answer};
+use super::{Control, Deferred, waiting::answer};
 
 /// Time between two looks at what is still open.
-const LOOK: Duration = Duration::from_millis(20);
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Asks to pass leadership on and to finish; answered when nothing is open any more.
 #[derive(Debug, Message)]
-#[rtype(result = "Later<()>")]
+#[rtype(result = "Deferred<()>")]
 pub struct Stop;
 
 #[derive(Debug, Message)]
 #[rtype(result = "()")]
-struct Look {
+struct Poll {
     deadline: Instant,
     done: oneshot::Sender<()>,
 }
@@ -27,33 +27,33 @@
     type Result = MessageResult<Stop>;
 
     fn handle(&mut self, _: Stop, context: &mut Context<Self>) -> Self::Result {
-        let (done, later) = oneshot::channel();
+        let (done, deferred) = oneshot::channel();
         let now = Instant::now();
         let deadline = now + self.settings.limits.drain;
         self.hand_over(now);
         self.drive();
-        context.notify(Look { deadline, done });
-        MessageResult(later)
+        context.notify(Poll { deadline, done });
+        MessageResult(deferred)
     }
 }
 
-impl Handler<Look> for Control {
+impl Handler<Poll> for Control {
     type Result = ();
 
-    fn handle(&mut self, look: Look, context: &mut Context<Self>) {
+    fn handle(&mut self, poll: Poll, context: &mut Context<Self>) {
         let now = Instant::now();
-        let leads = self.part == Role::Leader;
+        let leads = self.role == Role::Leader;
         let alone = self.replica.status(now).voters.voters.len() <= 1;
         let finished = self.waiting.is_empty() && (alone || !leads);
-        if finished || now >= look.deadline {
-            answer(look.done, ());
+        if finished || now >= poll.deadline {
+            answer(poll.done, ());
             return;
         }
         if leads {
             self.hand_over(now);
             self.drive();
         }
-        context.notify_later(look, LOOK);
+        context.notify_later(poll, POLL_INTERVAL);
     }
 }
 
--- a/crates/zinniastall-control/src/control/vouch.rs
+++ b/crates/zinniastall-control/src/control/vouch.rs
@@ -16,37 +16,37 @@
 use zinniastall_coord::{Id, replica::Role};
 use zinniastall_model::id;
 
-use super::{Control, Later, Look, NotLeader, Read, addressed};
+use super::{Control, Deferred, NotLeader, Read, View, addressed};
 use crate::peers;
 
 /// Most questions that wait for the leader at once; who is refused asks again.
-const ASKS: usize = 4096;
+const MAX_QUESTIONS: usize = 4096;
 
 /// Asks which revision the group has reached by now; dropped where nobody can tell.
 #[derive(Debug, Message)]
-#[rtype(result = "Later<id::Revision>")]
+#[rtype(result = "Deferred<id::Revision>")]
 pub struct Vouch;
 
 /// Questions that wait for the leader's answer.
 #[derive(Debug)]
 pub(super) struct Vouches {
-    longest: Duration,
-    last: u64,
-    waiting: IndexMap<u64, Asked>,
+    timeout: Duration,
+    last_number: u64,
+    waiting: IndexMap<u64, Question>,
     /// Questions that came while no leader was known.
-    unled: Vec<Unled>,
+    leaderless: Vec<Leaderless>,
 }
 
 /// A question that a survey answers.
 #[derive(Debug)]
-struct Unled {
+struct Leaderless {
     /// Survey that began after it, if one has begun.
     survey: Option<u64>,
     reply: oneshot::Sender<id::Revision>,
 }
 
 #[derive(Debug)]
-struct Asked {
+struct Question {
     deadline: Instant,
     reply: oneshot::Sender<id::Revision>,
 }
@@ -55,30 +55,31 @@
     /// Creates an empty table; a question waits for two election timeouts at most.
     pub(super) fn new(election: Duration) -> Self {
         Self {
-            longest: election * 2,
-            last: 0,
+            timeout: election * 2,
+            last_number: 0,
             waiting: IndexMap::new(),
-            unled: Vec::new(),
+            leaderless: Vec::new(),
         }
     }
 
     /// Notes a question and returns its number, unless too many wait.
     fn ask(&mut self, now: Instant, reply: oneshot::Sender<id::Revision>) -> Option<u64> {
-        self.waiting.retain(|_, asked| now < asked.deadline);
-        if self.waiting.len() >= ASKS {
+        self.waiting.retain(|_, question| now < question.deadline);
+        if self.waiting.len() >= MAX_QUESTIONS {
             return None;
         }
-        self.last += 1;
-        let deadline = now + self.longest;
-        self.waiting.insert(self.last, Asked { deadline, reply });
-        Some(self.last)
+        self.last_number += 1;
+        let deadline = now + self.timeout;
+        self.waiting
+            .insert(self.last_number, Question { deadline, reply });
+        Some(self.last_number)
     }
 
     /// Passes the leader's answer on; a doubled or late one finds nobody.
     pub(super) fn answered(&mut self, ask: u64, revision: id::Revision) {
-        if let Some(asked) = self.waiting.swap_remove(&ask) {
+        if let Some(question) = self.waiting.swap_remove(&ask) {
             // Who asked may have gone.
-            let _ = asked.reply.send(revision);
+            let _ = question.reply.send(revision);
         }
     }
 }
@@ -87,8 +88,8 @@
     type Result = MessageResult<Vouch>;
 
     fn handle(&mut self, _: Vouch, context: &mut Context<Self>) -> Self::Result {
-        let (reply, later) = oneshot::channel();
-        if self.part == Role::Leader {
+        let (reply, deferred) = oneshot::channel();
+        if self.role == Role::Leader {
             let read = self.read(Read { revision: 0 });
             actix::spawn(async move {
                 if let Some(revision) = reached(read).await {
@@ -96,42 +97,46 @@
                 }
             });
         } else if !self.is_led() {
-            let unled = &mut self.vouches.unled;
-            unled.retain(|asked| !asked.reply.is_closed());
-            if unled.len() < ASKS {
+            let leaderless = &mut self.vouches.leaderless;
+            leaderless.retain(|question| !question.reply.is_closed());
+            if leaderless.len() < MAX_QUESTIONS {
                 let survey = None;
-                unled.push(Unled { survey, reply });
+                leaderless.push(Leaderless { survey, reply });
             }
         } else if let Some(ask) = self.vouches.ask(Instant::now(), reply) {
             self.send_leader(&peers::Message::Vouch { ask });
         }
         self.schedule(context);
-        MessageResult(later)
+        MessageResult(deferred)
     }
 }
 
 impl Control {
     /// Answers questions that came while no leader was known, once a survey has.
-    pub(super) fn check_unled(&mut self) {
-        if self.vouches.unled.is_empty() {
+    pub(super) fn check_leaderless(&mut self) {
+        if self.vouches.leaderless.is_empty() {
             return;
         }
         let surveyed = self.replica.surveyed();
         let revision = self.machine.state().revision;
-        for asked in std::mem::take(&mut self.vouches.unled) {
-            if asked.survey.is_some() && asked.survey == surveyed {
+        for question in std::mem::take(&mut self.vouches.leaderless) {
+            if question.survey.is_some() && question.survey == surveyed {
                 // Who asked may have gone.
-                let _ = asked.reply.send(revision);
-            } else if !asked.reply.is_closed() {
-                self.vouches.unled.push(asked);
+                let _ = question.reply.send(revision);
+            } else if !question.reply.is_closed() {
+                self.vouches.leaderless.push(question);
             }
         }
-        let is_new = |asked: &Unled| asked.survey.is_none();
-        if self.vouches.unled.iter().any(is_new)
+        let is_new = |question: &Leaderless| question.survey.is_none();
+        if self.vouches.leaderless.iter().any(is_new)
             && let Some(number) = self.replica.begin_survey()
         {
-            let new = self.vouches.unled.iter_mut().filter(|asked| is_new(asked));
-            new.for_each(|asked| asked.survey = Some(number));
+            let new = self
+                .vouches
+                .leaderless
+                .iter_mut()
+                .filter(|question| is_new(question));
+            new.for_each(|question| question.survey = Some(number));
         }
     }
 
@@ -140,20 +145,20 @@
     }
 
     /// Answers another replica's question, if this one leads and a majority confirms it.
-    pub(super) fn vouch_for_peer(&mut self, ask: u64, from: Id, back: peers::Queue) {
+    pub(super) fn vouch_for_peer(&mut self, ask: u64, from: Id, reply_queue: peers::Queue) {
         let own = self.replica.id();
         let read = self.read(Read { revision: 0 });
         actix::spawn(async move {
             if let Some(revision) = reached(read).await {
                 let message = peers::Message::Vouched { ask, revision };
                 // A full link drops the answer; the instance asks again.
-                drop(back.try_send(addressed(own, from, &message)));
+                drop(reply_queue.try_send(addressed(own, from, &message)));
             }
         });
     }
 }
 
-async fn reached(read: Later<Result<Look, NotLeader>>) -> Option<id::Revision> {
-    let look = read.await.ok()?.ok()?;
-    Some(look.state.revision)
+async fn reached(read: Deferred<Result<View, NotLeader>>) -> Option<id::Revision> {
+    let view = read.await.ok()?.ok()?;
+    Some(view.state.revision)
 }
--- a/crates/zinniastall-control/src/control/waiting.rs
+++ b/crates/zinniastall-control/src/control/waiting.rs
@@ -56,15 +56,15 @@
     }
 
     /// Calls everything unknown that a snapshot has jumped over.
-    pub(super) fn skip(&mut self, last: Index) {
-        self.forget(|index, _| index <= last);
+    pub(super) fn abandon_through(&mut self, last: Index) {
+        self.abandon(|index, _| index <= last);
     }
 
     /// Brings deadlines forward, after leadership was lost.
     ///
     /// The next leader may still commit what is under way, and then the true answer is known soon;
     /// an operator should not wait for the whole deadline otherwise.
-    pub(super) fn hurry(&mut self, deadline: Instant) {
+    pub(super) fn shorten_deadlines(&mut self, deadline: Instant) {
         for write in self.writes.values_mut() {
             write.deadline = write.deadline.min(deadline);
         }
@@ -72,13 +72,13 @@
 
     /// Calls everything unknown whose deadline has passed.
     pub(super) fn expire(&mut self, now: Instant) {
-        self.forget(|_, write| write.deadline <= now);
+        self.abandon(|_, write| write.deadline <= now);
     }
 
-    fn forget(&mut self, lost: impl Fn(Index, &Write) -> bool) {
+    fn abandon(&mut self, is_lost: impl Fn(Index, &Write) -> bool) {
         let writes = std::mem::take(&mut self.writes);
         for (index, write) in writes {
-            if lost(index, &write) {
+            if is_lost(index, &write) {
                 answer(write.reply, Reply::Unknown);
             } else {
                 self.writes.insert(index, write);
--- a/crates/zinniastall-control/src/control/write.rs
+++ b/crates/zinniastall-control/src/control/write.rs
@@ -11,17 +11,17 @@
 };
 
 use super::{
-    Control, Later,
+    Control, Deferred,
     reply::{NotLeader, Reply},
     waiting::{self, answer},
 };
 
 /// Most operators that wait for confirmations at once.
-const SETTLING: usize = 1024;
+const MAX_UNCONFIRMED: usize = 1024;
 
 /// A change to be committed.
 #[derive(Debug, Message)]
-#[rtype(result = "Later<Reply>")]
+#[rtype(result = "Deferred<Reply>")]
 pub struct Write {
     /// The change.
     pub change: Change,
@@ -31,7 +31,7 @@
 
 /// A committed write whose operator waits for confirmations.
 #[derive(Debug)]
-pub(super) struct Settling {
+pub(super) struct Unconfirmed {
     revision: id::Revision,
     narrows: bool,
     deadline: Instant,
@@ -42,10 +42,10 @@
     type Result = MessageResult<Write>;
 
     fn handle(&mut self, write: Write, context: &mut Context<Self>) -> Self::Result {
-        let (reply, later) = oneshot::channel();
+        let (reply, deferred) = oneshot::channel();
         self.write(&write.change, write.wait, reply);
         self.schedule(context);
-        MessageResult(later)
+        MessageResult(deferred)
     }
 }
 
@@ -57,7 +57,7 @@
         // is taken that could only end as unknown.
         self.replica.tick(now);
         if let Some(recorded) = self.machine.recorded(change) {
-            self.conclude(&recorded, wait, reply);
+            self.finish_write(&recorded, wait, reply);
             return;
         }
         if !self.is_formed(now) {
@@ -82,12 +82,12 @@
                 };
                 self.waiting.add(index, write);
             }
-            Err(refusal) => answer(reply, self.refused(refusal)),
+            Err(refusal) => answer(reply, self.refusal_reply(refusal)),
         }
     }
 
     /// Answers a write whose result is committed, at once or when the confirmations are in.
-    pub(super) fn conclude(
+    pub(super) fn finish_write(
         &mut self,
         outcome: &Answer,
         wait: Duration,
@@ -95,14 +95,14 @@
     ) {
         match outcome.clone() {
             Answer::Done { revision, narrows } => {
-                let settling = Settling {
+                let write = Unconfirmed {
                     revision,
                     narrows,
                     deadline: Instant::now() + wait,
                     reply,
                 };
-                self.settling.push(settling);
-                self.settle(Instant::now());
+                self.unconfirmed.push(write);
+                self.answer_confirmed(Instant::now());
             }
             Answer::Conflict { current } => answer(reply, Reply::Conflict { current }),
             Answer::Reused => answer(reply, Reply::Reused),
@@ -111,21 +111,21 @@
     }
 
     /// Answers those whose confirmations are in or whose time is up.
-    pub(super) fn settle(&mut self, now: Instant) {
-        let crowded = self.settling.len() > SETTLING;
-        for settling in std::mem::take(&mut self.settling) {
+    pub(super) fn answer_confirmed(&mut self, now: Instant) {
+        let is_over_limit = self.unconfirmed.len() > MAX_UNCONFIRMED;
+        for write in std::mem::take(&mut self.unconfirmed) {
             let state = self.machine.state();
-            let waiting = self.confirmed.missing(state, settling.revision);
-            if !waiting.is_empty() && now < settling.deadline && !crowded {
-                self.settling.push(settling);
+            let waiting = self.confirmed.missing(state, write.revision);
+            if !waiting.is_empty() && now < write.deadline && !is_over_limit {
+                self.unconfirmed.push(write);
                 continue;
             }
             let reply = Reply::Done {
-                revision: settling.revision,
-                narrows: settling.narrows,
+                revision: write.revision,
+                narrows: write.narrows,
                 waiting,
             };
-            answer(settling.reply, reply);
+            answer(write.reply, reply);
         }
     }
 
@@ -133,14 +133,14 @@
     pub(super) fn leader_address(&self) -> Option<String> {
         let leader = self.replica.status(Instant::now()).leader?;
         if leader == self.replica.id() {
-            return Some(self.card.borrow().service.clone());
+            return Some(self.identity.borrow().service.clone());
         }
-        let other = self.others.get(&leader)?;
+        let other = self.replica_info.get(&leader)?;
         Some(other.service.clone())
     }
 
     /// Turns a refusal into an answer.
-    pub(super) fn refused(&self, refusal: Refusal) -> Reply {
+    pub(super) fn refusal_reply(&self, refusal: Refusal) -> Reply {
         match refusal {
             Refusal::NotLeader { .. } | Refusal::Transferring => Reply::NotLeader(NotLeader {
                 leader: self.leader_address(),
--- a/crates/zinniastall-control/src/daemon.rs
+++ b/crates/zinniastall-control/src/daemon.rs
@@ -24,17 +24,17 @@
 use crate::{
     control::{Control, Failure, Members, Start, Stop},
     hub::Hub,
-    links::{Acceptor, Card},
+    links::{Acceptor, Identity},
     peers,
-    recall::Told,
+    recall::Registry,
     rpc::{self, Operators},
     settings,
 };
 
 /// Prefix of the metrics' names.
-const METRICS: &str = "zinniastall.control";
+const METRICS_PREFIX: &str = "zinniastall.control";
 /// Time between two looks at the group's members, for those that are linked with this replica.
-const MEMBERS: Duration = Duration::from_secs(1);
+const MEMBERS_POLL_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Runs a control instance until it is told to stop.
 pub fn run(settings: settings::Control) -> ExitCode {
@@ -60,11 +60,11 @@
     /// Configuration as it is committed.
     pub feed: watch::Receiver<Feed>,
     /// What other replicas say of the targets of this availability zone.
-    pub told: Told,
+    pub registry: Registry,
     /// Says why the replica cannot go on.
     pub failure: oneshot::Receiver<Failure>,
     /// What the replica says of itself on links.
-    pub card: Card,
+    pub identity: Identity,
 }
 
 /// Opens the data folder and starts a replica on this thread; `service` is the address of the
@@ -80,28 +80,28 @@
     let (store, restored) = Store::open(&settings.data)?;
     let links = link::listen(settings.listen.links).await?;
     let datagrams = bind_datagrams(links.local_addr()?).await;
-    let card = card(settings, links.local_addr()?, service);
+    let identity = identity(settings, links.local_addr()?, service);
     listening("links", links.local_addr()?);
     let (feed, news) = watch::channel(Feed::new(Arc::new(State::default()), settings.limits.tail));
     let (failed, failure) = oneshot::channel();
-    let told = Told::default();
+    let registry = Registry::default();
     let control = start_actor(Start {
         settings: Arc::clone(settings),
-        card: Rc::clone(&card),
+        identity: Rc::clone(&identity),
         store,
         restored,
         datagrams,
-        told: told.clone(),
+        registry: registry.clone(),
         feed,
         failed,
     })?;
     let hub = Hub::new(news.clone());
     actix::spawn(hub.clone().run());
     actix::spawn(hub.clone().vouch(control.clone().recipient()));
-    actix::spawn(hub.clone().keep(control.clone().recipient()));
+    actix::spawn(hub.clone().record_suspects(control.clone().recipient()));
     actix::spawn(list_members(control.clone(), hub.clone()));
     let acceptor = Acceptor {
-        card: Rc::clone(&card),
+        identity: Rc::clone(&identity),
         control: control.clone(),
         feed: news.clone(),
         hub: hub.clone(),
@@ -112,9 +112,9 @@
         control,
         hub,
         feed: news,
-        told,
+        registry,
         failure,
-        card,
+        identity,
     })
 }
 
@@ -135,16 +135,16 @@
         if let Ok(members) = control.send(Members).await {
             hub.set_replicas(members);
         }
-        time::sleep(MEMBERS).await;
+        time::sleep(MEMBERS_POLL_INTERVAL).await;
     }
 }
 
 async fn serve(settings: Arc<settings::Control>) -> eyre::Result<()> {
-    let metrics = metrics::Hub::start(METRICS, settings.statsd)?;
+    let metrics = metrics::Hub::start(METRICS_PREFIX, settings.statsd)?;
     let operators = rpc::bind(settings.listen.operators)?;
     let running = start(&settings, operators.local_addr()?).await?;
     listening("operators", operators.local_addr()?);
-    let hello = running.card.borrow().clone();
+    let hello = running.identity.borrow().clone();
     let service = Operators::new(
         running.control.clone(),
         running.feed,
@@ -172,7 +172,7 @@
     Ok(context.run(control))
 }
 
-fn card(settings: &settings::Control, links: SocketAddr, operators: SocketAddr) -> Card {
+fn identity(settings: &settings::Control, links: SocketAddr, operators: SocketAddr) -> Identity {
     Rc::new(RefCell::new(Hello {
         version: VERSION,
         purpose: Purpose::Replica,
--- a/crates/zinniastall-control/src/disk.rs
+++ b/crates/zinniastall-control/src/disk.rs
@@ -24,7 +24,7 @@
         /// Address of this replica's links.
         address: String,
         /// Where the operator's answer goes.
-        reply: oneshot::Sender<Result<control::Founded, control::Refused>>,
+        reply: oneshot::Sender<Result<control::Founded, control::BootstrapError>>,
     },
 }
 
@@ -34,7 +34,7 @@
     /// What the replica starts from.
     pub outcome: Result<Restored, Fault>,
     /// Where the operator's answer goes.
-    pub reply: oneshot::Sender<Result<control::Founded, control::Refused>>,
+    pub reply: oneshot::Sender<Result<control::Founded, control::BootstrapError>>,
 }
 
 /// What the disk has done.
@@ -73,21 +73,21 @@
 
     /// Hands work over. What a failed disk's thread no longer takes is dropped: the failure has
     /// been reported by then.
-    pub fn hand(&self, work: Work) {
+    pub fn submit(&self, work: Work) {
         drop(self.queue.send(work));
     }
 }
 
 fn run(mut store: Store, work: &mpsc::Receiver<Work>, done: &Recipient<Done>) {
     while let Ok(first) = work.recv() {
-        if let Err(fault) = turn(&mut store, first, work, done) {
+        if let Err(fault) = process_batch(&mut store, first, work, done) {
             done.do_send(Done::Failed(fault));
             return;
         }
     }
 }
 
-fn turn(
+fn process_batch(
     store: &mut Store,
     first: Work,
     work: &mpsc::Receiver<Work>,
--- a/crates/zinniastall-control/src/hub.rs
+++ b/crates/zinniastall-control/src/hub.rs
@@ -11,7 +11,7 @@
 mod frames;
 mod history;
 mod instances;
-mod keeping;
+mod suspects;
 mod targets;
 mod vouching;
 
@@ -43,30 +43,30 @@
 };
 
 use self::{
-    frames::{Frames, Key},
+    frames::{Cache, Key},
     history::History,
     instances::Instances,
-    keeping::Keeping,
-    targets::{Targets, Told},
-    vouching::{Question, Vouched, Vouching},
+    suspects::Recorder,
+    targets::{Targets, Versions},
+    vouching::{Question, Rounds, Vouched},
 };
 use crate::control::{Vouch, Write};
 
 /// Time between two rounds in which news are passed on: what a target says is in force long before its three
 /// seconds of grace are over, and the heartbeats of a hundred targets take one frame instead of a hundred.
-const ROUND: Duration = Duration::from_millis(100);
+const ROUND_INTERVAL: Duration = Duration::from_millis(100);
 /// Rounds between two messages on the load of regions. A region that is chosen by old news gets more than it
 /// can take; a third of a second is what the trip to it takes as well.
-const LOADS: u64 = 3;
+const ROUNDS_PER_LOAD_UPDATE: u64 = 3;
 /// Rounds between two messages on the targets of other regions.
-const FAR: u64 = 10;
+const ROUNDS_PER_REMOTE_UPDATE: u64 = 10;
 /// Time between two signs of life on a link.
-const ALIVE: Duration = Duration::from_secs(1);
+const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
 /// Time without a frame after which a link counts as cut: two signs of life were lost.
-const SILENCE: Duration = Duration::from_millis(2_500);
+const IDLE_TIMEOUT: Duration = Duration::from_millis(2_500);
 
 /// Questions of one link that may wait, the newest ones; an instance asks twice a second.
-const QUESTIONS: usize = 4;
+const MAX_QUESTIONS: usize = 4;
 
 /// Number of a change to a table; 0 before the first one.
 type Version = u64;
@@ -86,10 +86,10 @@
     targets: RefCell<Targets>,
     instances: RefCell<Instances>,
     loads: RefCell<Vec<RegionLoad>>,
-    frames: Frames,
+    cache: Cache,
     history: RefCell<History>,
-    vouching: Vouching,
-    keeping: Keeping,
+    vouching: Rounds,
+    recorder: Recorder,
     round: watch::Sender<Round>,
     last_link: Cell<LinkNumber>,
 }
@@ -98,7 +98,7 @@
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 struct Round {
     targets: Version,
-    far_targets: Version,
+    remote_targets: Version,
     instances: Version,
     loads: Version,
     replicas: Version,
@@ -108,7 +108,7 @@
 #[derive(Debug, Default)]
 struct Cursor {
     region: id::Region,
-    targets: Told,
+    targets: Versions,
     replicas: Version,
     subscription: Option<Subscription>,
     questions: VecDeque<Question>,
@@ -132,10 +132,10 @@
             targets: RefCell::default(),
             instances: RefCell::default(),
             loads: RefCell::default(),
-            frames: Frames::default(),
+            cache: Cache::default(),
             history: RefCell::default(),
-            vouching: Vouching::default(),
-            keeping: Keeping::default(),
+            vouching: Rounds::default(),
+            recorder: Recorder::default(),
             round: watch::Sender::default(),
             last_link: Cell::new(0),
         };
@@ -186,11 +186,11 @@
 
     /// Passes news on, round by round, for ever.
     pub async fn run(self) {
-        let mut tick = time::interval(ROUND);
+        let mut tick = time::interval(ROUND_INTERVAL);
         tick.set_missed_tick_behavior(time::MissedTickBehavior::Delay);
         for number in 0.. {
             tick.tick().await;
-            self.inner.pass_on(number);
+            self.inner.publish_round(number);
         }
     }
 
@@ -200,8 +200,11 @@
     }
 
     /// Has the group keep what instances report of requests that aren't run any more.
-    pub async fn keep(self, group: Recipient<Write>) {
-        self.inner.keeping.run(group, self.inner.feed.clone()).await;
+    pub async fn record_suspects(self, group: Recipient<Write>) {
+        self.inner
+            .recorder
+            .run(group, self.inner.feed.clone())
+            .await;
     }
 
     /// Serves one gateway instance until its link breaks or falls silent.
@@ -210,14 +213,14 @@
         let number = self.inner.last_link.get() + 1;
         self.inner.last_link.set(number);
         tracing::info!(event = "gateway-linked", peer);
-        let error = self.inner.attend(link, number).await;
-        self.inner.instances.borrow_mut().lose(number);
+        let error = self.inner.serve_link(link, number).await;
+        self.inner.instances.borrow_mut().disconnect(number);
         tracing::info!(event = "gateway-gone", peer, error = %error);
     }
 }
 
 impl Inner {
-    async fn attend(&self, link: Link, number: LinkNumber) -> Error {
+    async fn serve_link(&self, link: Link, number: LinkNumber) -> Error {
         let mut cursor = Cursor {
             region: link.peer().place.region.clone(),
             ..Cursor::default()
@@ -239,24 +242,24 @@
         let mut feed = self.feed.clone();
         let mut round = self.round.subscribe();
         let mut vouched = self.vouching.subscribe();
-        let mut alive = time::interval(ALIVE);
-        let mut silent = Instant::now() + SILENCE;
+        let mut keepalive = time::interval(KEEPALIVE_INTERVAL);
+        let mut idle_deadline = Instant::now() + IDLE_TIMEOUT;
         let mut frames = vec![self.reached()?];
-        frames.extend(self.news(cursor, true)?);
+        frames.extend(self.updates(cursor, true)?);
         frames.extend(self.suspects(cursor)?);
         loop {
             for bytes in frames.drain(..) {
-                send_within(sender, bytes, SILENCE).await?;
+                send_within(sender, bytes, IDLE_TIMEOUT).await?;
             }
             tokio::select! {
                 // A frame that came while this end was sending speaks against silence.
                 biased;
                 frame = receiver.next() => {
-                    silent = Instant::now() + SILENCE;
+                    idle_deadline = Instant::now() + IDLE_TIMEOUT;
                     let Frame::Hub(message) = frame.ok_or(Error::Closed)?? else {
                         return Err(Error::Handshake);
                     };
-                    frames.extend(self.hear(message, cursor, number)?);
+                    frames.extend(self.handle_message(message, cursor, number)?);
                 }
                 changed = feed.changed() => {
                     changed.map_err(|_| Error::Closed)?;
@@ -266,23 +269,23 @@
                 changed = round.changed() => {
                     changed.map_err(|_| Error::Closed)?;
                     round.mark_unchanged();
-                    frames.extend(self.news(cursor, false)?);
+                    frames.extend(self.updates(cursor, false)?);
                 }
                 changed = vouched.changed() => {
                     changed.map_err(|_| Error::Closed)?;
                     let vouched = *vouched.borrow_and_update();
                     frames.extend(answer(cursor, vouched)?);
                 }
-                _ = alive.tick() => frames.push(self.reached()?),
+                _ = keepalive.tick() => frames.push(self.reached()?),
                 // TCP goes on trying for minutes where a network swallows everything.
-                () = time::sleep_until(silent) => return Err(Error::Closed),
+                () = time::sleep_until(idle_deadline) => return Err(Error::Closed),
             }
             feed.mark_unchanged();
         }
     }
 
     /// Takes a message in; returns what is to be sent for it.
-    fn hear(
+    fn handle_message(
         &self,
         message: Message,
         cursor: &mut Cursor,
@@ -297,17 +300,17 @@
             Message::Vouch(stamp) => {
                 let round = self.vouching.ask();
                 cursor.questions.push_back(Question { stamp, round });
-                let surplus = cursor.questions.len().saturating_sub(QUESTIONS);
+                let surplus = cursor.questions.len().saturating_sub(MAX_QUESTIONS);
                 cursor.questions.drain(..surplus);
                 Ok(Vec::new())
             }
             Message::Suspects(suspects) => {
-                self.keeping.report(suspects);
+                self.recorder.report(suspects);
                 Ok(Vec::new())
             }
             Message::Subscribe(true) => {
                 cursor.subscription.get_or_insert_default();
-                self.news(cursor, false)
+                self.updates(cursor, false)
             }
             Message::Subscribe(false) => {
                 cursor.subscription = None;
@@ -318,18 +321,18 @@
     }
 
     /// Settles what links are told in this round, and wakes them if that is anything.
-    fn pass_on(&self, number: u64) {
+    fn publish_round(&self, number: u64) {
         self.targets.borrow_mut().expire();
-        self.frames.next_round(self.feed.borrow().state().revision);
-        let loads_changed = number.is_multiple_of(LOADS) && self.sum_loads();
+        self.cache.next_round(self.feed.borrow().state().revision);
+        let loads_changed = number.is_multiple_of(ROUNDS_PER_LOAD_UPDATE) && self.update_loads();
         let targets = self.targets.borrow().version();
         let instances = self.instances.borrow().version();
         self.round.send_if_modified(|round| {
             let before = *round;
             round.targets = targets;
             round.instances = instances;
-            if number.is_multiple_of(FAR) {
-                round.far_targets = targets;
+            if number.is_multiple_of(ROUNDS_PER_REMOTE_UPDATE) {
+                round.remote_targets = targets;
             }
             if loads_changed {
                 round.loads += 1;
@@ -339,14 +342,14 @@
     }
 
     /// Sums the loads of regions; tells whether they have changed.
-    fn sum_loads(&self) -> bool {
+    fn update_loads(&self) -> bool {
         let loads = self.instances.borrow().loads();
         let before = self.loads.replace(loads);
         *self.loads.borrow() != before
     }
 
     /// Returns the frames with what a link doesn't know yet.
-    fn news(&self, cursor: &mut Cursor, is_first: bool) -> Result<Vec<Bytes>, Error> {
+    fn updates(&self, cursor: &mut Cursor, is_first: bool) -> Result<Vec<Bytes>, Error> {
         let round = *self.round.borrow();
         let mut frames = Vec::new();
         if is_first || cursor.replicas < round.replicas {
@@ -354,9 +357,9 @@
             let replicas = self.replicas.borrow().clone();
             frames.push(encode(Message::Replicas(replicas))?);
         }
-        let with_far = is_first || cursor.targets.far < round.far_targets;
-        if with_far || cursor.targets.near < round.targets {
-            frames.extend(self.targets(cursor, with_far)?);
+        let include_remote = is_first || cursor.targets.remote < round.remote_targets;
+        if include_remote || cursor.targets.local < round.targets {
+            frames.extend(self.targets(cursor, include_remote)?);
         }
         let Some(subscription) = &mut cursor.subscription else {
             return Ok(frames);
@@ -367,39 +370,39 @@
         if subscription.loads < round.loads {
             subscription.loads = round.loads;
             let loads = || Some(Message::Loads(self.loads.borrow().clone()));
-            frames.extend(self.frames.get(Key::Loads, loads)?);
+            frames.extend(self.cache.get(Key::Loads, loads)?);
         }
         Ok(frames)
     }
 
-    fn targets(&self, cursor: &mut Cursor, with_far: bool) -> Result<Option<Bytes>, Error> {
+    fn targets(&self, cursor: &mut Cursor, include_remote: bool) -> Result<Option<Bytes>, Error> {
         let targets = self.targets.borrow();
-        let (told, version) = (cursor.targets, targets.version());
+        let (seen, version) = (cursor.targets, targets.version());
         let key = Key::Targets {
             region: cursor.region.clone(),
-            told,
-            with_far,
+            seen,
+            include_remote,
             version,
         };
         let reports = || {
-            let reports = targets.since(told, &cursor.region, with_far);
+            let reports = targets.since(seen, &cursor.region, include_remote);
             (!reports.is_empty()).then_some(Message::Targets(reports))
         };
-        let bytes = self.frames.get(key, reports)?;
-        cursor.targets.near = version;
-        if with_far {
-            cursor.targets.far = version;
+        let bytes = self.cache.get(key, reports)?;
+        cursor.targets.local = version;
+        if include_remote {
+            cursor.targets.remote = version;
         }
         Ok(bytes)
     }
 
     fn instances(&self, subscription: &mut Subscription) -> Result<Option<Bytes>, Error> {
         let instances = self.instances.borrow();
-        let (told, version) = (subscription.instances, instances.version());
+        let (seen, version) = (subscription.instances, instances.version());
         subscription.instances = version;
-        let changes = || Some(Message::Instances(instances.since(told)));
-        let key = Key::Instances { told, version };
-        Ok(self.frames.get(key, changes)?)
+        let changes = || Some(Message::Instances(instances.since(seen)));
+        let key = Key::Instances { seen, version };
+        Ok(self.cache.get(key, changes)?)
     }
 
     fn reached(&self) -> Result<Bytes, Error> {
@@ -421,7 +424,7 @@
             let held = held.map(|(request, suspicion)| (*request, suspicion.clone()));
             Some(Message::Suspects(held.collect()))
         };
-        Ok(self.frames.get(Key::Suspects(state.suspected), suspects)?)
+        Ok(self.cache.get(Key::Suspects(state.suspected), suspects)?)
     }
 
     /// Returns the configuration, as changes of the one that an instance holds if that is remembered.
@@ -437,7 +440,7 @@
                 let changes = history::changes(&before, &state)?;
                 Some(Message::Changes(Box::new(changes)))
             };
-            return Ok(self.frames.get(key, message)?);
+            return Ok(self.cache.get(key, message)?);
         }
         let configuration = || {
             let table = state.routing.as_ref().map(|held| held.table.clone());
@@ -448,7 +451,7 @@
             })))
         };
         let key = Key::Configuration(state.revision);
-        Ok(self.frames.get(key, configuration)?)
+        Ok(self.cache.get(key, configuration)?)
     }
 }
 
--- a/crates/zinniastall-control/src/hub/frames.rs
+++ b/crates/zinniastall-control/src/hub/frames.rs
@@ -10,7 +10,7 @@
     hub::Message,
 };
 
-use super::{Version, targets::Told};
+use super::{Version, targets::Versions};
 
 /// What a frame tells, so that links that need the same share it.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
@@ -20,16 +20,16 @@
         /// Region of the link.
         region: id::Region,
         /// What the link was told.
-        told: Told,
+        seen: Versions,
         /// Whether other regions' targets are in it.
-        with_far: bool,
+        include_remote: bool,
         /// Version of the table.
         version: Version,
     },
     /// Instances that are news to a subscriber.
     Instances {
         /// What the subscriber was told.
-        told: Version,
+        seen: Version,
         /// Version of the table.
         version: Version,
     },
@@ -50,11 +50,11 @@
 
 /// Frames encoded since the last round.
 #[derive(Debug, Default)]
-pub(super) struct Frames {
+pub(super) struct Cache {
     encoded: RefCell<IndexMap<Key, Option<Bytes>>>,
 }
 
-impl Frames {
+impl Cache {
     /// Returns the frame under a key, encoded now if it isn't at hand; none where there is nothing to tell.
     ///
     /// # Errors
--- a/crates/zinniastall-control/src/hub/history.rs
+++ b/crates/zinniastall-control/src/hub/history.rs
@@ -6,7 +6,7 @@
 use zinniastall_wire::hub::Changes;
 
 /// Configurations that are remembered. Who holds an older one gets the whole.
-const REMEMBERED: usize = 8;
+const CAPACITY: usize = 8;
 
 /// The last configurations, oldest first. Those between which no table was published share it.
 #[derive(Debug, Default)]
@@ -26,7 +26,7 @@
             self.states.clear();
         }
         self.states.push_back(state);
-        let surplus = self.states.len().saturating_sub(REMEMBERED);
+        let surplus = self.states.len().saturating_sub(CAPACITY);
         self.states.drain(..surplus);
     }
 
--- a/crates/zinniastall-control/src/hub/instances.rs
+++ b/crates/zinniastall-control/src/hub/instances.rs
@@ -14,7 +14,7 @@
 use super::{LinkNumber, Version};
 
 /// Ends that are remembered. A subscriber that was told before the oldest of them gets the whole list.
-const GONE: usize = 4_096;
+const MAX_GONE: usize = 4_096;
 
 /// Gateway instances by name.
 #[derive(Debug, Default)]
@@ -55,8 +55,8 @@
         if held.is_some_and(|held| held.presence.incarnation > presence.incarnation) {
             return;
         }
-        let same = held.filter(|held| !held.presence.differs(&presence));
-        let version = same.map_or(self.version + 1, |held| held.version);
+        let unchanged = held.filter(|held| !held.presence.differs(&presence));
+        let version = unchanged.map_or(self.version + 1, |held| held.version);
         self.version = self.version.max(version);
         let name = presence.instance.clone();
         self.gone.shift_remove(&name);
@@ -69,7 +69,7 @@
     }
 
     /// Notes that a link ended.
-    pub(super) fn lose(&mut self, link: LinkNumber) {
+    pub(super) fn disconnect(&mut self, link: LinkNumber) {
         let ended = self
             .present
             .iter()
@@ -80,16 +80,16 @@
             self.present.swap_remove(&name);
             self.gone.insert(name, self.version);
         }
-        let surplus = self.gone.len().saturating_sub(GONE);
+        let surplus = self.gone.len().saturating_sub(MAX_GONE);
         if let Some((_, last)) = self.gone.drain(..surplus).last() {
             self.forgotten = last;
         }
     }
 
     /// Returns what a subscriber that was told up to a version doesn't know yet; 0 for nothing told so far.
-    pub(super) fn since(&self, told: Version) -> hub::Instances {
-        let whole = told == 0 || told < self.forgotten;
-        let after = if whole { 0 } else { told };
+    pub(super) fn since(&self, seen: Version) -> hub::Instances {
+        let whole = seen == 0 || seen < self.forgotten;
+        let after = if whole { 0 } else { seen };
         let changed = self.present.values().filter(|held| held.version > after);
         let present = changed.map(|held| Presence {
             load: Vec::new(),
--- a/crates/zinniastall-control/src/hub/keeping.rs
+++ b/crates/zinniastall-control/src/hub/suspects.rs
@@ -18,35 +18,35 @@
 use crate::control::{Reply, Write};
 
 /// Time for which reports are gathered: several instances find out the same.
-const GATHER: Duration = Duration::from_millis(50);
+const GATHER_WINDOW: Duration = Duration::from_millis(50);
 /// Requests that may wait to be kept; instances report again what the group doesn't hold.
-const MOST: usize = 256;
+const MAX_REPORTED: usize = 256;
 
 /// Reports that wait to be kept.
 #[derive(Debug, Default)]
-pub(super) struct Keeping {
+pub(super) struct Recorder {
     reported: RefCell<IndexMap<Fingerprint, Suspicion>>,
-    any: Notify,
+    reports_waiting: Notify,
 }
 
-impl Keeping {
+impl Recorder {
     /// Takes an instance's report.
     pub(super) fn report(&self, suspects: Vec<Suspect>) {
         let mut reported = self.reported.borrow_mut();
         for (request, suspicion) in suspects {
-            if reported.len() < MOST || reported.contains_key(&request) {
+            if reported.len() < MAX_REPORTED || reported.contains_key(&request) {
                 let held: &mut Suspicion = reported.entry(request).or_default();
                 held.merge(&suspicion);
             }
         }
-        self.any.notify_one();
+        self.reports_waiting.notify_one();
     }
 
     /// Has the group keep what is reported, for ever.
     pub(super) async fn run(&self, group: Recipient<Write>, feed: watch::Receiver<Feed>) {
         loop {
-            self.any.notified().await;
-            time::sleep(GATHER).await;
+            self.reports_waiting.notified().await;
+            time::sleep(GATHER_WINDOW).await;
             let reported = self.reported.take();
             let state = std::sync::Arc::clone(feed.borrow().state());
             let mut suspects: Vec<Suspect> = reported.into_iter().collect();
@@ -55,7 +55,7 @@
                 continue;
             }
             let requests = suspects.len();
-            match kept(&group, suspects).await {
+            match record(&group, suspects).await {
                 Some(Reply::Done { revision, .. }) => {
                     tracing::info!(event = "suspects-kept", requests, revision);
                 }
@@ -66,13 +66,13 @@
     }
 }
 
-async fn kept(group: &Recipient<Write>, suspects: Vec<Suspect>) -> Option<Reply> {
+async fn record(group: &Recipient<Write>, suspects: Vec<Suspect>) -> Option<Reply> {
     let change = Change {
         origin: None,
         expected: None,
         body: Body::Suspect(suspects),
     };
     let wait = Duration::ZERO;
-    let later = group.send(Write { change, wait }).await.ok()?;
-    later.await.ok()
+    let deferred = group.send(Write { change, wait }).await.ok()?;
+    deferred.await.ok()
 }
--- a/crates/zinniastall-control/src/hub/targets.rs
+++ b/crates/zinniastall-control/src/hub/targets.rs
@@ -18,43 +18,43 @@
 use super::Version;
 
 /// Time after which a report that says nothing new is passed on all the same, as a sign of life.
-const AGAIN: Duration = Duration::from_secs(3);
+const LOCAL_REFRESH: Duration = Duration::from_secs(3);
 /// The same for other regions, where instances forget a target after twice that.
-const AGAIN_FAR: Duration = Duration::from_secs(10);
+const REMOTE_REFRESH: Duration = Duration::from_secs(10);
 /// Age at which a report is forgotten. Instances have stopped trusting it long before.
-const STALE: Duration = Duration::from_secs(30);
+const REPORT_TTL: Duration = Duration::from_secs(30);
 /// Most targets kept; one replica hears a few thousand at the size this is built for.
-const TARGETS: usize = 20_000;
+const MAX_TARGETS: usize = 20_000;
 
 /// Targets by name.
 #[derive(Debug, Default)]
 pub(super) struct Targets {
-    held: IndexMap<id::Target, Held>,
+    entries: IndexMap<id::Target, Entry>,
     version: Version,
 }
 
 #[derive(Debug)]
-struct Held {
+struct Entry {
     report: Report,
     heard: Instant,
-    near: Pass,
-    far: Pass,
+    local: Forwarded,
+    remote: Forwarded,
 }
 
 /// When a report was last to be passed on.
 #[derive(Debug, Clone, Copy)]
-struct Pass {
+struct Forwarded {
     version: Version,
     at: Instant,
 }
 
 /// Versions up to which a link was told.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Hash)]
-pub(super) struct Told {
+pub(super) struct Versions {
     /// Of targets of its own region.
-    pub(super) near: Version,
+    pub(super) local: Version,
     /// Of targets of other regions.
-    pub(super) far: Version,
+    pub(super) remote: Version,
 }
 
 impl Targets {
@@ -65,11 +65,11 @@
 
     /// Notes a report; returns whether it was news.
     pub(super) fn note(&mut self, report: Report) -> bool {
-        let held = self.held.get(&report.target);
+        let held = self.entries.get(&report.target);
         if held.is_some_and(|held| !report.replaces(&held.report)) {
             return false;
         }
-        if held.is_none() && self.held.len() >= TARGETS {
+        if held.is_none() && self.entries.len() >= MAX_TARGETS {
             tracing::warn!(
                 event = "target-dropped",
                 target = report.target,
@@ -81,25 +81,27 @@
             log_report(&report, None);
         }
         let heard = Instant::now();
-        let next = Pass {
+        let next = Forwarded {
             version: self.version + 1,
             at: heard,
         };
-        let same = held.filter(|held| !held.report.differs(&report));
-        let near = same.map(|held| held.near);
-        let far = same.map(|held| held.far);
-        let near = near.filter(|pass| pass.at + AGAIN > heard).unwrap_or(next);
-        let far = far
-            .filter(|pass| pass.at + AGAIN_FAR > heard)
+        let unchanged = held.filter(|held| !held.report.differs(&report));
+        let local = unchanged.map(|held| held.local);
+        let remote = unchanged.map(|held| held.remote);
+        let local = local
+            .filter(|forwarded| forwarded.at + LOCAL_REFRESH > heard)
             .unwrap_or(next);
-        self.version = self.version.max(near.version).max(far.version);
-        let held = Held {
+        let remote = remote
+            .filter(|forwarded| forwarded.at + REMOTE_REFRESH > heard)
+            .unwrap_or(next);
+        self.version = self.version.max(local.version).max(remote.version);
+        let held = Entry {
             report,
             heard,
-            near,
-            far,
+            local,
+            remote,
         };
-        self.held.insert(held.report.target.clone(), held);
+        self.entries.insert(held.report.target.clone(), held);
         true
     }
 
@@ -108,7 +110,7 @@
     /// One that reported to other replicas so far isn't known here. Its run has begun before now, and
     /// a later run will have a later number.
     pub(super) fn leave(&mut self, target: &str) {
-        let known = self.held.get(target).map(|held| held.report.clone());
+        let known = self.entries.get(target).map(|held| held.report.clone());
         let report = known.unwrap_or_else(|| Report {
             target: target.to_owned(),
             incarnation: incarnation(),
@@ -130,7 +132,7 @@
 
     /// Returns the last reports of the targets that take requests and have reported within a time.
     pub(super) fn ready(&self, within: Duration) -> Vec<Report> {
-        let fresh = self.held.values();
+        let fresh = self.entries.values();
         let fresh = fresh.filter(|held| held.heard.elapsed() < within);
         let reports = fresh.map(|held| &held.report);
         let ready = reports.filter(|report| report.state == State::Ready);
@@ -139,23 +141,24 @@
 
     /// Forgets reports that are too old for anybody.
     pub(super) fn expire(&mut self) {
-        self.held.retain(|_, held| held.heard.elapsed() < STALE);
+        self.entries
+            .retain(|_, held| held.heard.elapsed() < REPORT_TTL);
     }
 
     /// Returns the reports that a link of a region, told up to some versions, doesn't know yet; of other
     /// regions only if `with_far`.
     ///
     /// A target that signed off where it never reported has no place: all links are told at once.
-    pub(super) fn since(&self, told: Told, region: &str, with_far: bool) -> Vec<Report> {
-        let is_news = |held: &&Held| {
+    pub(super) fn since(&self, seen: Versions, region: &str, include_remote: bool) -> Vec<Report> {
+        let is_unseen = |held: &&Entry| {
             let place = &held.report.place.region;
             if place == region || place.is_empty() {
-                held.near.version > told.near
+                held.local.version > seen.local
             } else {
-                with_far && held.far.version > told.far
+                include_remote && held.remote.version > seen.remote
             }
         };
-        let aged = self.held.values().filter(is_news).map(|held| {
+        let aged = self.entries.values().filter(is_unseen).map(|held| {
             let age = held.heard.elapsed().as_millis();
             let mut report = held.report.clone();
             report.age_ms = u64::try_from(age).unwrap_or(u64::MAX);
--- a/crates/zinniastall-control/src/hub/vouching.rs
+++ b/crates/zinniastall-control/src/hub/vouching.rs
@@ -16,9 +16,9 @@
 use crate::control::Vouch;
 
 /// Least time between two rounds.
-const PACE: Duration = Duration::from_millis(150);
+const MIN_ROUND_INTERVAL: Duration = Duration::from_millis(150);
 /// Longest time that a round may take. Where the group has no leader, the next round asks the next one.
-const LONGEST: Duration = Duration::from_millis(600);
+const ROUND_TIMEOUT: Duration = Duration::from_millis(600);
 
 /// Number of a round in which the group is asked.
 type Round = u64;
@@ -43,13 +43,13 @@
 
 /// Rounds of questions to the group.
 #[derive(Debug, Default)]
-pub(super) struct Vouching {
+pub(super) struct Rounds {
     begun: Cell<Round>,
     asked: Notify,
     vouched: watch::Sender<Vouched>,
 }
 
-impl Vouching {
+impl Rounds {
     /// Asks for a round; returns the number of the one that answers.
     pub(super) fn ask(&self) -> Round {
         self.asked.notify_one();
@@ -63,14 +63,14 @@
 
     /// Asks the group whenever a question waits, for ever.
     pub(super) async fn run(&self, group: Recipient<Vouch>) {
-        let mut pace = time::interval(PACE);
+        let mut pace = time::interval(MIN_ROUND_INTERVAL);
         pace.set_missed_tick_behavior(time::MissedTickBehavior::Delay);
         loop {
             self.asked.notified().await;
             pace.tick().await;
             let round = self.begun.get() + 1;
             self.begun.set(round);
-            if let Ok(Some(revision)) = time::timeout(LONGEST, reached(&group)).await {
+            if let Ok(Some(revision)) = time::timeout(ROUND_TIMEOUT, reached(&group)).await {
                 self.vouched.send_replace(Vouched { round, revision });
             } else {
                 tracing::debug!(event = "group-silent", round);
--- a/crates/zinniastall-control/src/lib.rs
+++ b/crates/zinniastall-control/src/lib.rs
@@ -9,9 +9,9 @@
 pub mod control;
 pub mod daemon;
 pub mod disk;
-pub mod figures;
 pub mod hub;
 pub mod links;
+pub mod metrics;
 pub mod orders;
 pub mod peers;
 pub mod recall;
--- a/crates/zinniastall-control/src/links.rs
+++ b/crates/zinniastall-control/src/links.rs
@@ -17,22 +17,22 @@
 };
 
 use crate::{
-    control::{Control, FOUNDING, Heard, Vouch},
+    control::{Control, FOUNDING, Notice, Vouch},
     hub::Hub,
     peers,
 };
 
 /// Longest time a handshake may take.
-const HANDSHAKE: std::time::Duration = std::time::Duration::from_secs(5);
+const HANDSHAKE_TIMEOUT: std::time::Duration = std::time::Duration::from_secs(5);
 
 /// What this instance says of itself, shared between the actor that changes it and the acceptor.
-pub type Card = Rc<RefCell<Hello>>;
+pub type Identity = Rc<RefCell<Hello>>;
 
 /// Accepts links and serves them.
 #[derive(Debug, Clone)]
 pub struct Acceptor {
     /// What this instance says of itself.
-    pub card: Card,
+    pub identity: Identity,
     /// The actor that owns control state.
     pub control: Addr<Control>,
     /// Configuration for entry instances.
@@ -46,9 +46,9 @@
 impl Acceptor {
     /// Accepts links for ever, at most a number of them at once.
     pub async fn run(self, listener: TcpListener, limit: usize) {
-        let places = Arc::new(Semaphore::new(limit));
+        let permits = Arc::new(Semaphore::new(limit));
         loop {
-            let Ok(place) = Arc::clone(&places).acquire_owned().await else {
+            let Ok(permit) = Arc::clone(&permits).acquire_owned().await else {
                 return;
             };
             match listener.accept().await {
@@ -56,7 +56,7 @@
                     let acceptor = self.clone();
                     actix::spawn(async move {
                         acceptor.serve(stream).await;
-                        drop(place);
+                        drop(permit);
                     });
                 }
                 Err(error) => {
@@ -69,9 +69,9 @@
     }
 
     async fn serve(self, stream: tokio::net::TcpStream) {
-        let card = Rc::clone(&self.card);
-        let judge = |peer: &Hello| judge(&card.borrow(), peer);
-        let accepted = time::timeout(HANDSHAKE, Link::accept(stream, judge)).await;
+        let identity = Rc::clone(&self.identity);
+        let check_hello = |peer: &Hello| check_hello(&identity.borrow(), peer);
+        let accepted = time::timeout(HANDSHAKE_TIMEOUT, Link::accept(stream, check_hello)).await;
         let link = match accepted {
             Ok(Ok(link)) => link,
             Ok(Err(error)) => {
@@ -92,9 +92,9 @@
         let control = self.control;
         let notify = |event| {
             match event {
-                Event::Member(member) => control.do_send(Heard::Member(member)),
-                Event::Confirmed(list) => control.do_send(Heard::Confirmed(list)),
-                Event::Astray(list) => control.do_send(Heard::Astray(list)),
+                Event::Member(member) => control.do_send(Notice::Member(member)),
+                Event::Confirmed(list) => control.do_send(Notice::Confirmed(list)),
+                Event::Astray(list) => control.do_send(Notice::Astray(list)),
                 // Operators ask control for its figures; on a link nobody does.
                 Event::Asked => {}
                 Event::Vouch(ask) => return Some(vouch(control.clone(), ask)),
@@ -117,9 +117,10 @@
     .boxed_local()
 }
 
-fn judge(own: &Hello, peer: &Hello) -> Result<Hello, Refusal> {
-    let strangers = matches!((&own.cluster, &peer.cluster), (Some(own), Some(peer)) if own != peer);
-    if strangers {
+fn check_hello(own: &Hello, peer: &Hello) -> Result<Hello, Refusal> {
+    let clusters_differ =
+        matches!((&own.cluster, &peer.cluster), (Some(own), Some(peer)) if own != peer);
+    if clusters_differ {
         return Err(Refusal::Cluster);
     }
     // Before the founding there is nothing to follow, and a follower would not learn the cluster.
--- a/crates/zinniastall-control/src/figures.rs
+++ b/crates/zinniastall-control/src/metrics.rs
@@ -9,32 +9,32 @@
 use zinniastall_settings::scrape::{Builder, Counters, Gauge, Histograms, Page};
 
 use crate::{
-    control::{Control, Glance},
+    control::{Control, Sample},
     hub::Hub,
 };
 
 /// Time between two looks at the replica.
-const LOOK: Duration = Duration::from_secs(1);
+const POLL_INTERVAL: Duration = Duration::from_secs(1);
 
 /// An operators' call or a target's report, and how it was answered.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
-struct Answered {
+struct AnswerLabels {
     call: &'static str,
     status: u16,
 }
 
 /// An operators' call.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
-struct Call {
+struct CallLabels {
     call: &'static str,
 }
 
 /// Figures of one replica; clones count into the same.
 #[derive(Debug, Clone)]
-pub struct Figures {
+pub struct Metrics {
     page: Page,
-    calls: Counters<Answered>,
-    seconds: Histograms<Call>,
+    calls: Counters<AnswerLabels>,
+    seconds: Histograms<CallLabels>,
     leads: Gauge,
     term: Gauge,
     commit: Gauge,
@@ -46,13 +46,13 @@
     unsynced: Gauge,
 }
 
-impl Default for Figures {
+impl Default for Metrics {
     fn default() -> Self {
         Self::new()
     }
 }
 
-impl Figures {
+impl Metrics {
     /// Creates figures that are all zero.
     pub fn new() -> Self {
         let mut page = Builder::new("zinniastall_control");
@@ -76,28 +76,30 @@
     }
 
     /// Counts a call that has been answered.
-    pub fn call(&self, call: &'static str, status: u16, took: Duration) {
-        self.calls.get_or_create(&Answered { call, status }).inc();
-        let seconds = self.seconds.get_or_create(&Call { call });
+    pub fn observe_call(&self, call: &'static str, status: u16, took: Duration) {
+        self.calls
+            .get_or_create(&AnswerLabels { call, status })
+            .inc();
+        let seconds = self.seconds.get_or_create(&CallLabels { call });
         seconds.observe(took.as_secs_f64());
     }
 
     /// Looks at the replica again and again, for ever.
-    pub async fn watch(self, control: Addr<Control>, hub: Hub) {
+    pub async fn poll(self, control: Addr<Control>, hub: Hub) {
         loop {
-            if let Ok(glance) = control.send(Glance).await {
-                let status = glance.status;
+            if let Ok(stats) = control.send(Sample).await {
+                let status = stats.status;
                 self.leads.set(u64::from(status.role == Role::Leader));
                 self.term.set(status.term);
                 self.commit.set(status.commit);
                 self.voters.set(status.voters.voters.len() as u64);
                 self.spare.set(status.failure_tolerance() as u64);
-                self.revision.set(glance.revision);
-                self.unsynced.set(glance.unsynced);
+                self.revision.set(stats.revision);
+                self.unsynced.set(stats.unsynced);
             }
             self.instances.set(hub.linked() as u64);
             self.quarantined.set(hub.quarantined() as u64);
-            time::sleep(LOOK).await;
+            time::sleep(POLL_INTERVAL).await;
         }
     }
 
@@ -109,16 +111,16 @@
 
 /// Measures a call from its arrival to its answer.
 #[derive(Debug)]
-pub struct Watch(Instant);
+pub struct Timer(Instant);
 
-impl Watch {
+impl Timer {
     /// Starts to measure.
     pub fn start() -> Self {
         Self(Instant::now())
     }
 
     /// Counts the call.
-    pub fn stop(self, figures: &Figures, call: &'static str, status: u16) {
-        figures.call(call, status, self.0.elapsed());
+    pub fn stop(self, metrics: &Metrics, call: &'static str, status: u16) {
+        metrics.observe_call(call, status, self.0.elapsed());
     }
 }
--- a/crates/zinniastall-control/src/orders.rs
+++ b/crates/zinniastall-control/src/orders.rs
@@ -12,13 +12,13 @@
 use zinniastall_wire::follow::Astray;
 
 /// Most targets that are noted at once.
-const TARGETS: usize = 16_384;
+const MAX_TARGETS: usize = 16_384;
 /// Time after which a target that is not reported any more is forgotten.
-const FORGET: Duration = Duration::from_secs(10);
+const REPORT_TTL: Duration = Duration::from_secs(10);
 /// Time after an answered order within which reports may be older than what it did.
-const LAG: Duration = Duration::from_secs(4);
+const REPORT_LAG: Duration = Duration::from_secs(4);
 /// Seconds of a minute.
-const MINUTE: f64 = 60.0;
+const SECONDS_PER_MINUTE: f64 = 60.0;
 
 /// How orders are paced and guarded.
 #[derive(Debug, Clone)]
@@ -47,7 +47,7 @@
 }
 
 #[derive(Debug)]
-struct Note {
+struct Entry {
     astray: Astray,
     heard: Instant,
     progress: Progress,
@@ -68,11 +68,11 @@
 #[derive(Debug)]
 pub struct Orders {
     rules: Rules,
-    notes: IndexMap<id::Target, Note>,
+    entries: IndexMap<id::Target, Entry>,
     sequence: u32,
-    since: Instant,
+    leader_since: Instant,
     tokens: f64,
-    filled: Instant,
+    refilled: Instant,
 }
 
 impl Orders {
@@ -81,39 +81,41 @@
     pub fn new(rules: Rules, now: Instant) -> Self {
         Self {
             rules,
-            notes: IndexMap::new(),
+            entries: IndexMap::new(),
             sequence: 0,
-            since: now,
+            leader_since: now,
             tokens: 0.0,
-            filled: now,
+            refilled: now,
         }
     }
 
     /// Notes a target that does not hold what it should.
     pub fn note(&mut self, astray: Astray, now: Instant) {
-        let known = self.notes.get(&astray.target);
-        if known.is_none() && self.notes.len() >= TARGETS {
+        let known = self.entries.get(&astray.target);
+        if known.is_none() && self.entries.len() >= MAX_TARGETS {
             return;
         }
         // A report that was under way while the target obeyed would order it a second time.
         let again = known.filter(|known| known.astray.incarnation == astray.incarnation);
         let progress = match again.map(|known| known.progress) {
-            Some(Progress::Answered(since)) if now < since + LAG => Progress::Answered(since),
+            Some(Progress::Answered(since)) if now < since + REPORT_LAG => {
+                Progress::Answered(since)
+            }
             Some(Progress::Ordered) => Progress::Ordered,
             _ => Progress::Reported,
         };
-        let note = Note {
+        let entry = Entry {
             astray,
             heard: now,
             progress,
         };
-        self.notes.insert(note.astray.target.clone(), note);
+        self.entries.insert(entry.astray.target.clone(), entry);
     }
 
     /// Notes that an order was answered, or that no answer will come.
     pub fn answered(&mut self, target: &str, now: Instant) {
-        if let Some(note) = self.notes.get_mut(target) {
-            note.progress = Progress::Answered(now);
+        if let Some(entry) = self.entries.get_mut(target) {
+            entry.progress = Progress::Answered(now);
         }
     }
 
@@ -129,23 +131,24 @@
         window: Duration,
         now: Instant,
     ) -> Vec<Dispatch> {
-        self.fill(now);
-        self.notes
-            .retain(|_, note| now < note.heard + FORGET || note.progress == Progress::Ordered);
-        let quiet = now >= self.since + window + self.rules.send;
+        self.refill(now);
+        self.entries.retain(|_, entry| {
+            now < entry.heard + REPORT_TTL || entry.progress == Progress::Ordered
+        });
+        let is_settled = now >= self.leader_since + window + self.rules.send;
         let mut due: Vec<(bool, Astray, Order)> = Vec::new();
-        for note in self.notes.values() {
-            let reported = note.progress == Progress::Reported;
-            let ready = reported && (quiet || self.checks(&note.astray.kind));
-            let order = Order::of(state, &note.astray.place, &note.astray.target);
-            let Some(order) = order.filter(|order| ready && !order.agrees(&note.astray.holding))
+        for entry in self.entries.values() {
+            let reported = entry.progress == Progress::Reported;
+            let ready = reported && (is_settled || self.checks(&entry.astray.kind));
+            let order = Order::of(state, &entry.astray.place, &entry.astray.target);
+            let Some(order) = order.filter(|order| ready && !order.agrees(&entry.astray.holding))
             else {
                 continue;
             };
             let awaited = order
-                .missing(&note.astray.holding)
+                .missing(&entry.astray.holding)
                 .any(|model| Order::is_awaited(state, &model.id));
-            due.push((awaited, note.astray.clone(), order));
+            due.push((awaited, entry.astray.clone(), order));
         }
         // What requests may be waiting for goes before what is only loaded ahead.
         due.sort_by_key(|(awaited, _, _)| !awaited);
@@ -167,8 +170,8 @@
         self.tokens -= f64::from(loads);
         self.sequence += 1;
         let fence = Fence::new(lease.term, self.sequence).ok()?;
-        if let Some(note) = self.notes.get_mut(&astray.target) {
-            note.progress = Progress::Ordered;
+        if let Some(entry) = self.entries.get_mut(&astray.target) {
+            entry.progress = Progress::Ordered;
         }
         Some(Dispatch {
             astray,
@@ -178,14 +181,14 @@
         })
     }
 
-    fn fill(&mut self, now: Instant) {
+    fn refill(&mut self, now: Instant) {
         #[expect(
             clippy::cast_precision_loss,
             reason = "settings bound both far below 2^52"
         )]
         let (rate, burst) = (self.rules.loads_per_minute as f64, self.rules.burst as f64);
-        let passed = now.saturating_duration_since(self.filled).as_secs_f64();
-        self.tokens = (self.tokens + passed * rate / MINUTE).min(burst);
-        self.filled = now;
+        let passed = now.saturating_duration_since(self.refilled).as_secs_f64();
+        self.tokens = (self.tokens + passed * rate / SECONDS_PER_MINUTE).min(burst);
+        self.refilled = now;
     }
 }
--- a/crates/zinniastall-control/src/peers.rs
+++ b/crates/zinniastall-control/src/peers.rs
@@ -26,14 +26,14 @@
     hello::Hello,
 };
 
-use self::{datagram::Datagrams, dial::Dialling};
+use self::{datagram::Datagrams, dial::Dialer};
 pub use self::{
     dial::{ask_cluster, serve},
     message::Message,
 };
 
 /// Frames that may wait for one link.
-const QUEUE: usize = 256;
+const QUEUE_CAPACITY: usize = 256;
 
 /// Sends frames to one link.
 pub type Queue = mpsc::Sender<Frame>;
@@ -42,20 +42,20 @@
 #[derive(Debug, Clone, Copy)]
 pub struct Timing {
     /// Time between two pings of the dialling end.
-    pub ping: Duration,
+    pub ping_interval: Duration,
     /// Time without a frame after which a link counts as cut.
-    pub silence: Duration,
+    pub idle_timeout: Duration,
     /// Longest time between two attempts to dial.
-    pub retry: Duration,
+    pub max_backoff: Duration,
 }
 
 impl Timing {
     /// Derives the times from an election timeout.
     pub fn new(election: Duration) -> Self {
         Self {
-            ping: election / 2,
-            silence: election * 3,
-            retry: election.max(Duration::from_millis(200)),
+            ping_interval: election / 2,
+            idle_timeout: election * 3,
+            max_backoff: election.max(Duration::from_millis(200)),
         }
     }
 }
@@ -69,35 +69,35 @@
     /// The frame.
     pub frame: Replica,
     /// Where answers may go.
-    pub back: Queue,
+    pub reply_queue: Queue,
 }
 
 /// Links to the other replicas.
 #[derive(Debug)]
 pub struct Peers {
-    dialling: Dialling,
-    dialled: IndexMap<String, Dialled>,
+    dialer: Dialer,
+    outbound: IndexMap<String, Outbound>,
     datagrams: Option<Datagrams>,
-    back: IndexMap<Id, Queue>,
+    reply_queues: IndexMap<Id, Queue>,
 }
 
 #[derive(Debug)]
-struct Dialled {
+struct Outbound {
     queue: Queue,
     open: Arc<AtomicBool>,
     /// Replica for which the link was opened anew.
-    renewed: Option<Id>,
+    reopened_for: Option<Id>,
     task: tokio::task::JoinHandle<()>,
 }
 
-impl Dialled {
+impl Outbound {
     /// Queues a frame on an open link.
     fn try_send(&self, frame: &Frame) -> bool {
         self.open.load(Ordering::Relaxed) && self.queue.try_send(frame.clone()).is_ok()
     }
 }
 
-impl Drop for Dialled {
+impl Drop for Outbound {
     fn drop(&mut self) {
         self.task.abort();
     }
@@ -106,39 +106,39 @@
 impl Peers {
     /// Creates the links of a replica that has none yet.
     pub fn new(id: Id, hello: Hello, timing: Timing, received: Recipient<Received>) -> Self {
-        let dialling = Dialling {
+        let dialer = Dialer {
             id,
             hello,
             timing,
             received,
         };
         Self {
-            dialling,
-            dialled: IndexMap::new(),
+            dialer,
+            outbound: IndexMap::new(),
             datagrams: None,
-            back: IndexMap::new(),
+            reply_queues: IndexMap::new(),
         }
     }
 
     /// Sends what is urgent by datagram too.
     #[must_use]
-    pub fn datagrams(mut self, datagrams: Option<Datagrams>) -> Self {
+    pub fn with_datagrams(mut self, datagrams: Option<Datagrams>) -> Self {
         self.datagrams = datagrams;
         self
     }
 
     /// Dials exactly these addresses from now on, under a handshake.
     pub fn dial(&mut self, hello: &Hello, addresses: &[String]) {
-        if self.dialling.hello != *hello {
-            self.dialling.hello = hello.clone();
-            self.dialled.clear();
+        if self.dialer.hello != *hello {
+            self.dialer.hello = hello.clone();
+            self.outbound.clear();
         }
-        self.dialled
+        self.outbound
             .retain(|address, _| addresses.contains(address));
         for address in addresses {
-            if !self.dialled.contains_key(address) {
-                let dialled = self.start(address.clone());
-                self.dialled.insert(address.clone(), dialled);
+            if !self.outbound.contains_key(address) {
+                let outbound = self.start(address.clone());
+                self.outbound.insert(address.clone(), outbound);
             }
         }
     }
@@ -147,26 +147,26 @@
     ///
     /// A machine that loses power closes nothing. The link to the replica before goes on looking open until the
     /// silence is long enough, some two seconds, in which its successor hears nothing and counts as gone.
-    pub fn renew(&mut self, replica: Id, address: &str) {
-        let held = self.dialled.get(address);
-        if held.is_none_or(|dialled| dialled.renewed == Some(replica)) {
+    pub fn reopen(&mut self, replica: Id, address: &str) {
+        let held = self.outbound.get(address);
+        if held.is_none_or(|outbound| outbound.reopened_for == Some(replica)) {
             return;
         }
-        let mut dialled = self.start(address.to_owned());
-        dialled.renewed = Some(replica);
-        self.dialled.insert(address.to_owned(), dialled);
+        let mut outbound = self.start(address.to_owned());
+        outbound.reopened_for = Some(replica);
+        self.outbound.insert(address.to_owned(), outbound);
     }
 
     /// Notes on which link a replica can be answered, and forgets those that have closed.
-    pub fn note(&mut self, from: Id, back: Queue) {
-        self.back.retain(|_, queue| !queue.is_closed());
-        self.back.insert(from, back);
+    pub fn set_reply_queue(&mut self, from: Id, reply_queue: Queue) {
+        self.reply_queues.retain(|_, queue| !queue.is_closed());
+        self.reply_queues.insert(from, reply_queue);
     }
 
     /// Sends a message to a replica, or drops it when no link takes it now.
     pub fn send(&self, to: Id, address: Option<&String>, message: &Message) {
         let frame = Frame::Replica(Replica {
-            from: self.dialling.id,
+            from: self.dialer.id,
             to,
             message: message.encode(),
         });
@@ -175,36 +175,36 @@
         {
             datagrams.send(address, &frame);
         }
-        let dialled = address.and_then(|address| self.dialled.get(address));
-        let taken = dialled.is_some_and(|dialled| dialled.try_send(&frame));
+        let outbound = address.and_then(|address| self.outbound.get(address));
+        let taken = outbound.is_some_and(|outbound| outbound.try_send(&frame));
         if taken {
             return;
         }
-        if let Some(back) = self.back.get(&to) {
-            drop(back.try_send(frame));
+        if let Some(reply_queue) = self.reply_queues.get(&to) {
+            drop(reply_queue.try_send(frame));
         }
     }
 
     /// Sends a message on every dialled link, whoever is behind it.
     pub fn broadcast(&self, message: &Message) {
         let frame = Frame::Replica(Replica {
-            from: self.dialling.id,
+            from: self.dialer.id,
             to: 0,
             message: message.encode(),
         });
-        for dialled in self.dialled.values() {
-            dialled.try_send(&frame);
+        for outbound in self.outbound.values() {
+            outbound.try_send(&frame);
         }
     }
 
-    fn start(&self, address: String) -> Dialled {
-        let (queue, frames) = mpsc::channel(QUEUE);
+    fn start(&self, address: String) -> Outbound {
+        let (queue, frames) = mpsc::channel(QUEUE_CAPACITY);
         let open = Arc::new(AtomicBool::new(false));
-        let task = dial::keep(address, self.dialling.clone(), frames, Arc::clone(&open));
-        Dialled {
+        let task = dial::maintain(address, self.dialer.clone(), frames, Arc::clone(&open));
+        Outbound {
             queue,
             open,
-            renewed: None,
+            reopened_for: None,
             task: actix::spawn(task),
         }
     }
--- a/crates/zinniastall-control/src/peers/datagram.rs
+++ b/crates/zinniastall-control/src/peers/datagram.rs
@@ -14,9 +14,9 @@
 use super::Message;
 
 /// Datagrams that may wait to be sent: a few rounds to the replicas of a large group.
-const QUEUE: usize = 64;
+const QUEUE_CAPACITY: usize = 64;
 /// Longest datagram, in bytes; one that is longer would be cut into packets and lost with any of them.
-const LONGEST: usize = 1_400;
+const MAX_DATAGRAM_BYTES: usize = 1_400;
 
 /// A frame arrived by datagram. Who sent it is known only by the frame's own word.
 #[derive(Debug, actix::Message)]
@@ -32,7 +32,7 @@
 impl Datagrams {
     /// Sends and receives on a socket from now on.
     pub fn start(socket: UdpSocket, arrived: Recipient<Arrived>) -> Self {
-        let (queue, waiting) = mpsc::channel(QUEUE);
+        let (queue, waiting) = mpsc::channel(QUEUE_CAPACITY);
         actix::spawn(run(socket, waiting, arrived));
         Self { queue }
     }
@@ -66,11 +66,11 @@
     mut waiting: mpsc::Receiver<(SocketAddr, Vec<u8>)>,
     arrived: Recipient<Arrived>,
 ) {
-    let mut buffer = vec![0; LONGEST];
+    let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
     loop {
         tokio::select! {
             received = socket.recv_from(&mut buffer) => match received {
-                Ok((length, from)) => take(&buffer[..length], from, &arrived),
+                Ok((length, from)) => decode(&buffer[..length], from, &arrived),
                 // An earlier datagram met a port at which nobody listens yet.
                 Err(error) => tracing::debug!(event = "datagram-failed", error = %error),
             },
@@ -84,7 +84,7 @@
     }
 }
 
-fn take(bytes: &[u8], from: SocketAddr, arrived: &Recipient<Arrived>) {
+fn decode(bytes: &[u8], from: SocketAddr, arrived: &Recipient<Arrived>) {
     let Ok(Frame::Replica(frame)) = Frame::decode(bytes) else {
         tracing::debug!(event = "malformed-datagram", from = %from);
         return;
--- a/crates/zinniastall-control/src/peers/dial.rs
+++ b/crates/zinniastall-control/src/peers/dial.rs
@@ -21,16 +21,16 @@
     link::{Error, Link},
 };
 
-use super::{Id, Message, QUEUE, Received, Timing};
+use super::{Id, Message, QUEUE_CAPACITY, Received, Timing};
 
 /// First wait after a failed attempt.
-const FIRST_WAIT: Duration = Duration::from_millis(20);
+const INITIAL_BACKOFF: Duration = Duration::from_millis(20);
 /// Longest wait for another replica's answer before a cluster is founded.
-const ASK: Duration = Duration::from_secs(2);
+const ASK_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// What it takes to dial.
 #[derive(Debug, Clone)]
-pub(super) struct Dialling {
+pub(super) struct Dialer {
     /// This replica.
     pub(super) id: Id,
     /// What this instance says of itself.
@@ -42,24 +42,24 @@
 }
 
 /// Dials again and again, with a growing and jittered wait between attempts.
-pub(super) async fn keep(
+pub(super) async fn maintain(
     address: String,
-    dialling: Dialling,
+    dialer: Dialer,
     mut frames: mpsc::Receiver<Frame>,
     open: Arc<AtomicBool>,
 ) {
-    let timing = dialling.timing;
-    let mut wait = FIRST_WAIT;
+    let timing = dialer.timing;
+    let mut backoff = INITIAL_BACKOFF;
     loop {
-        let dial = Link::dial(&address, dialling.hello.clone());
-        let dialled = time::timeout(timing.silence, dial).await;
+        let dial = Link::dial(&address, dialer.hello.clone());
+        let dialled = time::timeout(timing.idle_timeout, dial).await;
         match dialled.unwrap_or(Err(Error::Closed)) {
             Ok(link) => {
                 tracing::info!(event = "replica-link-open", address);
-                wait = FIRST_WAIT;
+                backoff = INITIAL_BACKOFF;
                 open.store(true, Ordering::Relaxed);
-                let ping = Some(dialling.id);
-                let error = run(link, timing, &mut frames, &dialling.received, ping).await;
+                let ping = Some(dialer.id);
+                let error = run(link, timing, &mut frames, &dialer.received, ping).await;
                 open.store(false, Ordering::Relaxed);
                 tracing::warn!(event = "replica-link-lost", address, error = %error);
             }
@@ -69,8 +69,8 @@
         }
         // What waited for the old link is stale.
         while frames.try_recv().is_ok() {}
-        time::sleep(wait.mul_f64(rand::rng().random_range(0.5..1.0))).await;
-        wait = (wait * 2).min(timing.retry);
+        time::sleep(backoff.mul_f64(rand::rng().random_range(0.5..1.0))).await;
+        backoff = (backoff * 2).min(timing.max_backoff);
     }
 }
 
@@ -89,7 +89,7 @@
 ///
 /// Fails when it can't be asked. One that refuses because it belongs to a cluster is no failure.
 pub async fn ask_cluster(address: &str, hello: Hello) -> Result<Option<String>, Error> {
-    let dialled = time::timeout(ASK, Link::dial(address, hello)).await;
+    let dialled = time::timeout(ASK_TIMEOUT, Link::dial(address, hello)).await;
     match dialled.unwrap_or(Err(Error::Closed)) {
         Ok(link) => Ok(link.peer().cluster.clone()),
         Err(Error::Refused(Refusal::Cluster)) => Ok(Some(String::new())),
@@ -106,16 +106,16 @@
 ) -> Error {
     let hello = link.peer().clone();
     let (mut sender, mut receiver) = link.split();
-    let (back, mut answers) = mpsc::channel(QUEUE);
-    let mut ping = time::interval(timing.ping);
-    let mut silent = Instant::now() + timing.silence;
+    let (reply_queue, mut answers) = mpsc::channel(QUEUE_CAPACITY);
+    let mut ping = time::interval(timing.ping_interval);
+    let mut idle_deadline = Instant::now() + timing.idle_timeout;
     loop {
         let frame = tokio::select! {
             frame = receiver.next() => {
-                silent = Instant::now() + timing.silence;
+                idle_deadline = Instant::now() + timing.idle_timeout;
                 match frame {
                     Some(Ok(Frame::Replica(frame))) => {
-                        let message = Received { hello: hello.clone(), frame, back: back.clone() };
+                        let message = Received { hello: hello.clone(), frame, reply_queue: reply_queue.clone() };
                         if inbox.send(message).await.is_err() {
                             return Error::Closed;
                         }
@@ -135,9 +135,9 @@
             }),
             // TCP goes on trying for minutes when a network swallows everything; a fresh
             // connection gets through as soon as the network does.
-            () = time::sleep_until(silent) => return Error::Closed,
+            () = time::sleep_until(idle_deadline) => return Error::Closed,
         };
-        match time::timeout(timing.silence, sender.send(frame)).await {
+        match time::timeout(timing.idle_timeout, sender.send(frame)).await {
             Ok(Ok(())) => {}
             Ok(Err(error)) => return error,
             Err(_) => return Error::Closed,
--- a/crates/zinniastall-control/src/recall.rs
+++ b/crates/zinniastall-control/src/recall.rs
@@ -31,18 +31,19 @@
 use crate::{control::Remember, hub::Hub};
 
 /// Name of the list in the data folder, and of the one that is being written.
-const FILE: (&str, &str) = ("targets", "targets.tmp");
+const FILE_NAMES: (&str, &str) = ("targets", "targets.tmp");
 /// Age of a target's last report up to which it counts as there: a few heartbeats.
-const PRESENT: Duration = Duration::from_secs(5);
+const REPORT_MAX_AGE: Duration = Duration::from_secs(5);
 /// Time after which the replicas of other zones are told again of targets that report here, and after which
 /// their word is forgotten: two of them may be lost.
-const TELL: (Duration, Duration) = (Duration::from_secs(10), Duration::from_secs(25));
+const PEER_INTERVAL_AND_TTL: (Duration, Duration) =
+    (Duration::from_secs(10), Duration::from_secs(25));
 /// Time between two looks at whether the list has changed. Targets come and go within seconds, and who is
 /// missing from the list is heard of a second after the start, as all would be without it.
-const LOOK: Duration = Duration::from_secs(1);
+const POLL_INTERVAL: Duration = Duration::from_secs(1);
 /// Longest wait for a target's word. Targets of the same zone answer within some milliseconds; after this
 /// most have reported by themselves.
-const ANSWER: Duration = Duration::from_millis(500);
+const HEALTH_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Names of header fields with which a target answers when it is asked how it is.
 #[derive(Debug, Clone, Copy)]
@@ -61,7 +62,7 @@
     /// Passes on what other replicas have to remember.
     pub control: Recipient<Remember>,
     /// What other replicas say of targets of this zone.
-    pub told: Told,
+    pub registry: Registry,
     /// Configuration, which says where targets are asked how they are.
     pub feed: watch::Receiver<Feed>,
     /// Availability zone whose targets are remembered. Replicas of other zones remember theirs, so that each
@@ -82,18 +83,20 @@
 
 /// What other replicas say of the targets of this replica's availability zone.
 #[derive(Debug, Clone, Default)]
-pub struct Told {
+pub struct Registry {
     targets: Rc<RefCell<IndexMap<id::Target, (Remembered, Instant)>>>,
 }
 
-impl Told {
+impl Registry {
     /// Takes another replica's word, and forgets what nobody has said for a while.
-    pub fn hear(&self, targets: Vec<Remembered>, now: Instant) {
+    pub fn record(&self, targets: Vec<Remembered>, now: Instant) {
         let mut held = self.targets.borrow_mut();
         for target in targets {
             held.insert(target.report.target.clone(), (target, now));
         }
-        held.retain(|_, (_, heard)| now.saturating_duration_since(*heard) < TELL.1);
+        held.retain(|_, (_, heard)| {
+            now.saturating_duration_since(*heard) < PEER_INTERVAL_AND_TTL.1
+        });
     }
 
     /// Returns the targets that other replicas named.
@@ -116,36 +119,36 @@
     /// Asks the targets that are remembered, and remembers those that report from then on.
     pub async fn run(self) {
         self.ask_all().await;
-        let mut keeper = match Keeper::start(self.folder.clone()) {
-            Ok(keeper) => keeper,
+        let mut writer = match Writer::start(self.folder.clone()) {
+            Ok(writer) => writer,
             Err(error) => {
                 tracing::warn!(event = "targets-not-remembered", error = %error);
                 return;
             }
         };
-        let mut teller = Teller::default();
+        let mut announcer = Announcer::default();
         loop {
-            time::sleep(LOOK).await;
+            time::sleep(POLL_INTERVAL).await;
             let (own, others) = self.present();
-            keeper.keep(own);
-            for told in teller.news(others, Instant::now()) {
-                self.control.do_send(told);
+            writer.save(own);
+            for remember in announcer.due(others, Instant::now()) {
+                self.control.do_send(remember);
             }
         }
     }
 
     async fn ask_all(&self) {
-        let remembered = match read(&self.folder.join(FILE.0)) {
+        let remembered = match read(&self.folder.join(FILE_NAMES.0)) {
             Ok(remembered) => remembered,
             Err(error) => {
                 tracing::info!(event = "no-targets-remembered", reason = %error);
                 return;
             }
         };
-        let connector = awc::Connector::new().timeout(ANSWER);
+        let connector = awc::Connector::new().timeout(HEALTH_TIMEOUT);
         let client = awc::Client::builder()
             .connector(connector)
-            .timeout(ANSWER)
+            .timeout(HEALTH_TIMEOUT)
             .finish();
         let asked = remembered
             .into_iter()
@@ -164,7 +167,7 @@
                 tracing::info!(event = "target-recalled", target, cold_ms);
                 self.hub.note(Report { cold_ms, ..report });
             }
-            Err(why) => tracing::info!(event = "target-not-recalled", target, reason = %why),
+            Err(reason) => tracing::info!(event = "target-not-recalled", target, reason = %reason),
         }
     }
 
@@ -175,7 +178,7 @@
         let Some(routing) = &state.routing else {
             return Default::default();
         };
-        let reports = self.hub.ready(PRESENT).into_iter();
+        let reports = self.hub.ready(REPORT_MAX_AGE).into_iter();
         let remembered = reports.filter_map(|report| {
             let service = routing.table.service(&report.service)?;
             Some(Remembered {
@@ -185,7 +188,7 @@
         });
         let is_own = |target: &Remembered| target.report.place.zone == self.zone;
         let (mut own, mut others): (Vec<_>, Vec<_>) = remembered.partition(is_own);
-        own.extend(self.told.targets());
+        own.extend(self.registry.targets());
         for list in [&mut own, &mut others] {
             list.sort_by(|one, other| one.report.target.cmp(&other.report.target));
             list.dedup_by(|one, other| one.report.target == other.report.target);
@@ -202,39 +205,41 @@
 
 /// Decides when other replicas are told of targets.
 #[derive(Debug, Default)]
-struct Teller {
-    told: Vec<Remembered>,
+struct Announcer {
+    announced: Vec<Remembered>,
     since: Option<Instant>,
 }
 
-impl Teller {
+impl Announcer {
     /// Returns what to tell each zone now: its whole list, where any list has changed or the word is old.
-    fn news(&mut self, targets: Vec<Remembered>, now: Instant) -> Vec<Remember> {
-        let is_fresh = |since: Instant| now.saturating_duration_since(since) < TELL.0;
-        if self.since.is_some_and(is_fresh) && are_same(&targets, &self.told) {
+    fn due(&mut self, targets: Vec<Remembered>, now: Instant) -> Vec<Remember> {
+        let is_fresh =
+            |since: Instant| now.saturating_duration_since(since) < PEER_INTERVAL_AND_TTL.0;
+        if self.since.is_some_and(is_fresh) && are_same(&targets, &self.announced) {
             return Vec::new();
         }
         self.since = Some(now);
-        self.told.clone_from(&targets);
+        self.announced.clone_from(&targets);
         let mut zones: IndexMap<id::Zone, Vec<Remembered>> = IndexMap::new();
         for target in targets {
             let zone = target.report.place.zone.clone();
             zones.entry(zone).or_default().push(target);
         }
-        let told = zones.into_iter();
-        told.map(|(zone, targets)| Remember { zone, targets })
+        let lists = zones.into_iter();
+        lists
+            .map(|(zone, targets)| Remember { zone, targets })
             .collect()
     }
 }
 
 /// Keeps the list in the data folder.
 #[derive(Debug)]
-struct Keeper {
+struct Writer {
     writer: SyncSender<Vec<Remembered>>,
     saved: Vec<Remembered>,
 }
 
-impl Keeper {
+impl Writer {
     /// Starts the thread that writes; a disk that hangs holds nothing else up.
     fn start(folder: PathBuf) -> io::Result<Self> {
         let (writer, lists) = sync_channel(1);
@@ -249,7 +254,7 @@
     }
 
     /// Writes a list that says something new; where the disk hangs, the next one does.
-    fn keep(&mut self, targets: Vec<Remembered>) {
+    fn save(&mut self, targets: Vec<Remembered>) {
         if are_same(&targets, &self.saved) {
             return;
         }
@@ -261,13 +266,13 @@
 
 /// Why a remembered target isn't used before it reports by itself.
 #[derive(Debug, thiserror::Error)]
-enum Unknown {
+enum Unconfirmed {
     #[error("it gave no answer: {0}")]
-    Silent(#[from] awc::error::SendRequestError),
+    NoAnswer(#[from] awc::error::SendRequestError),
     #[error("it answered with status {0}")]
-    Unwell(u16),
+    Unhealthy(u16),
     #[error("another target lives at its address")]
-    Another,
+    OtherTarget,
 }
 
 /// Asks a target how much longer it stays cold.
@@ -276,15 +281,15 @@
     report: &Report,
     health_path: &str,
     names: Names,
-) -> Result<u64, Unknown> {
+) -> Result<u64, Unconfirmed> {
     let url = format!("http://{}{health_path}", report.address);
     let answer = client.get(url).send().await?;
     if !answer.status().is_success() {
-        return Err(Unknown::Unwell(answer.status().as_u16()));
+        return Err(Unconfirmed::Unhealthy(answer.status().as_u16()));
     }
     let field = |name: &str| answer.headers().get(name)?.to_str().ok();
     if field(names.target) != Some(report.target.as_str()) {
-        return Err(Unknown::Another);
+        return Err(Unconfirmed::OtherTarget);
     }
     let cold_ms = field(names.cold_ms).and_then(|value| value.trim().parse::<f64>().ok());
     #[expect(
@@ -309,11 +314,11 @@
 fn write(folder: &Path, list: &[Remembered]) -> io::Result<()> {
     let mut bytes = Vec::new();
     ciborium::into_writer(list, &mut bytes).map_err(io::Error::other)?;
-    let temporary = folder.join(FILE.1);
+    let temporary = folder.join(FILE_NAMES.1);
     let mut file = File::create(&temporary)?;
     file.write_all(&bytes)?;
     file.sync_all()?;
-    fs::rename(&temporary, folder.join(FILE.0))?;
+    fs::rename(&temporary, folder.join(FILE_NAMES.0))?;
     File::open(folder)?.sync_all()
 }
 
--- a/crates/zinniastall-control/src/rpc.rs
+++ b/crates/zinniastall-control/src/rpc.rs
@@ -5,8 +5,8 @@
 //! the reply and turns that into the response. It runs on a thread of its own, so that a slow
 //! operator never holds up heartbeats.
 
-mod ask;
 mod convert;
+mod histograms;
 mod operators;
 mod server;
 mod watch;
--- a/crates/zinniastall-control/src/rpc/convert.rs
+++ b/crates/zinniastall-control/src/rpc/convert.rs
@@ -18,7 +18,7 @@
 
 /// A field without which a request makes no sense.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
-pub(super) enum Fault {
+pub(super) enum Error {
     /// The field is missing.
     #[error("field {0} is required")]
     Missing(&'static str),
@@ -27,8 +27,8 @@
     Malformed(&'static str),
 }
 
-impl From<Fault> for Status {
-    fn from(fault: Fault) -> Self {
+impl From<Error> for Status {
+    fn from(fault: Error) -> Self {
         Self::invalid_argument(fault.to_string())
     }
 }
@@ -37,17 +37,17 @@
 ///
 /// The expected revision is required: it is what keeps a resend from running twice after its
 /// command id has been forgotten.
-pub(super) fn change(command: Option<api::Command>, body: Body) -> Result<Change, Fault> {
-    let command = command.ok_or(Fault::Missing("command"))?;
-    let expected = command.expected.ok_or(Fault::Missing("command.expected"))?;
+pub(super) fn change(command: Option<api::Command>, body: Body) -> Result<Change, Error> {
+    let command = command.ok_or(Error::Missing("command"))?;
+    let expected = command.expected.ok_or(Error::Missing("command.expected"))?;
     Ok(Change {
         expected: Some(expected),
-        ..unchecked(command, body)
+        ..unconditional(command, body)
     })
 }
 
 /// Makes a change of a command that names no object, such as a retirement.
-pub(super) fn unchecked(command: api::Command, body: Body) -> Change {
+pub(super) fn unconditional(command: api::Command, body: Body) -> Change {
     Change {
         origin: Some(Origin {
             operator: command.operator,
@@ -59,7 +59,7 @@
 }
 
 /// Reads the kind of an object.
-pub(super) fn kind(number: i32) -> Result<Kind, Fault> {
+pub(super) fn kind(number: i32) -> Result<Kind, Error> {
     match api::Kind::try_from(number) {
         Ok(api::Kind::Client) => Ok(Kind::Client),
         Ok(api::Kind::Route) => Ok(Kind::Route),
@@ -67,12 +67,12 @@
         Ok(api::Kind::Adapter) => Ok(Kind::Adapter),
         Ok(api::Kind::Residency) => Ok(Kind::Residency),
         Ok(api::Kind::Role) => Ok(Kind::Role),
-        Ok(api::Kind::Unspecified) | Err(_) => Err(Fault::Missing("kind")),
+        Ok(api::Kind::Unspecified) | Err(_) => Err(Error::Missing("kind")),
     }
 }
 
 /// Reads the key of an object.
-pub(super) fn key(number: i32, id: String) -> Result<Key, Fault> {
+pub(super) fn key(number: i32, id: String) -> Result<Key, Error> {
     Ok(Key {
         kind: kind(number)?,
         name: id,
@@ -80,8 +80,8 @@
 }
 
 /// Reads a replica id, given as hex.
-pub(super) fn replica(id: &str) -> Result<u64, Fault> {
-    u64::from_str_radix(id, 16).map_err(|_| Fault::Malformed("replica"))
+pub(super) fn replica(id: &str) -> Result<u64, Error> {
+    u64::from_str_radix(id, 16).map_err(|_| Error::Malformed("replica"))
 }
 
 /// Writes a deletion.
--- a/crates/zinniastall-control/src/rpc/convert/object.rs
+++ b/crates/zinniastall-control/src/rpc/convert/object.rs
@@ -6,47 +6,47 @@
     state,
 };
 
-use super::Fault;
+use super::Error;
 
 /// Makes the two conversions of a type from one list of its fields, so that a new field cannot be
 /// read and then left out when it is written. An empty text of the schema is an absent option.
-macro_rules! mirror {
-    ($read:ident, $write:ident, $type:ident { $($same:ident),* } optional { $($option:ident),* }) => {
+macro_rules! convert {
+    ($read:ident, $write:ident, $type:ident { $($copy:ident),* } optional { $($option:ident),* }) => {
         fn $read(given: api::$type) -> object::$type {
             object::$type {
-                $($same: given.$same,)*
-                $($option: some(given.$option),)*
+                $($copy: given.$copy,)*
+                $($option: non_empty(given.$option),)*
             }
         }
 
         fn $write(held: object::$type) -> api::$type {
             api::$type {
-                $($same: held.$same,)*
+                $($copy: held.$copy,)*
                 $($option: held.$option.unwrap_or_default(),)*
             }
         }
     };
 }
 
-mirror!(read_client, write_client, Client { id, keys, weight, withdrawn } optional {});
-mirror!(read_model, write_model, Model { id, version, weights } optional {});
-mirror!(read_adapter, write_adapter, Adapter { id, model, version, weights } optional {});
-mirror!(read_residency, write_residency, Residency { id, client, regions } optional { subject });
-mirror!(
+convert!(read_client, write_client, Client { id, keys, weight, withdrawn } optional {});
+convert!(read_model, write_model, Model { id, version, weights } optional {});
+convert!(read_adapter, write_adapter, Adapter { id, model, version, weights } optional {});
+convert!(read_residency, write_residency, Residency { id, client, regions } optional { subject });
+convert!(
     read_role,
     write_role,
     Role { id, region, role, models, adapters } optional { zone, target }
 );
 
-fn some(text: String) -> Option<String> {
+fn non_empty(text: String) -> Option<String> {
     (!text.is_empty()).then_some(text)
 }
 
 /// Reads an object.
-pub(in crate::rpc) fn object(object: Option<api::Object>) -> Result<Object, Fault> {
+pub(in crate::rpc) fn object(object: Option<api::Object>) -> Result<Object, Error> {
     use api::object::Object as Api;
     let object = object.and_then(|object| object.object);
-    Ok(match object.ok_or(Fault::Missing("object"))? {
+    Ok(match object.ok_or(Error::Missing("object"))? {
         Api::Client(client) => Object::Client(object::Client {
             // An absent weight reads as 0 and counts as 1.
             weight: client.weight.max(1),
@@ -60,8 +60,8 @@
     })
 }
 
-fn read_route(route: api::Route) -> Result<object::Route, Fault> {
-    let subject = match route.serves.ok_or(Fault::Missing("route.model"))? {
+fn read_route(route: api::Route) -> Result<object::Route, Error> {
+    let subject = match route.serves.ok_or(Error::Missing("route.model"))? {
         api::route::Serves::Model(model) => Subject::Model(model),
         api::route::Serves::Service(service) => Subject::Service(service),
     };
--- a/crates/zinniastall-control/src/rpc/convert/routing.rs
+++ b/crates/zinniastall-control/src/rpc/convert/routing.rs
@@ -9,24 +9,24 @@
     state::State,
 };
 
-use super::Fault;
+use super::Error;
 
 /// Words for the kinds of routes.
-const KINDS: [(&str, Kind); 3] = [
+const KIND_NAMES: [(&str, Kind); 3] = [
     ("idempotent", Kind::Idempotent),
     ("once", Kind::Once),
     ("stream", Kind::Stream),
 ];
 
 /// Reads a table that is to be published.
-pub(crate) fn published(table: Option<api::RoutingTable>) -> Result<Publication, Fault> {
-    let table = table.ok_or(Fault::Missing("table"))?;
-    let routes: Result<Vec<Route>, Fault> = table.routes.into_iter().map(rule).collect();
+pub(crate) fn published(table: Option<api::RoutingTable>) -> Result<Publication, Error> {
+    let table = table.ok_or(Error::Missing("table"))?;
+    let routes: Result<Vec<Route>, Error> = table.routes.into_iter().map(rule).collect();
     let services = table.services.into_iter().map(service).collect();
     let limits = limits(&table.limits.unwrap_or_default());
     let mut published = Table::new(table.number, routes?, services).limits(limits);
     if let Some(accounts) = table.accounts {
-        let accounts: Result<Vec<Account>, Fault> =
+        let accounts: Result<Vec<Account>, Error> =
             accounts.list.into_iter().map(account).collect();
         published = published.accounts(accounts?);
     }
@@ -41,14 +41,14 @@
     let publication = state.routing.as_ref();
     api::RoutingResponse {
         revision: state.revision,
-        table: publication.map(|publication| written(&publication.table)),
+        table: publication.map(|publication| write_table(&publication.table)),
         evacuated: state.evacuated.iter().cloned().collect(),
     }
 }
 
-fn rule(rule: api::RoutingRule) -> Result<Route, Fault> {
-    let kind = KINDS.iter().find(|(word, _)| *word == rule.kind);
-    let (_, kind) = kind.ok_or(Fault::Malformed("table.routes.kind"))?;
+fn rule(rule: api::RoutingRule) -> Result<Route, Error> {
+    let kind = KIND_NAMES.iter().find(|(name, _)| *name == rule.kind);
+    let (_, kind) = kind.ok_or(Error::Malformed("table.routes.kind"))?;
     let priority = u8::try_from(rule.priority);
     let split = rule.split.into_iter().map(|share| Share {
         service: share.service,
@@ -61,7 +61,7 @@
         kind: *kind,
         timeout_ms: rule.timeout_ms,
         objective_ms: rule.objective_ms,
-        priority: priority.map_err(|_| Fault::Malformed("table.routes.priority"))?,
+        priority: priority.map_err(|_| Error::Malformed("table.routes.priority"))?,
         split: split.collect(),
         attempts: rule.attempts.max(1),
         sticky: rule.sticky,
@@ -72,14 +72,14 @@
     })
 }
 
-fn account(account: api::RoutingAccount) -> Result<Account, Fault> {
-    let keys: Result<Vec<Digest>, Fault> =
+fn account(account: api::RoutingAccount) -> Result<Account, Error> {
+    let keys: Result<Vec<Digest>, Error> =
         account.key_digests.iter().map(|hex| digest(hex)).collect();
     let priority = account.priority.map(u8::try_from).transpose();
     Ok(Account {
         name: account.name,
         keys: keys?,
-        priority: priority.map_err(|_| Fault::Malformed("table.accounts.priority"))?,
+        priority: priority.map_err(|_| Error::Malformed("table.accounts.priority"))?,
         homes: account.homes,
         quota: account.quota.map(|quota| Quota {
             unit: quota
@@ -91,8 +91,8 @@
     })
 }
 
-fn digest(hex: &str) -> Result<Digest, Fault> {
-    Digest::from_hex(hex).ok_or(Fault::Malformed("table.accounts.key_digests"))
+fn digest(hex: &str) -> Result<Digest, Error> {
+    Digest::from_hex(hex).ok_or(Error::Malformed("table.accounts.key_digests"))
 }
 
 fn service(service: api::RoutingService) -> Service {
@@ -113,26 +113,26 @@
 }
 
 fn limits(limits: &api::CallerLimits) -> Limits {
-    let own = Limits::default();
-    let bytes = |value: u64, own: usize| match value {
-        0 => own,
+    let default = Limits::default();
+    let bytes = |value: u64, default: usize| match value {
+        0 => default,
         value => usize::try_from(value).unwrap_or(usize::MAX),
     };
-    let millis = |value: u64, own: u64| if value == 0 { own } else { value };
+    let millis = |value: u64, default: u64| if value == 0 { default } else { value };
     Limits {
-        head_bytes: bytes(limits.head_bytes, own.head_bytes),
-        body_bytes: bytes(limits.body_bytes, own.body_bytes),
-        head_ms: millis(limits.head_ms, own.head_ms),
-        idle_ms: millis(limits.idle_ms, own.idle_ms),
+        head_bytes: bytes(limits.head_bytes, default.head_bytes),
+        body_bytes: bytes(limits.body_bytes, default.body_bytes),
+        head_ms: millis(limits.head_ms, default.head_ms),
+        idle_ms: millis(limits.idle_ms, default.idle_ms),
     }
 }
 
-fn written(table: &Table) -> api::RoutingTable {
+fn write_table(table: &Table) -> api::RoutingTable {
     let limits = &table.limits;
     api::RoutingTable {
         number: table.number,
-        routes: table.routes.iter().map(written_rule).collect(),
-        services: table.services.iter().map(written_service).collect(),
+        routes: table.routes.iter().map(write_rule).collect(),
+        services: table.services.iter().map(write_service).collect(),
         limits: Some(api::CallerLimits {
             head_bytes: limits.head_bytes as u64,
             body_bytes: limits.body_bytes as u64,
@@ -143,12 +143,12 @@
             .accounts
             .as_ref()
             .map(|accounts| api::RoutingAccounts {
-                list: accounts.iter().map(written_account).collect(),
+                list: accounts.iter().map(write_account).collect(),
             }),
     }
 }
 
-fn written_account(account: &Account) -> api::RoutingAccount {
+fn write_account(account: &Account) -> api::RoutingAccount {
     api::RoutingAccount {
         name: account.name.clone(),
         key_digests: account.keys.iter().map(Digest::to_hex).collect(),
@@ -165,8 +165,8 @@
     }
 }
 
-fn written_rule(route: &Route) -> api::RoutingRule {
-    let word = KINDS.iter().find(|(_, kind)| *kind == route.kind);
+fn write_rule(route: &Route) -> api::RoutingRule {
+    let name = KIND_NAMES.iter().find(|(_, kind)| *kind == route.kind);
     let split = route.split.iter().map(|share| api::RoutingShare {
         service: share.service.clone(),
         weight: share.weight,
@@ -175,7 +175,7 @@
         name: route.name.clone(),
         host: route.host.clone(),
         prefix: route.prefix.clone(),
-        kind: word.map_or("", |(word, _)| word).to_owned(),
+        kind: name.map_or("", |(name, _)| name).to_owned(),
         timeout_ms: route.timeout_ms,
         objective_ms: route.objective_ms,
         priority: route.priority.into(),
@@ -189,7 +189,7 @@
     }
 }
 
-fn written_service(service: &Service) -> api::RoutingService {
+fn write_service(service: &Service) -> api::RoutingService {
     api::RoutingService {
         name: service.name.clone(),
         health_path: service.health_path.clone(),
--- a/crates/zinniastall-control/src/rpc/ask.rs
+++ b/crates/zinniastall-control/src/rpc/histograms.rs
@@ -11,13 +11,13 @@
 };
 
 /// Dials an entry instance's links and asks it for its histograms.
-pub(super) async fn histograms(address: &str, hello: &Hello) -> Result<Vec<Histogram>, Status> {
-    let figures = ask(address, hello).await;
+pub(super) async fn fetch(address: &str, hello: &Hello) -> Result<Vec<Histogram>, Status> {
+    let figures = request(address, hello).await;
     let figures = figures.map_err(|error| Status::unavailable(error.to_string()))?;
-    Ok(figures.into_iter().map(of_figure).collect())
+    Ok(figures.into_iter().map(from_figure).collect())
 }
 
-async fn ask(address: &str, hello: &Hello) -> Result<Vec<Figure>, Error> {
+async fn request(address: &str, hello: &Hello) -> Result<Vec<Figure>, Error> {
     let hello = Hello {
         purpose: Purpose::Follow,
         ..hello.clone()
@@ -32,7 +32,7 @@
     }
 }
 
-fn of_figure(figure: Figure) -> Histogram {
+fn from_figure(figure: Figure) -> Histogram {
     Histogram {
         name: figure.name,
         client: figure.client,
@@ -46,7 +46,7 @@
 }
 
 /// Writes one of this process's own histograms.
-pub(super) fn of_row(row: Row) -> Histogram {
+pub(super) fn from_row(row: Row) -> Histogram {
     Histogram {
         name: row.key.name.to_owned(),
         client: row.key.client,
--- a/crates/zinniastall-control/src/rpc/operators.rs
+++ b/crates/zinniastall-control/src/rpc/operators.rs
@@ -18,13 +18,14 @@
 use zinniastall_settings::metrics::{Hub, Recorder};
 use zinniastall_wire::{feed::Feed, hello::Hello};
 
-use super::{ask, convert, watch as watches};
+use super::{convert, histograms, watch as watches};
 use crate::control::{
-    Bootstrap, Control, Health, Inspect, Look, NotLeader, Read, Refused, Regroup, Reply, Write,
+    Bootstrap, BootstrapError, Control, Health, Inspect, NotLeader, Read, Reconfigure, Reply, View,
+    Write,
 };
 
 /// Longest time an operator may wait for confirmations.
-const LONGEST_WAIT: Duration = Duration::from_mins(10);
+const MAX_WAIT: Duration = Duration::from_mins(10);
 
 /// The operators' service.
 #[derive(Debug, Clone)]
@@ -60,17 +61,20 @@
 
     async fn write(&self, change: Change, wait_ms: u64) -> Answer<api::ChangeResponse> {
         let start = Instant::now();
-        let wait = Duration::from_millis(wait_ms).min(LONGEST_WAIT);
+        let wait = Duration::from_millis(wait_ms).min(MAX_WAIT);
         let operator = change.origin.as_ref().map(|origin| origin.operator.clone());
-        let later = self.control.send(Write { change, wait }).await;
-        let reply = later.map_err(gone)?.await.unwrap_or(Reply::Unknown);
+        let deferred = self.control.send(Write { change, wait }).await;
+        let reply = deferred
+            .map_err(mailbox_closed)?
+            .await
+            .unwrap_or(Reply::Unknown);
         self.recorder
             .time("write", &operator.unwrap_or_default(), "", start.elapsed());
         Ok(Response::new(convert::response(reply)))
     }
 
     /// Writes a change that does the same however often it is sent.
-    async fn order(&self, body: Body) -> Answer<api::ChangeResponse> {
+    async fn write_idempotent(&self, body: Body) -> Answer<api::ChangeResponse> {
         let change = Change {
             origin: None,
             expected: None,
@@ -79,23 +83,27 @@
         self.write(change, 0).await
     }
 
-    async fn read(&self, revision: id::Revision) -> Result<Look, Status> {
-        let later = self.control.send(Read { revision }).await.map_err(gone)?;
-        later
+    async fn read(&self, revision: id::Revision) -> Result<View, Status> {
+        let deferred = self
+            .control
+            .send(Read { revision })
+            .await
+            .map_err(mailbox_closed)?;
+        deferred
             .await
-            .map_err(lost)?
-            .map_err(|error| not_leader(&error))
+            .map_err(reply_dropped)?
+            .map_err(|error| not_leader_status(&error))
     }
 }
 
 #[tonic::async_trait]
 impl Operator for Operators {
     async fn bootstrap(&self, _: Request<api::BootstrapRequest>) -> Answer<api::BootstrapResponse> {
-        let later = self.control.send(Bootstrap).await.map_err(gone)?;
-        let founded = later
+        let deferred = self.control.send(Bootstrap).await.map_err(mailbox_closed)?;
+        let founded = deferred
             .await
-            .map_err(lost)?
-            .map_err(|error| refused(&error))?;
+            .map_err(reply_dropped)?
+            .map_err(|error| bootstrap_status(&error))?;
         Ok(Response::new(api::BootstrapResponse {
             cluster: founded.cluster,
             replica: founded.replica,
@@ -122,7 +130,7 @@
         let state = self.read(0).await?.state;
         match state.objects.get(&key) {
             Some(record) => Ok(Response::new(convert::record(record))),
-            None => Err(absent(&state, &key)),
+            None => Err(not_found_status(&state, &key)),
         }
     }
 
@@ -141,30 +149,30 @@
     async fn watch(&self, request: Request<api::WatchRequest>) -> Answer<Self::WatchStream> {
         let request = request.into_inner();
         let kinds: Result<_, _> = request.kinds.into_iter().map(convert::kind).collect();
-        let place = Arc::clone(&self.watches).try_acquire_owned();
-        let place = place.map_err(|_| Status::resource_exhausted("too many watches are open"))?;
-        let events = watches::start(self.feed.clone(), kinds?, request.after, place);
+        let permit = Arc::clone(&self.watches).try_acquire_owned();
+        let permit = permit.map_err(|_| Status::resource_exhausted("too many watches are open"))?;
+        let events = watches::start(self.feed.clone(), kinds?, request.after, permit);
         Ok(Response::new(ReceiverStream::new(events)))
     }
 
     async fn change(&self, request: Request<api::ChangeRequest>) -> Answer<api::ChangeStatus> {
         let revision = request.into_inner().revision;
-        let look = self.read(revision).await?;
-        if revision == 0 || revision > look.state.revision {
+        let view = self.read(revision).await?;
+        if revision == 0 || revision > view.state.revision {
             return Err(Status::not_found(format!(
                 "no change made revision {revision}"
             )));
         }
         Ok(Response::new(api::ChangeStatus {
             revision,
-            outcome: convert::acceptance(look.narrows, &look.waiting).into(),
-            waiting: look.waiting,
+            outcome: convert::acceptance(view.narrows, &view.waiting).into(),
+            waiting: view.waiting,
         }))
     }
 
     async fn status(&self, _: Request<api::StatusRequest>) -> Answer<api::SystemStatus> {
-        let later = self.control.send(Health).await.map_err(gone)?;
-        let status = later
+        let deferred = self.control.send(Health).await.map_err(mailbox_closed)?;
+        let status = deferred
             .await
             .map_err(|_| Status::unavailable("the replica stops"))?;
         Ok(Response::new(status))
@@ -175,7 +183,11 @@
         request: Request<api::InstanceRequest>,
     ) -> Answer<api::InstanceStatus> {
         let instance = request.into_inner().instance;
-        let status = self.control.send(Inspect(instance)).await.map_err(gone)?;
+        let status = self
+            .control
+            .send(Inspect(instance))
+            .await
+            .map_err(mailbox_closed)?;
         let status = status.ok_or_else(|| Status::not_found("no such instance"))?;
         Ok(Response::new(status))
     }
@@ -187,13 +199,13 @@
         let instance = request.into_inner().instance;
         if instance.is_empty() {
             let rows = self.metrics.report().into_iter();
-            let histograms = rows.map(ask::of_row).collect();
+            let histograms = rows.map(histograms::from_row).collect();
             return Ok(Response::new(api::HistogramsResponse { histograms }));
         }
         let state = Arc::clone(self.feed.borrow().state());
         let member = state.members.get(&instance);
         let member = member.ok_or_else(|| Status::not_found("no such instance"))?;
-        let histograms = ask::histograms(&member.links, &self.hello).await?;
+        let histograms = histograms::fetch(&member.links, &self.hello).await?;
         Ok(Response::new(api::HistogramsResponse { histograms }))
     }
 
@@ -202,7 +214,7 @@
         let id = convert::replica(&request.replica)?;
         let change = match request.step() {
             api::Step::Admit if request.address.is_empty() => {
-                return Err(convert::Fault::Missing("address").into());
+                return Err(convert::Error::Missing("address").into());
             }
             api::Step::Admit => voters::Change::Admit {
                 id,
@@ -210,23 +222,28 @@
             },
             api::Step::Promote => voters::Change::Promote { id },
             api::Step::Remove => voters::Change::Remove { id },
-            api::Step::Unspecified => return Err(convert::Fault::Missing("step").into()),
+            api::Step::Unspecified => return Err(convert::Error::Missing("step").into()),
         };
-        let later = self.control.send(Regroup(change)).await.map_err(gone)?;
-        let reply = later.await.unwrap_or(Reply::Unknown);
+        let deferred = self
+            .control
+            .send(Reconfigure(change))
+            .await
+            .map_err(mailbox_closed)?;
+        let reply = deferred.await.unwrap_or(Reply::Unknown);
         Ok(Response::new(convert::response(reply)))
     }
 
     async fn retire(&self, request: Request<api::RetireRequest>) -> Answer<api::ChangeResponse> {
         let request = request.into_inner();
-        let command = request.command.ok_or(convert::Fault::Missing("command"))?;
-        let change = convert::unchecked(command, Body::Retire(request.instance));
+        let command = request.command.ok_or(convert::Error::Missing("command"))?;
+        let change = convert::unconditional(command, Body::Retire(request.instance));
         self.write(change, 0).await
     }
 
     async fn publish(&self, request: Request<api::PublishRequest>) -> Answer<api::ChangeResponse> {
         let publication = convert::published(request.into_inner().table)?;
-        self.order(Body::Publish(Box::new(publication))).await
+        self.write_idempotent(Body::Publish(Box::new(publication)))
+            .await
     }
 
     async fn routing(&self, _: Request<api::RoutingRequest>) -> Answer<api::RoutingResponse> {
@@ -240,14 +257,14 @@
     ) -> Answer<api::ChangeResponse> {
         let request = request.into_inner();
         if request.zone.is_empty() {
-            return Err(convert::Fault::Missing("zone").into());
+            return Err(convert::Error::Missing("zone").into());
         }
         let body = if request.reopen {
             Body::Reopen(request.zone)
         } else {
             Body::Evacuate(request.zone)
         };
-        self.order(body).await
+        self.write_idempotent(body).await
     }
 
     async fn quarantine(
@@ -268,29 +285,36 @@
         let request = request.into_inner().request;
         let request = request
             .parse()
-            .map_err(|_| convert::Fault::Malformed("request"))?;
-        self.order(Body::Release(request)).await
+            .map_err(|_| convert::Error::Malformed("request"))?;
+        self.write_idempotent(Body::Release(request)).await
     }
 }
 
-fn gone(_: MailboxError) -> Status {
+fn mailbox_closed(_: MailboxError) -> Status {
     Status::unavailable("the instance is stopping")
 }
 
-fn lost(_: oneshot::error::RecvError) -> Status {
+fn reply_dropped(_: oneshot::error::RecvError) -> Status {
     Status::unavailable("the instance is stopping")
 }
 
-fn refused(refused: &Refused) -> Status {
-    match refused {
-        Refused::Silent { .. } | Refused::Busy => Status::unavailable(refused.to_string()),
-        Refused::Belongs | Refused::Exists(_) => Status::already_exists(refused.to_string()),
-        Refused::Disk(_) => Status::internal(refused.to_string()),
+fn bootstrap_status(error: &BootstrapError) -> Status {
+    match error {
+        BootstrapError::PeerUnreachable { .. } | BootstrapError::InProgress => {
+            Status::unavailable(error.to_string())
+        }
+        BootstrapError::AlreadyMember | BootstrapError::PeerHasCluster(_) => {
+            Status::already_exists(error.to_string())
+        }
+        BootstrapError::Disk(_) => Status::internal(error.to_string()),
     }
 }
 
 /// Says that an object is absent, and against which revision its creation would be checked.
-fn absent(state: &zinniastall_model::state::State, key: &zinniastall_model::object::Key) -> Status {
+fn not_found_status(
+    state: &zinniastall_model::state::State,
+    key: &zinniastall_model::object::Key,
+) -> Status {
     let mut status = Status::not_found("no such object");
     let current = state.current(key);
     status
@@ -299,9 +323,9 @@
     status
 }
 
-fn not_leader(not: &NotLeader) -> Status {
-    let mut status = Status::failed_precondition(not.to_string());
-    let leader = not.leader.as_deref().map(MetadataValue::try_from);
+fn not_leader_status(error: &NotLeader) -> Status {
+    let mut status = Status::failed_precondition(error.to_string());
+    let leader = error.leader.as_deref().map(MetadataValue::try_from);
     if let Some(Ok(leader)) = leader {
         status.metadata_mut().insert(metadata::LEADER, leader);
     }
--- a/crates/zinniastall-control/src/rpc/server.rs
+++ b/crates/zinniastall-control/src/rpc/server.rs
@@ -11,11 +11,11 @@
 use super::Operators;
 
 /// Longest request, in bytes.
-const REQUEST: usize = 256 << 10;
+const MAX_REQUEST_BYTES: usize = 256 << 10;
 /// Calls at once on one connection.
-const CALLS: usize = 256;
+const MAX_CALLS_PER_CONNECTION: usize = 256;
 /// Time that open connections, such as watches, are given at the end.
-const GRACE: std::time::Duration = std::time::Duration::from_millis(500);
+const SHUTDOWN_GRACE: std::time::Duration = std::time::Duration::from_millis(500);
 
 /// A running server.
 #[derive(Debug)]
@@ -64,7 +64,7 @@
     pub async fn stop(self) {
         let _ = self.stop.send(());
         // A watch never ends by itself, so the wait is bounded.
-        let _ = tokio::time::timeout(GRACE, self.stopped).await;
+        let _ = tokio::time::timeout(SHUTDOWN_GRACE, self.stopped).await;
     }
 }
 
@@ -72,7 +72,7 @@
     operators: Operators,
     listener: std::net::TcpListener,
     stopping: oneshot::Receiver<()>,
-) -> Result<(), ServeFault> {
+) -> Result<(), ServeError> {
     let listener = tokio::net::TcpListener::from_std(listener)?;
     // The builder's own setting does not reach a listener that is handed in; without this, small
     // answers wait for the delayed acknowledgement of the frame before them, some 40 ms.
@@ -81,13 +81,13 @@
             drop(stream.set_nodelay(true));
         }
     });
-    let service = OperatorServer::new(operators).max_decoding_message_size(REQUEST);
+    let service = OperatorServer::new(operators).max_decoding_message_size(MAX_REQUEST_BYTES);
     let stopped = async {
         // An error means that the sender is gone, which is the end as well.
         let _ = stopping.await;
     };
     transport::Server::builder()
-        .concurrency_limit_per_connection(CALLS)
+        .concurrency_limit_per_connection(MAX_CALLS_PER_CONNECTION)
         .add_service(service)
         .serve_with_incoming_shutdown(incoming, stopped)
         .await?;
@@ -96,7 +96,7 @@
 
 /// Why the server ended.
 #[derive(Debug, thiserror::Error)]
-enum ServeFault {
+enum ServeError {
     /// The listener is unusable.
     #[error(transparent)]
     Listener(#[from] std::io::Error),
--- a/crates/zinniastall-control/src/rpc/watch.rs
+++ b/crates/zinniastall-control/src/rpc/watch.rs
@@ -14,19 +14,19 @@
 use super::convert;
 
 /// Events that may wait for a slow operator.
-const QUEUE: usize = 64;
+const QUEUE_CAPACITY: usize = 64;
 
 /// Starts to send events; ends when the operator is gone.
 pub(super) fn start(
     feed: watch::Receiver<Feed>,
     kinds: Vec<Kind>,
     after: id::Revision,
-    place: OwnedSemaphorePermit,
+    permit: OwnedSemaphorePermit,
 ) -> mpsc::Receiver<Result<Event, Status>> {
-    let (queue, events) = mpsc::channel(QUEUE);
+    let (queue, events) = mpsc::channel(QUEUE_CAPACITY);
     tokio::spawn(async move {
         run(feed, &kinds, after, &queue).await;
-        drop(place);
+        drop(permit);
     });
     events
 }
@@ -62,14 +62,14 @@
     match feed.after(after) {
         Some(changes) => {
             let one =
-                |(revision, change): &(_, std::sync::Arc<Change>)| of_change(*revision, change);
+                |(revision, change): &(_, std::sync::Arc<Change>)| change_event(*revision, change);
             changes.iter().filter_map(one).collect()
         }
-        None => of_state(feed.state(), after),
+        None => state_events(feed.state(), after),
     }
 }
 
-fn of_change(revision: id::Revision, change: &Change) -> Option<(Key, Event)> {
+fn change_event(revision: id::Revision, change: &Change) -> Option<(Key, Event)> {
     let (key, change) = match &change.body {
         Body::Apply(object) => {
             let record = zinniastall_model::state::Record {
@@ -97,7 +97,7 @@
     ))
 }
 
-fn of_state(state: &State, after: id::Revision) -> Vec<(Key, Event)> {
+fn state_events(state: &State, after: id::Revision) -> Vec<(Key, Event)> {
     let applied = state.objects.iter().map(|(key, record)| {
         let change = event::Change::Applied(convert::record(record));
         (key, record.revision, change)
--- a/crates/zinniastall-control/tests/heal.rs
+++ b/crates/zinniastall-control/tests/heal.rs
@@ -3,7 +3,7 @@
 use std::time::{Duration, Instant};
 
 use indexmap::IndexMap;
-use zinniastall_control::control::{Pace, STEP, next_step};
+use zinniastall_control::control::{STEP_RETRY_INTERVAL, Throttle, next_step};
 use zinniastall_coord::{
     Id,
     replica::{Peer, Role, Status},
@@ -14,24 +14,24 @@
 
 /// How a leader sees a member.
 #[derive(Clone, Copy)]
-enum Seen {
-    Whole,
+enum PeerState {
+    UpToDate,
     Behind,
     Silent(u64),
 }
 
 /// Makes the status of a leader that sees these voters and learners, each at an address.
-fn status(voters: &[(Id, &str, Seen)], learners: &[(Id, &str, Seen)]) -> Status {
-    let set = |members: &[(Id, &str, Seen)]| {
-        let member = |(id, address, _): &(Id, &str, Seen)| (*id, (*address).to_owned());
+fn status(voters: &[(Id, &str, PeerState)], learners: &[(Id, &str, PeerState)]) -> Status {
+    let set = |members: &[(Id, &str, PeerState)]| {
+        let member = |(id, address, _): &(Id, &str, PeerState)| (*id, (*address).to_owned());
         members.iter().map(member).collect()
     };
     let peers = voters.iter().chain(learners).filter(|(id, ..)| *id != OWN);
-    let peers = peers.map(|(id, _, seen)| {
-        let (matched, silent) = match seen {
-            Seen::Whole => (100, 0),
-            Seen::Behind => (10, 0),
-            Seen::Silent(seconds) => (90, *seconds),
+    let peers = peers.map(|(id, _, state)| {
+        let (matched, silent) = match state {
+            PeerState::UpToDate => (100, 0),
+            PeerState::Behind => (10, 0),
+            PeerState::Silent(seconds) => (90, *seconds),
         };
         let silent = Duration::from_secs(silent);
         let peer = Peer {
@@ -61,71 +61,77 @@
     }
 }
 
-fn asking(replicas: &[(Id, &str)]) -> IndexMap<Id, String> {
+fn join_requests(replicas: &[(Id, &str)]) -> IndexMap<Id, String> {
     let replica = |(id, address): &(Id, &str)| (*id, (*address).to_owned());
     replicas.iter().map(replica).collect()
 }
 
-const WHOLE: [(Id, &str, Seen); 3] = [
-    (OWN, "a", Seen::Whole),
-    (2, "b", Seen::Whole),
-    (3, "c", Seen::Whole),
+const HEALTHY: [(Id, &str, PeerState); 3] = [
+    (OWN, "a", PeerState::UpToDate),
+    (2, "b", PeerState::UpToDate),
+    (3, "c", PeerState::UpToDate),
 ];
 
 #[test]
-fn a_whole_group_is_left_alone() {
-    assert_eq!(next_step(&status(&WHOLE, &[]), &asking(&[])), None);
-    assert_eq!(next_step(&status(&WHOLE, &[]), &asking(&[(2, "b")])), None);
+fn a_healthy_group_is_left_alone() {
+    assert_eq!(next_step(&status(&HEALTHY, &[]), &join_requests(&[])), None);
+    assert_eq!(
+        next_step(&status(&HEALTHY, &[]), &join_requests(&[(2, "b")])),
+        None
+    );
 }
 
 /// A replica is down for half a minute and will come back with its disk. Two of three voters are a
 /// majority with it as without; to take it out would cost it the way back.
 #[test]
 fn a_silent_voter_of_an_odd_set_stays() {
-    let mut voters = WHOLE;
-    voters[2].2 = Seen::Silent(30);
-    assert_eq!(next_step(&status(&voters, &[]), &asking(&[])), None);
+    let mut voters = HEALTHY;
+    voters[2].2 = PeerState::Silent(30);
+    assert_eq!(next_step(&status(&voters, &[]), &join_requests(&[])), None);
 }
 
 /// A disk is lost: the same address under another id. Admitted; the one that it replaces goes, and the new
 /// one votes once it has caught up.
 #[test]
 fn a_lost_disk_is_replaced_step_by_step() {
-    let mut voters = WHOLE;
-    voters[2].2 = Seen::Silent(2);
-    let fresh = asking(&[(9, "c")]);
+    let mut voters = HEALTHY;
+    voters[2].2 = PeerState::Silent(2);
+    let fresh = join_requests(&[(9, "c")]);
     let admit = Change::Admit {
         id: 9,
         address: "c".to_owned(),
     };
     assert_eq!(next_step(&status(&voters, &[]), &fresh), Some(admit));
     let remove = Change::Remove { id: 3 };
-    let behind = [(9, "c", Seen::Behind)];
+    let behind = [(9, "c", PeerState::Behind)];
     let step = next_step(&status(&voters, &behind), &fresh);
     assert_eq!(step, Some(remove.clone()));
-    let two = &WHOLE[..2];
+    let two = &HEALTHY[..2];
     assert_eq!(
         next_step(&status(two, &behind), &fresh),
         None,
         "it must catch up first"
     );
-    let whole = [(9, "c", Seen::Whole)];
+    let up_to_date = [(9, "c", PeerState::UpToDate)];
     let promote = Change::Promote { id: 9 };
-    assert_eq!(next_step(&status(two, &whole), &fresh), Some(promote));
+    assert_eq!(next_step(&status(two, &up_to_date), &fresh), Some(promote));
     let mut four = voters.to_vec();
-    four.push((9, "c", Seen::Whole));
-    assert_eq!(next_step(&status(&four, &[]), &asking(&[])), Some(remove));
+    four.push((9, "c", PeerState::UpToDate));
+    assert_eq!(
+        next_step(&status(&four, &[]), &join_requests(&[])),
+        Some(remove)
+    );
 }
 
 /// A disk is lost, and all machines lose power while it is being replaced; one more comes back with an empty
 /// disk. Had the new voter been counted beside the one that it replaces, two of four would be left: no leader
 /// is ever elected again, and every request is refused.
 #[test]
-fn a_replacement_never_makes_a_set_that_needs_all() {
-    let mut voters = WHOLE;
-    voters[2].2 = Seen::Silent(2);
-    let whole = [(9, "c", Seen::Whole)];
-    let step = next_step(&status(&voters, &whole), &asking(&[]));
+fn a_replacement_never_makes_an_even_voter_set() {
+    let mut voters = HEALTHY;
+    voters[2].2 = PeerState::Silent(2);
+    let up_to_date = [(9, "c", PeerState::UpToDate)];
+    let step = next_step(&status(&voters, &up_to_date), &join_requests(&[]));
     assert_eq!(step, Some(Change::Remove { id: 3 }));
 }
 
@@ -133,59 +139,65 @@
 /// taken as soon as the one before is in force; one that changed nothing is repeated only after a while, since
 /// it may be on its way.
 #[test]
-fn steps_of_a_repair_follow_each_other_at_once() {
+fn repair_steps_follow_without_delay() {
     let now = Instant::now();
     let soon = now + Duration::from_millis(1);
     let (remove, promote) = (Change::Remove { id: 3 }, Change::Promote { id: 9 });
-    let mut pace = Pace::default();
-    assert!(pace.is_due(&remove, now));
-    assert!(!pace.is_due(&remove, soon));
-    assert!(pace.is_due(&promote, soon));
-    assert!(!pace.is_due(&promote, soon));
-    assert!(pace.is_due(&promote, soon + STEP));
+    let mut throttle = Throttle::default();
+    assert!(throttle.is_due(&remove, now));
+    assert!(!throttle.is_due(&remove, soon));
+    assert!(throttle.is_due(&promote, soon));
+    assert!(!throttle.is_due(&promote, soon));
+    assert!(throttle.is_due(&promote, soon + STEP_RETRY_INTERVAL));
 }
 
 /// The change before waits for a majority to store it. Another one beside it would be refused, and repeated only
 /// after a while, in which the group bears no loss.
 #[test]
-fn a_step_waits_for_the_one_before() {
-    let mut voters = WHOLE;
-    voters[2].2 = Seen::Silent(2);
-    let mut status = status(&voters, &[(9, "c", Seen::Whole)]);
+fn a_step_waits_for_the_commit_of_the_previous_one() {
+    let mut voters = HEALTHY;
+    voters[2].2 = PeerState::Silent(2);
+    let mut status = status(&voters, &[(9, "c", PeerState::UpToDate)]);
     status.voters_index = status.commit + 1;
-    assert_eq!(next_step(&status, &asking(&[])), None);
+    assert_eq!(next_step(&status, &join_requests(&[])), None);
     status.voters_index = status.commit;
-    let step = next_step(&status, &asking(&[]));
+    let step = next_step(&status, &join_requests(&[]));
     assert_eq!(step, Some(Change::Remove { id: 3 }));
 }
 
 /// One of two voters lost its disk. Its successor counts before it goes, since one alone is no group.
 #[test]
-fn one_of_two_is_replaced_by_a_third() {
-    let voters = [(OWN, "a", Seen::Whole), (2, "b", Seen::Silent(2))];
-    let whole = [(9, "b", Seen::Whole)];
-    let step = next_step(&status(&voters, &whole), &asking(&[]));
+fn a_lost_voter_of_two_is_replaced_by_promotion() {
+    let voters = [
+        (OWN, "a", PeerState::UpToDate),
+        (2, "b", PeerState::Silent(2)),
+    ];
+    let up_to_date = [(9, "b", PeerState::UpToDate)];
+    let step = next_step(&status(&voters, &up_to_date), &join_requests(&[]));
     assert_eq!(step, Some(Change::Promote { id: 9 }));
 }
 
 /// A replica whose disk was lost twice leaves a learner that nobody reaches. The voter at its address stays.
 #[test]
-fn a_learner_that_is_silent_replaces_nobody() {
-    let mut voters = WHOLE;
-    voters[2].2 = Seen::Silent(2);
-    let gone = [(9, "c", Seen::Silent(2))];
-    assert_eq!(next_step(&status(&voters, &gone), &asking(&[])), None);
+fn a_silent_learner_replaces_no_voter() {
+    let mut voters = HEALTHY;
+    voters[2].2 = PeerState::Silent(2);
+    let gone = [(9, "c", PeerState::Silent(2))];
+    assert_eq!(
+        next_step(&status(&voters, &gone), &join_requests(&[])),
+        None
+    );
 }
 
 /// A machine is gone for good and a new one comes at another address. The old one is taken out once it
 /// has been silent for longer than a restart takes, and not before.
 #[test]
-fn a_machine_that_is_gone_makes_room() {
+fn a_permanently_lost_machine_is_removed() {
     let four = |seconds| {
-        let mut voters = WHOLE.to_vec();
-        voters[1].2 = Seen::Silent(seconds);
-        voters.push((9, "d", Seen::Whole));
-        next_step(&status(&voters, &[]), &asking(&[]))
+        let mut voters = HEALTHY.to_vec();
+        voters[1].2 = PeerState::Silent(seconds);
+        voters.push((9, "d", PeerState::UpToDate));
+        next_step(&status(&voters, &[]), &join_requests(&[]))
     };
     assert_eq!(four(3), None);
     assert_eq!(four(7), Some(Change::Remove { id: 2 }));
@@ -193,47 +205,50 @@
 
 /// A machine that was admitted dies before it has caught up, and another one asks.
 #[test]
-fn a_learner_that_is_gone_is_forgotten() {
-    let gone = [(8, "d", Seen::Silent(9))];
+fn a_lost_learner_is_removed() {
+    let gone = [(8, "d", PeerState::Silent(9))];
     let remove = Change::Remove { id: 8 };
     assert_eq!(
-        next_step(&status(&WHOLE, &gone), &asking(&[(9, "e")])),
+        next_step(&status(&HEALTHY, &gone), &join_requests(&[(9, "e")])),
         Some(remove)
     );
 }
 
 /// A group of two is never reduced: the one that is left could not know whether the other goes on.
 #[test]
-fn two_voters_stay_two() {
-    let voters = [(OWN, "a", Seen::Whole), (2, "b", Seen::Silent(60))];
-    assert_eq!(next_step(&status(&voters, &[]), &asking(&[])), None);
+fn a_group_of_two_is_never_reduced() {
+    let voters = [
+        (OWN, "a", PeerState::UpToDate),
+        (2, "b", PeerState::Silent(60)),
+    ];
+    assert_eq!(next_step(&status(&voters, &[]), &join_requests(&[])), None);
 }
 
 /// Whatever is lost, a step never leaves fewer voters that answer than a majority needs.
 #[test]
-fn no_step_takes_the_majority_away() {
+fn no_step_removes_a_reachable_voter() {
     let ids: [Id; 6] = [1, 2, 3, 4, 5, 6];
     let names = ["a", "b", "c", "d", "e", "f"];
     for size in 3..=6 {
         for silent in 0..1_u32 << (size - 1) {
-            let voters: Vec<(Id, &str, Seen)> = (0..size)
+            let voters: Vec<(Id, &str, PeerState)> = (0..size)
                 .map(|at| {
                     let is_silent = at > 0 && silent >> (at - 1) & 1 == 1;
-                    let seen = if is_silent {
-                        Seen::Silent(60)
+                    let state = if is_silent {
+                        PeerState::Silent(60)
                     } else {
-                        Seen::Whole
+                        PeerState::UpToDate
                     };
-                    (ids[at], names[at], seen)
+                    (ids[at], names[at], state)
                 })
                 .collect();
             let status = status(&voters, &[]);
-            let Some(change) = next_step(&status, &asking(&[])) else {
+            let Some(change) = next_step(&status, &join_requests(&[])) else {
                 continue;
             };
             let after = status.voters.after(&change).expect("the step fits");
             let lost = voters.iter().find(|(id, ..)| !after.is_voter(*id));
-            assert!(lost.is_some_and(|(.., seen)| matches!(seen, Seen::Silent(_))));
+            assert!(lost.is_some_and(|(.., state)| matches!(state, PeerState::Silent(_))));
         }
     }
 }
--- a/crates/zinniastall-control/tests/hub/configuration.rs
+++ b/crates/zinniastall-control/tests/hub/configuration.rs
@@ -16,9 +16,9 @@
     hub::{Configuration, Message},
 };
 
-use super::{Bench, heard, presence, run};
+use super::{Fixture, collect, presence, run};
 
-const MOMENT: Duration = Duration::from_millis(300);
+const COLLECT_TIME: Duration = Duration::from_millis(300);
 
 fn table(number: u64, routes: u64) -> Table {
     let route = |at: u64| {
@@ -54,7 +54,7 @@
     })))
 }
 
-impl Bench {
+impl Fixture {
     /// Applies a change, as the group does once it is accepted.
     fn apply(&self, change: &Change) -> Arc<State> {
         let mut state = State::clone(self.feed.borrow().state());
@@ -85,24 +85,24 @@
 
 /// Guards against links filled by a large table again for each change of one route.
 #[test]
-fn a_change_of_one_route_costs_its_own_size() {
+fn a_change_of_one_route_is_sent_as_a_delta() {
     run(async {
-        let bench = Bench::start().await;
-        let mut link = bench.link("edge-1").await;
+        let fixture = Fixture::start().await;
+        let mut link = fixture.link("edge-1").await;
         let own = [presence(1)];
-        let first = bench.apply(&publish(7));
+        let first = fixture.apply(&publish(7));
         link.0.send(Frame::Hub(Message::Fetch(0))).await.unwrap();
-        let whole = heard(&mut link, &own, MOMENT).await;
+        let whole = collect(&mut link, &own, COLLECT_TIME).await;
         assert!(size(&whole) > 100_000, "{}", size(&whole));
         let known = held(None, whole);
         let evacuate = change(Body::Evacuate("patras-a".to_owned()));
         for change in [publish(8), evacuate, publish(9)] {
-            bench.apply(&change);
-            heard(&mut link, &own, MOMENT).await;
+            fixture.apply(&change);
+            collect(&mut link, &own, COLLECT_TIME).await;
         }
         let fetch = Frame::Hub(Message::Fetch(first.revision));
         link.0.send(fetch).await.unwrap();
-        let changes = heard(&mut link, &own, MOMENT).await;
+        let changes = collect(&mut link, &own, COLLECT_TIME).await;
         assert!(size(&changes) < 1_000, "{}", size(&changes));
         let known = held(known, changes).unwrap();
         assert_eq!(known.revision, first.revision + 3);
@@ -113,14 +113,14 @@
 
 /// Guards against changes sent to an instance that holds another configuration than the replica thinks.
 #[test]
-fn an_unknown_revision_gets_the_whole() {
+fn an_unknown_revision_gets_the_whole_configuration() {
     run(async {
-        let bench = Bench::start().await;
-        let mut link = bench.link("edge-1").await;
-        bench.apply(&publish(7));
-        heard(&mut link, &[presence(1)], MOMENT).await;
+        let fixture = Fixture::start().await;
+        let mut link = fixture.link("edge-1").await;
+        fixture.apply(&publish(7));
+        collect(&mut link, &[presence(1)], COLLECT_TIME).await;
         link.0.send(Frame::Hub(Message::Fetch(99))).await.unwrap();
-        let whole = heard(&mut link, &[presence(1)], MOMENT).await;
+        let whole = collect(&mut link, &[presence(1)], COLLECT_TIME).await;
         assert!(
             whole
                 .iter()
@@ -144,11 +144,11 @@
 
     fn handle(&mut self, _: Vouch, _: &mut Self::Context) -> Self::Result {
         self.asked.set(self.asked.get() + 1);
-        let (reply, later) = oneshot::channel();
+        let (reply, deferred) = oneshot::channel();
         if let Some(revision) = self.revision.get() {
             let _ = reply.send(revision);
         }
-        MessageResult(later)
+        MessageResult(deferred)
     }
 }
 
@@ -162,24 +162,24 @@
 
 /// Guards against leases that are never renewed after a time without a leader, in which questions piled up.
 #[test]
-fn a_group_that_is_back_answers_the_newest_question() {
+fn a_recovered_group_answers_the_newest_question() {
     run(async {
-        let bench = Bench::start().await;
+        let fixture = Fixture::start().await;
         let (revision, asked) = (Rc::new(Cell::new(None)), Rc::new(Cell::new(0)));
         let group = Group {
             revision: Rc::clone(&revision),
             asked,
         };
-        actix::spawn(bench.hub.clone().vouch(group.start().recipient()));
-        let mut link = bench.link("edge-1").await;
+        actix::spawn(fixture.hub.clone().vouch(group.start().recipient()));
+        let mut link = fixture.link("edge-1").await;
         for stamp in 1..=9 {
             let question = Frame::Hub(Message::Vouch(stamp));
             link.0.send(question).await.unwrap();
         }
         let own = [presence(1)];
-        assert!(vouched(&heard(&mut link, &own, MOMENT).await).is_empty());
+        assert!(vouched(&collect(&mut link, &own, COLLECT_TIME).await).is_empty());
         revision.set(Some(5));
-        let answered = heard(&mut link, &own, MOMENT).await;
+        let answered = collect(&mut link, &own, COLLECT_TIME).await;
         assert_eq!(vouched(&answered), [(9, 5)]);
     });
 }
@@ -188,22 +188,22 @@
 #[test]
 fn one_question_to_the_group_answers_all_instances() {
     run(async {
-        let bench = Bench::start().await;
+        let fixture = Fixture::start().await;
         let (revision, asked) = (Rc::new(Cell::new(None)), Rc::new(Cell::new(0)));
         let group = Group {
             revision: Rc::clone(&revision),
             asked: Rc::clone(&asked),
         };
-        actix::spawn(bench.hub.clone().vouch(group.start().recipient()));
+        actix::spawn(fixture.hub.clone().vouch(group.start().recipient()));
         let mut links = Vec::new();
         for number in 0..4 {
-            let mut link = bench.link(&format!("edge-{number}")).await;
+            let mut link = fixture.link(&format!("edge-{number}")).await;
             let question = Frame::Hub(Message::Vouch(100 + number));
             link.0.send(question).await.unwrap();
             links.push(link);
         }
         let own = [presence(1)];
-        let heard_first = heard(&mut links[0], &own, MOMENT).await;
+        let heard_first = collect(&mut links[0], &own, COLLECT_TIME).await;
         assert!(vouched(&heard_first).is_empty(), "nobody could tell");
         revision.set(Some(5));
         asked.set(0);
@@ -211,7 +211,7 @@
         links[3].0.send(again).await.unwrap();
         for (number, link) in (0..).zip(&mut links) {
             let stamp = if number == 3 { 200 } else { 100 + number };
-            let heard = heard(link, &own, MOMENT).await;
+            let heard = collect(link, &own, COLLECT_TIME).await;
             assert_eq!(vouched(&heard), [(stamp, 5)]);
         }
         assert!(
