--- a/crates/zinniastall-control/tests/hub/main.rs
+++ b/crates/zinniastall-control/tests/hub/main.rs
@@ -28,7 +28,7 @@
     link::{Link, Receiver, Sender},
 };
 
-const LONGEST: Duration = Duration::from_secs(20);
+const TIMEOUT: Duration = Duration::from_secs(20);
 
 fn hello(instance: &str) -> Hello {
     Hello {
@@ -44,13 +44,13 @@
 }
 
 /// A replica's hub, and a way to link with it.
-struct Bench {
+struct Fixture {
     hub: Hub,
     listener: TcpListener,
     feed: watch::Sender<Feed>,
 }
 
-impl Bench {
+impl Fixture {
     async fn start() -> Self {
         let (feed, news) = watch::channel(Feed::new(Arc::new(Configuration::default()), 8));
         let hub = Hub::new(news);
@@ -85,7 +85,7 @@
 }
 
 /// Collects what a link says for a time, and keeps it open by the instance's word.
-async fn heard(link: &mut (Sender, Receiver), own: &[Presence], time: Duration) -> Vec<Message> {
+async fn collect(link: &mut (Sender, Receiver), own: &[Presence], time: Duration) -> Vec<Message> {
     let (sender, receiver) = link;
     let until = Instant::now() + time;
     let mut heard = Vec::new();
@@ -165,32 +165,32 @@
 
 fn run(test: impl Future<Output = ()>) {
     actix::System::new().block_on(async {
-        time::timeout(LONGEST, test).await.expect("the test hangs");
+        time::timeout(TIMEOUT, test).await.expect("the test hangs");
     });
 }
 
 /// Heartbeats that say nothing new are kept back for three seconds; the first word of an end is passed on
 /// at once.
 #[test]
-fn only_what_is_new_of_a_target_is_passed_on_at_once() {
+fn only_changed_reports_are_forwarded_at_once() {
     run(async {
-        let bench = Bench::start().await;
-        let mut link = bench.link("edge-1").await;
+        let fixture = Fixture::start().await;
+        let mut link = fixture.link("edge-1").await;
         let own = [presence(1)];
-        heard(&mut link, &own, Duration::from_millis(300)).await;
+        collect(&mut link, &own, Duration::from_millis(300)).await;
         for sequence in 1..=8 {
-            bench.hub.note(report(sequence, State::Ready));
+            fixture.hub.note(report(sequence, State::Ready));
         }
-        let first = heard(&mut link, &own, Duration::from_millis(500)).await;
+        let first = collect(&mut link, &own, Duration::from_millis(500)).await;
         assert_eq!(reports(&first), [State::Ready]);
-        bench.hub.note(report(9, State::Ready));
-        let same = heard(&mut link, &own, Duration::from_millis(500)).await;
+        fixture.hub.note(report(9, State::Ready));
+        let same = collect(&mut link, &own, Duration::from_millis(500)).await;
         assert!(reports(&same).is_empty(), "{same:?}");
-        bench.hub.note(report(10, State::Draining));
-        let end = heard(&mut link, &own, Duration::from_millis(500)).await;
+        fixture.hub.note(report(10, State::Draining));
+        let end = collect(&mut link, &own, Duration::from_millis(500)).await;
         assert_eq!(reports(&end), [State::Draining]);
-        bench.hub.leave("t");
-        let gone = heard(&mut link, &own, Duration::from_millis(500)).await;
+        fixture.hub.leave("t");
+        let gone = collect(&mut link, &own, Duration::from_millis(500)).await;
         assert_eq!(reports(&gone), [State::Gone]);
     });
 }
@@ -198,12 +198,12 @@
 /// An instance's load changes all the time. Told to everybody with the list of all instances, it would be
 /// most of what links of a hundred instances carry; the sum of its region is told three times a second.
 #[test]
-fn load_is_told_as_a_sum_and_not_with_the_list() {
+fn load_is_sent_as_a_sum_and_not_with_the_list() {
     run(async {
-        let bench = Bench::start().await;
-        let mut link = bench.subscribe("edge-1").await;
+        let fixture = Fixture::start().await;
+        let mut link = fixture.subscribe("edge-1").await;
         let own: Vec<Presence> = (1..=40).map(presence).collect();
-        let heard = heard(&mut link, &own, Duration::from_millis(2_600)).await;
+        let heard = collect(&mut link, &own, Duration::from_millis(2_600)).await;
         let lists = heard.iter().filter(|message| match message {
             Message::Instances(instances) => !instances.present.is_empty(),
             _ => false,
@@ -222,16 +222,16 @@
 /// An instance's link breaks. The others are told that it is gone, and those that come later never hear
 /// of it.
 #[test]
-fn a_lost_link_takes_its_instance_off_the_list() {
+fn a_lost_link_removes_its_instance_from_the_list() {
     run(async {
-        let bench = Bench::start().await;
-        let mut first = bench.link("edge-1").await;
-        heard(&mut first, &[presence(1)], Duration::from_millis(300)).await;
-        assert_eq!(bench.hub.instances().len(), 1);
+        let fixture = Fixture::start().await;
+        let mut first = fixture.link("edge-1").await;
+        collect(&mut first, &[presence(1)], Duration::from_millis(300)).await;
+        assert_eq!(fixture.hub.instances().len(), 1);
         drop(first);
         let since = Instant::now();
-        while !bench.hub.instances().is_empty() {
-            assert!(since.elapsed() < LONGEST);
+        while !fixture.hub.instances().is_empty() {
+            assert!(since.elapsed() < TIMEOUT);
             time::sleep(Duration::from_millis(10)).await;
         }
     });
@@ -240,20 +240,20 @@
 /// One of forty instances begins to drain. Sent the whole list for each such change, links of hundreds of
 /// instances that restart in turn would carry nothing else, and callers' streams would wait behind it.
 #[test]
-fn a_change_of_one_instance_is_told_alone() {
+fn a_change_of_one_instance_is_sent_alone() {
     run(async {
-        let bench = Bench::start().await;
-        let mut first = bench.subscribe("edge-1").await;
+        let fixture = Fixture::start().await;
+        let mut first = fixture.subscribe("edge-1").await;
         let mut others = Vec::new();
         for number in 2..=40 {
             let name = format!("edge-{number}");
-            let mut link = bench.link(&name).await;
+            let mut link = fixture.link(&name).await;
             let present = Frame::Hub(Message::Present(named(&name, true)));
             link.0.send(present).await.unwrap();
             others.push(link);
         }
         let own = [named("edge-1", true)];
-        let heard_first = heard(&mut first, &own, Duration::from_millis(500)).await;
+        let heard_first = collect(&mut first, &own, Duration::from_millis(500)).await;
         let known: usize = lists(&heard_first)
             .iter()
             .map(|list| list.present.len())
@@ -262,7 +262,7 @@
         let drains = Frame::Hub(Message::Present(named("edge-7", false)));
         others[5].0.send(drains).await.unwrap();
         drop(others.pop());
-        let heard = heard(&mut first, &own, Duration::from_millis(400)).await;
+        let heard = collect(&mut first, &own, Duration::from_millis(400)).await;
         let lists = lists(&heard);
         assert!(lists.iter().all(|list| !list.whole), "{lists:?}");
         let changed: Vec<&str> = lists
@@ -281,20 +281,20 @@
 
 /// An instance keeps links to all replicas, and each would tell it the same of all others.
 #[test]
-fn who_has_not_subscribed_is_told_of_no_instance() {
+fn unsubscribed_links_get_no_instance_list() {
     run(async {
-        let bench = Bench::start().await;
-        let mut link = bench.link("edge-1").await;
-        let heard_before = heard(&mut link, &[presence(1)], Duration::from_millis(400)).await;
+        let fixture = Fixture::start().await;
+        let mut link = fixture.link("edge-1").await;
+        let heard_before = collect(&mut link, &[presence(1)], Duration::from_millis(400)).await;
         assert!(lists(&heard_before).is_empty(), "{heard_before:?}");
         let subscribe = Frame::Hub(Message::Subscribe(true));
         link.0.send(subscribe).await.unwrap();
-        let heard_after = heard(&mut link, &[presence(1)], Duration::from_millis(400)).await;
+        let heard_after = collect(&mut link, &[presence(1)], Duration::from_millis(400)).await;
         assert!(lists(&heard_after)[0].whole, "{heard_after:?}");
         let end = Frame::Hub(Message::Subscribe(false));
         link.0.send(end).await.unwrap();
         let own = [named("edge-1", false)];
-        let heard_last = heard(&mut link, &own, Duration::from_millis(400)).await;
+        let heard_last = collect(&mut link, &own, Duration::from_millis(400)).await;
         assert!(lists(&heard_last).is_empty(), "{heard_last:?}");
     });
 }
@@ -305,21 +305,23 @@
 #[test]
 fn a_slow_link_skips_to_the_newest_state() {
     run(async {
-        let bench = Bench::start().await;
-        let mut slow = bench.subscribe("edge-1").await;
-        heard(
+        let fixture = Fixture::start().await;
+        let mut slow = fixture.subscribe("edge-1").await;
+        collect(
             &mut slow,
             &[named("edge-1", true)],
             Duration::from_millis(300),
         )
         .await;
-        let mut other = bench.link("edge-2").await;
+        let mut other = fixture.link("edge-2").await;
         let since = Instant::now();
         let mut steps = 0;
         while since.elapsed() < Duration::from_millis(1_500) {
             steps += 1;
             for sequence in 0..20 {
-                bench.hub.note(report(steps * 20 + sequence, State::Ready));
+                fixture
+                    .hub
+                    .note(report(steps * 20 + sequence, State::Ready));
             }
             let changed = named("edge-2", steps % 2 == 0);
             other
@@ -331,7 +333,7 @@
         }
         let last = Frame::Hub(Message::Present(named("edge-2", false)));
         other.0.send(last).await.unwrap();
-        let heard = heard(
+        let heard = collect(
             &mut slow,
             &[named("edge-1", true)],
             Duration::from_millis(400),
@@ -346,29 +348,29 @@
 /// Targets of another region report every second. An instance needs to know that there is capacity, not each
 /// heartbeat: those would cross the border once for every instance there. What changes is told within a second or so.
 #[test]
-fn heartbeats_of_other_regions_stay_there() {
+fn heartbeats_of_other_regions_are_not_forwarded() {
     run(async {
-        let bench = Bench::start().await;
-        let mut link = bench.link("edge-1").await;
+        let fixture = Fixture::start().await;
+        let mut link = fixture.link("edge-1").await;
         let own = [presence(1)];
-        let far = |sequence, state| Report {
+        let remote = |sequence, state| Report {
             place: Place::new("athens", "athens-a"),
             ..report(sequence, state)
         };
-        bench.hub.note(far(1, State::Ready));
-        let first = heard(&mut link, &own, Duration::from_millis(1_500)).await;
+        fixture.hub.note(remote(1, State::Ready));
+        let first = collect(&mut link, &own, Duration::from_millis(1_500)).await;
         assert_eq!(reports(&first), [State::Ready]);
         let since = Instant::now();
         let mut sequence = 1;
-        let mut told = Vec::new();
+        let mut received = Vec::new();
         while since.elapsed() < Duration::from_secs(4) {
             sequence += 1;
-            bench.hub.note(far(sequence, State::Ready));
-            told.extend(heard(&mut link, &own, Duration::from_millis(200)).await);
+            fixture.hub.note(remote(sequence, State::Ready));
+            received.extend(collect(&mut link, &own, Duration::from_millis(200)).await);
         }
-        assert!(reports(&told).is_empty(), "{told:?}");
-        bench.hub.note(far(sequence + 1, State::Draining));
-        let end = heard(&mut link, &own, Duration::from_millis(1_500)).await;
+        assert!(reports(&received).is_empty(), "{received:?}");
+        fixture.hub.note(remote(sequence + 1, State::Draining));
+        let end = collect(&mut link, &own, Duration::from_millis(1_500)).await;
         assert_eq!(reports(&end), [State::Draining]);
     });
 }
--- a/crates/zinniastall-control/tests/peers.rs
+++ b/crates/zinniastall-control/tests/peers.rs
@@ -24,9 +24,9 @@
 };
 
 /// Longest wait for what has to happen.
-const LONGEST: Duration = Duration::from_secs(20);
+const TIMEOUT: Duration = Duration::from_secs(20);
 /// Wait for what must not happen.
-const NEVER: Duration = Duration::from_millis(300);
+const QUIET_PERIOD: Duration = Duration::from_millis(300);
 
 /// Takes what arrives.
 struct Sink;
@@ -61,7 +61,7 @@
 }
 
 async fn accept(listener: &TcpListener) -> Link {
-    let accepted = time::timeout(LONGEST, listener.accept()).await;
+    let accepted = time::timeout(TIMEOUT, listener.accept()).await;
     let (stream, _) = accepted.expect("no link was opened in time").unwrap();
     Link::accept(stream, |_| Ok(hello())).await.unwrap()
 }
@@ -70,25 +70,25 @@
 /// and the replica that starts there anew hears nothing on them: it is not taken in meanwhile, and a second
 /// lost disk would end the group. Who is told of it opens the link anew, and only once for each such replica.
 #[actix::test]
-async fn the_link_to_a_replaced_replica_is_opened_anew() {
+async fn the_link_to_a_replaced_replica_is_reopened() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap().to_string();
     let timing = Timing {
-        ping: Duration::from_mins(1),
-        silence: Duration::from_mins(1),
-        retry: Duration::from_mins(1),
+        ping_interval: Duration::from_mins(1),
+        idle_timeout: Duration::from_mins(1),
+        max_backoff: Duration::from_mins(1),
     };
     let sink = Sink.start().recipient();
     let mut peers = Peers::new(1, hello(), timing, sink);
     peers.dial(&hello(), std::slice::from_ref(&address));
     let _lost = accept(&listener).await;
-    peers.renew(9, &address);
-    let _renewed = accept(&listener).await;
-    peers.renew(9, &address);
+    peers.reopen(9, &address);
+    let _reopened = accept(&listener).await;
+    peers.reopen(9, &address);
     peers.dial(&hello(), std::slice::from_ref(&address));
-    let again = time::timeout(NEVER, listener.accept()).await;
+    let again = time::timeout(QUIET_PERIOD, listener.accept()).await;
     assert!(again.is_err(), "a link that is new was opened once more");
-    peers.renew(10, &address);
+    peers.reopen(10, &address);
     accept(&listener).await;
 }
 
@@ -96,15 +96,15 @@
 /// so long nobody would know what is committed and callers would be refused. The question goes by datagram,
 /// which needs no link; nothing else does, since a datagram proves nothing about who sent it.
 #[actix::test]
-async fn what_a_starting_replica_asks_needs_no_link() {
+async fn surveys_are_sent_by_datagram() {
     let socket = UdpSocket::bind("127.0.0.1:0").await.unwrap();
     let address = socket.local_addr().unwrap().to_string();
     let timing = Timing::new(Duration::from_millis(700));
     let sink = Sink.start();
     let own = UdpSocket::bind("127.0.0.1:0").await.unwrap();
     let datagrams = Datagrams::start(own, sink.clone().recipient());
-    let peers = Peers::new(1, hello(), timing, sink.recipient()).datagrams(Some(datagrams));
-    let say = |body: Body| {
+    let peers = Peers::new(1, hello(), timing, sink.recipient()).with_datagrams(Some(datagrams));
+    let log_message = |body: Body| {
         let message = replica::Message {
             cluster: [1; 16],
             to: 2,
@@ -113,11 +113,11 @@
         };
         peers::Message::Log(Box::new(message))
     };
-    peers.send(2, Some(&address), &say(Body::Transfer));
-    let survey = say(Body::Survey { number: 7 });
+    peers.send(2, Some(&address), &log_message(Body::Transfer));
+    let survey = log_message(Body::Survey { number: 7 });
     peers.send(2, Some(&address), &survey);
     let mut buffer = [0; 1_400];
-    let received = time::timeout(LONGEST, socket.recv_from(&mut buffer)).await;
+    let received = time::timeout(TIMEOUT, socket.recv_from(&mut buffer)).await;
     let (length, _) = received.expect("nothing was sent").unwrap();
     let Frame::Replica(frame) = Frame::decode(&buffer[..length]).unwrap() else {
         panic!("another frame");
--- a/crates/zinniastall-control/tests/recall.rs
+++ b/crates/zinniastall-control/tests/recall.rs
@@ -17,7 +17,7 @@
 use zinniastall_control::{
     control::Remember,
     hub::Hub,
-    recall::{Names, Recall, Remembered, Told},
+    recall::{Names, Recall, Registry, Remembered},
 };
 use zinniastall_model::{
     place::Place,
@@ -27,25 +27,25 @@
 };
 use zinniastall_wire::feed::Feed;
 
-const LONGEST: Duration = Duration::from_secs(20);
+const TIMEOUT: Duration = Duration::from_secs(20);
 const NAMES: Names = Names {
     target: "own-name",
     cold_ms: "cold-ms",
 };
 
 /// Passes on what other replicas are told.
-struct Others(mpsc::UnboundedSender<Remember>);
+struct PeerSink(mpsc::UnboundedSender<Remember>);
 
-impl Actor for Others {
+impl Actor for PeerSink {
     type Context = Context<Self>;
 }
 
-impl Handler<Remember> for Others {
+impl Handler<Remember> for PeerSink {
     type Result = ();
 
-    fn handle(&mut self, told: Remember, _: &mut Context<Self>) {
+    fn handle(&mut self, message: Remember, _: &mut Context<Self>) {
         // The test may have ended.
-        let _ = self.0.send(told);
+        let _ = self.0.send(message);
     }
 }
 
@@ -87,7 +87,7 @@
 /// One run of a replica of the zone `patras-a`.
 struct Run {
     hub: Hub,
-    told: Told,
+    registry: Registry,
     others: mpsc::UnboundedReceiver<Remember>,
     task: JoinHandle<()>,
     _feed: watch::Sender<Feed>,
@@ -106,12 +106,12 @@
             ..Configuration::default()
         };
         let (feed, news) = watch::channel(Feed::new(Arc::new(configuration), 8));
-        let (hub, told) = (Hub::new(news.clone()), Told::default());
+        let (hub, registry) = (Hub::new(news.clone()), Registry::default());
         let (sender, others) = mpsc::unbounded_channel();
         let recall = Recall {
             hub: hub.clone(),
-            control: Others(sender).start().recipient(),
-            told: told.clone(),
+            control: PeerSink(sender).start().recipient(),
+            registry: registry.clone(),
             feed: news,
             zone: "patras-a".to_owned(),
             folder: folder.to_owned(),
@@ -119,7 +119,7 @@
         };
         Self {
             hub,
-            told,
+            registry,
             others,
             task: actix::spawn(recall.run()),
             _feed: feed,
@@ -128,7 +128,7 @@
 
     /// Returns the names of the targets that are known, and how cold they are.
     fn known(&self) -> Vec<(String, u64)> {
-        let ready = self.hub.ready(LONGEST).into_iter();
+        let ready = self.hub.ready(TIMEOUT).into_iter();
         let mut known: Vec<(String, u64)> = ready
             .map(|report| (report.target, report.cold_ms))
             .collect();
@@ -148,7 +148,7 @@
             time::sleep(Duration::from_millis(10)).await;
         }
     };
-    assert!(time::timeout(LONGEST, waits).await.is_ok(), "{what}");
+    assert!(time::timeout(TIMEOUT, waits).await.is_ok(), "{what}");
 }
 
 fn run(test: impl Future<Output = ()>) {
@@ -159,7 +159,7 @@
 /// of them would get all requests meanwhile; callers would be late or refused. The replica asks those that it
 /// remembers: one has turned cold, one is gone and another target lives at its address, one answers nothing.
 #[test]
-fn a_replica_that_lost_power_knows_who_is_still_there() {
+fn a_restarted_replica_recalls_targets_that_still_answer() {
     run(async {
         let folder = tempfile::tempdir().unwrap();
         let before = Run::start(folder.path());
@@ -190,21 +190,21 @@
 /// Targets report to any replica. Only a replica of their zone can ask them after a restart, and would know
 /// none of those that report elsewhere.
 #[test]
-fn targets_that_report_elsewhere_are_remembered_in_their_zone() {
+fn targets_that_report_to_other_zones_are_remembered_in_their_own() {
     run(async {
         let folders = (tempfile::tempdir().unwrap(), tempfile::tempdir().unwrap());
-        let mut there = Run::start(folders.0.path());
+        let mut other = Run::start(folders.0.path());
         let address = target("well", 0).await;
-        there.hub.note(report("well", "patras-b", &address));
-        let told = time::timeout(LONGEST, there.others.recv()).await;
-        let told = told.expect("nobody was told").unwrap();
-        assert_eq!(told.zone, "patras-b");
-        let here = Run::start(folders.1.path());
-        let targets: Vec<Remembered> = told.targets;
-        here.told.hear(targets, std::time::Instant::now());
+        other.hub.note(report("well", "patras-b", &address));
+        let message = time::timeout(TIMEOUT, other.others.recv()).await;
+        let message = message.expect("nobody was told").unwrap();
+        assert_eq!(message.zone, "patras-b");
+        let own = Run::start(folders.1.path());
+        let targets: Vec<Remembered> = message.targets;
+        own.registry.record(targets, std::time::Instant::now());
         let list = folders.1.path().join("targets");
         until("the list is written", || list.exists()).await;
-        here.stop();
+        own.stop();
         let after = Run::start(folders.1.path());
         until("it is known", || after.known() == [("well".to_owned(), 0)]).await;
     });
@@ -213,7 +213,7 @@
 /// A disk lost power in the middle of a write, or the list is of another version: what can't be read is nothing
 /// to start from, and the replica starts without it.
 #[test]
-fn a_list_that_cannot_be_read_stops_nothing() {
+fn an_unreadable_list_does_not_prevent_the_start() {
     run(async {
         let folder = tempfile::tempdir().unwrap();
         std::fs::write(folder.path().join("targets"), b"\x9f\x82garbage").unwrap();
