--- a/crates/zinniastall-control/src/control/apply.rs
+++ b/crates/zinniastall-control/src/control/apply.rs
@@ -76,9 +76,9 @@
         self.feed.send_if_modified(|feed| {
             let news = feed.state().revision < state.revision;
             let changed = news || feed.is_connected() != connected;
-            feed.connect(connected);
+            feed.set_connected(connected);
             if news {
-                feed.reach(Arc::clone(state).stripped());
+                feed.set_state(Arc::clone(state).stripped());
             }
             changed
         });
--- a/crates/zinniastall-control/src/control/entries.rs
+++ b/crates/zinniastall-control/src/control/entries.rs
@@ -9,7 +9,7 @@
     change::{Body, Change},
     member::Member,
 };
-use zinniastall_wire::follow::{Astray, Confirmation};
+use zinniastall_wire::follow::{Confirmation, Drift};
 
 use super::Control;
 use crate::peers;
@@ -26,7 +26,7 @@
     /// Revisions are in force.
     Confirmed(Vec<Confirmation>),
     /// Targets of its zone do not hold what the configuration says.
-    Astray(Vec<Astray>),
+    Astray(Vec<Drift>),
 }
 
 impl Handler<Heard> for Control {
--- a/crates/zinniastall-control/src/control/order.rs
+++ b/crates/zinniastall-control/src/control/order.rs
@@ -8,7 +8,7 @@
 use actix::{AsyncContext, Context, Handler, Message};
 use zinniastall_coord::replica::Role;
 use zinniastall_model::{header, id};
-use zinniastall_wire::follow::Astray;
+use zinniastall_wire::follow::Drift;
 
 use super::Control;
 use crate::{
@@ -38,7 +38,7 @@
 
 impl Control {
     /// Notes targets that do not hold what they should, or passes them on to the leader.
-    pub(super) fn note_astray(&mut self, list: Vec<Astray>) {
+    pub(super) fn note_astray(&mut self, list: Vec<Drift>) {
         if self.part != Role::Leader {
             self.send_leader(&peers::Message::Astray(list));
             return;
--- a/crates/zinniastall-control/src/hub.rs
+++ b/crates/zinniastall-control/src/hub.rs
@@ -294,7 +294,7 @@
                 Ok(Vec::new())
             }
             Message::Fetch(held) => Ok(self.configuration(held)?.into_iter().collect()),
-            Message::Vouch(stamp) => {
+            Message::ReadIndex(stamp) => {
                 let round = self.vouching.ask();
                 cursor.questions.push_back(Question { stamp, round });
                 let surplus = cursor.questions.len().saturating_sub(QUESTIONS);
@@ -460,7 +460,7 @@
     {
         answered = cursor.questions.pop_front();
     }
-    let message = answered.map(|question| Message::Vouched {
+    let message = answered.map(|question| Message::ReadIndexAnswer {
         stamp: question.stamp,
         revision: vouched.revision,
     });
--- a/crates/zinniastall-control/src/hub/instances.rs
+++ b/crates/zinniastall-control/src/hub/instances.rs
@@ -113,10 +113,10 @@
                 let key = (presence.place.region.clone(), load.service.clone());
                 let sum = sums.entry(key).or_insert_with(|| Load {
                     service: load.service.clone(),
-                    flights: 0,
+                    in_flight: 0,
                     reading_us: 0,
                 });
-                sum.flights += load.flights;
+                sum.in_flight += load.in_flight;
                 sum.reading_us += load.reading_us;
             }
         }
--- a/crates/zinniastall-control/src/links.rs
+++ b/crates/zinniastall-control/src/links.rs
@@ -94,10 +94,10 @@
             match event {
                 Event::Member(member) => control.do_send(Heard::Member(member)),
                 Event::Confirmed(list) => control.do_send(Heard::Confirmed(list)),
-                Event::Astray(list) => control.do_send(Heard::Astray(list)),
+                Event::Drifted(list) => control.do_send(Heard::Astray(list)),
                 // Operators ask control for its figures; on a link nobody does.
-                Event::Asked => {}
-                Event::Vouch(ask) => return Some(vouch(control.clone(), ask)),
+                Event::SummariesRequested => {}
+                Event::ReadIndex(ask) => return Some(vouch(control.clone(), ask)),
             }
             None
         };
@@ -112,7 +112,7 @@
 fn vouch(control: Addr<Control>, ask: u64) -> Answer {
     async move {
         let revision = control.send(Vouch).await.ok()?.await.ok()?;
-        Some(Message::Vouched { ask, revision })
+        Some(Message::ReadIndexAnswer { ask, revision })
     }
     .boxed_local()
 }
--- a/crates/zinniastall-control/src/orders.rs
+++ b/crates/zinniastall-control/src/orders.rs
@@ -9,7 +9,7 @@
 use indexmap::IndexMap;
 use zinniastall_coord::{fence::Fence, lease::Lease};
 use zinniastall_model::{id, order::Order, state::State};
-use zinniastall_wire::follow::Astray;
+use zinniastall_wire::follow::Drift;
 
 /// Most targets that are noted at once.
 const TARGETS: usize = 16_384;
@@ -37,7 +37,7 @@
 #[derive(Debug, Clone)]
 pub struct Dispatch {
     /// Whom it goes to.
-    pub astray: Astray,
+    pub astray: Drift,
     /// What it says.
     pub order: Order,
     /// Its number.
@@ -48,7 +48,7 @@
 
 #[derive(Debug)]
 struct Note {
-    astray: Astray,
+    astray: Drift,
     heard: Instant,
     progress: Progress,
 }
@@ -90,7 +90,7 @@
     }
 
     /// Notes a target that does not hold what it should.
-    pub fn note(&mut self, astray: Astray, now: Instant) {
+    pub fn note(&mut self, astray: Drift, now: Instant) {
         let known = self.notes.get(&astray.target);
         if known.is_none() && self.notes.len() >= TARGETS {
             return;
@@ -133,18 +133,18 @@
         self.notes
             .retain(|_, note| now < note.heard + FORGET || note.progress == Progress::Ordered);
         let quiet = now >= self.since + window + self.rules.send;
-        let mut due: Vec<(bool, Astray, Order)> = Vec::new();
+        let mut due: Vec<(bool, Drift, Order)> = Vec::new();
         for note in self.notes.values() {
             let reported = note.progress == Progress::Reported;
             let ready = reported && (quiet || self.checks(&note.astray.kind));
-            let order = Order::of(state, &note.astray.place, &note.astray.target);
-            let Some(order) = order.filter(|order| ready && !order.agrees(&note.astray.holding))
+            let order = Order::for_target(state, &note.astray.place, &note.astray.target);
+            let Some(order) = order.filter(|order| ready && !order.matches(&note.astray.holding))
             else {
                 continue;
             };
             let awaited = order
                 .missing(&note.astray.holding)
-                .any(|model| Order::is_awaited(state, &model.id));
+                .any(|model| Order::is_routed(state, &model.id));
             due.push((awaited, note.astray.clone(), order));
         }
         // What requests may be waiting for goes before what is only loaded ahead.
@@ -158,7 +158,7 @@
         self.rules.checks.iter().any(|checks| checks == kind)
     }
 
-    fn dispatch(&mut self, astray: Astray, order: Order, lease: Lease) -> Option<Dispatch> {
+    fn dispatch(&mut self, astray: Drift, order: Order, lease: Lease) -> Option<Dispatch> {
         let loads = u32::try_from(order.missing(&astray.holding).count()).unwrap_or(u32::MAX);
         if loads > 0 && self.tokens < 1.0 {
             return None;
--- a/crates/zinniastall-control/src/peers/message.rs
+++ b/crates/zinniastall-control/src/peers/message.rs
@@ -4,7 +4,7 @@
 use serde::{Deserialize, Serialize};
 use zinniastall_coord::{Id, replica};
 use zinniastall_model::{id, member::Member};
-use zinniastall_wire::follow::{Astray, Confirmation};
+use zinniastall_wire::follow::{Confirmation, Drift};
 
 /// A message between control instances.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -19,7 +19,7 @@
     /// To the leader: revisions in force at the sender's followers.
     Confirmed(Vec<Confirmation>),
     /// To the leader: targets that do not hold what the configuration says.
-    Astray(Vec<Astray>),
+    Astray(Vec<Drift>),
     /// To the leader: an entry instance presented itself.
     Join(Member),
     /// To a replica of the targets' availability zone, which remembers them.
--- a/crates/zinniastall-control/src/rpc/ask.rs
+++ b/crates/zinniastall-control/src/rpc/ask.rs
@@ -5,7 +5,7 @@
 use zinniastall_settings::metrics::Row;
 use zinniastall_wire::{
     feed,
-    follow::{Figure, Message},
+    follow::{Message, Summary},
     hello::{Hello, Purpose},
     link::{Error, Link},
 };
@@ -17,22 +17,22 @@
     Ok(figures.into_iter().map(of_figure).collect())
 }
 
-async fn ask(address: &str, hello: &Hello) -> Result<Vec<Figure>, Error> {
+async fn ask(address: &str, hello: &Hello) -> Result<Vec<Summary>, Error> {
     let hello = Hello {
         purpose: Purpose::Follow,
         ..hello.clone()
     };
-    let dialled = tokio::time::timeout(feed::SILENCE, Link::dial(address, hello)).await;
+    let dialled = tokio::time::timeout(feed::IDLE_TIMEOUT, Link::dial(address, hello)).await;
     let (mut sender, mut receiver) = dialled.map_err(|_| Error::Closed)??.split();
-    feed::send(&mut sender, Message::Ask).await?;
+    feed::send(&mut sender, Message::SummariesRequest).await?;
     loop {
-        if let Message::Figures(figures) = feed::receive(&mut receiver).await? {
+        if let Message::Summaries(figures) = feed::receive(&mut receiver).await? {
             return Ok(figures);
         }
     }
 }
 
-fn of_figure(figure: Figure) -> Histogram {
+fn of_figure(figure: Summary) -> Histogram {
     Histogram {
         name: figure.name,
         client: figure.client,
--- a/crates/zinniastall-control/src/rpc/operators.rs
+++ b/crates/zinniastall-control/src/rpc/operators.rs
@@ -292,7 +292,7 @@
 /// Says that an object is absent, and against which revision its creation would be checked.
 fn absent(state: &zinniastall_model::state::State, key: &zinniastall_model::object::Key) -> Status {
     let mut status = Status::not_found("no such object");
-    let current = state.current(key);
+    let current = state.current_revision(key);
     status
         .metadata_mut()
         .insert(metadata::CURRENT, current.into());
--- a/crates/zinniastall-control/src/rpc/watch.rs
+++ b/crates/zinniastall-control/src/rpc/watch.rs
@@ -59,7 +59,7 @@
 /// Returns the events after a revision: each change as long as all are kept, otherwise what the
 /// changes add up to.
 fn events(feed: &Feed, after: id::Revision) -> Vec<(Key, Event)> {
-    match feed.after(after) {
+    match feed.changes_after(after) {
         Some(changes) => {
             let one =
                 |(revision, change): &(_, std::sync::Arc<Change>)| of_change(*revision, change);
--- a/crates/zinniastall-control/tests/hub/configuration.rs
+++ b/crates/zinniastall-control/tests/hub/configuration.rs
@@ -60,7 +60,8 @@
         let mut state = State::clone(self.feed.borrow().state());
         state.apply(change);
         let state = Arc::new(state);
-        self.feed.send_modify(|feed| feed.reach(Arc::clone(&state)));
+        self.feed
+            .send_modify(|feed| feed.set_state(Arc::clone(&state)));
         state
     }
 }
@@ -154,7 +155,7 @@
 
 fn vouched(heard: &[Message]) -> Vec<(u64, u64)> {
     let vouched = heard.iter().filter_map(|message| match message {
-        Message::Vouched { stamp, revision } => Some((*stamp, *revision)),
+        Message::ReadIndexAnswer { stamp, revision } => Some((*stamp, *revision)),
         _ => None,
     });
     vouched.collect()
@@ -173,7 +174,7 @@
         actix::spawn(bench.hub.clone().vouch(group.start().recipient()));
         let mut link = bench.link("edge-1").await;
         for stamp in 1..=9 {
-            let question = Frame::Hub(Message::Vouch(stamp));
+            let question = Frame::Hub(Message::ReadIndex(stamp));
             link.0.send(question).await.unwrap();
         }
         let own = [presence(1)];
@@ -198,7 +199,7 @@
         let mut links = Vec::new();
         for number in 0..4 {
             let mut link = bench.link(&format!("edge-{number}")).await;
-            let question = Frame::Hub(Message::Vouch(100 + number));
+            let question = Frame::Hub(Message::ReadIndex(100 + number));
             link.0.send(question).await.unwrap();
             links.push(link);
         }
@@ -207,7 +208,7 @@
         assert!(vouched(&heard_first).is_empty(), "nobody could tell");
         revision.set(Some(5));
         asked.set(0);
-        let again = Frame::Hub(Message::Vouch(200));
+        let again = Frame::Hub(Message::ReadIndex(200));
         links[3].0.send(again).await.unwrap();
         for (number, link) in (0..).zip(&mut links) {
             let stamp = if number == 3 { 200 } else { 100 + number };
--- a/crates/zinniastall-control/tests/hub/main.rs
+++ b/crates/zinniastall-control/tests/hub/main.rs
@@ -107,7 +107,7 @@
     heard
 }
 
-fn presence(flights: u32) -> Presence {
+fn presence(in_flight: u32) -> Presence {
     Presence {
         instance: "edge-1".to_owned(),
         incarnation: 1,
@@ -117,7 +117,7 @@
         ready: true,
         load: vec![Load {
             service: "api".to_owned(),
-            flights,
+            in_flight,
             reading_us: 10,
         }],
     }
@@ -213,7 +213,7 @@
             Message::Loads(loads) => loads.first(),
             _ => None,
         });
-        let loads: Vec<u32> = loads.map(|held| held.load.flights).collect();
+        let loads: Vec<u32> = loads.map(|held| held.load.in_flight).collect();
         assert!((5..=10).contains(&loads.len()), "{loads:?}");
         assert!(loads.windows(2).all(|two| two[0] <= two[1]), "{loads:?}");
     });
--- a/crates/zinniastall-entry/src/callers/forward/handler.rs
+++ b/crates/zinniastall-entry/src/callers/forward/handler.rs
@@ -10,7 +10,7 @@
 use tokio::{sync::mpsc, time::timeout};
 use zinniastall_coord::ticket::Address;
 use zinniastall_route::outcome::Refusal;
-use zinniastall_wire::stream::{Message, Open, Stream};
+use zinniastall_wire::stream::{self, Message, Open};
 
 use super::{credit::Credit, failure, head, open};
 use crate::callers::{completion::Completion, pipeline, worker::Worker};
@@ -96,7 +96,7 @@
 }
 
 async fn relay(
-    stream: Stream,
+    stream: stream::Id,
     (mut reply, buffered): pipeline::Answer,
     credit: &Credit,
     out: &mpsc::Sender<Message>,
@@ -122,7 +122,7 @@
 
 /// Sends a part as credit permits, and returns the offset after it.
 async fn send(
-    stream: Stream,
+    stream: stream::Id,
     mut offset: u64,
     mut bytes: Bytes,
     credit: &Credit,
--- a/crates/zinniastall-entry/src/callers/forward/mux.rs
+++ b/crates/zinniastall-entry/src/callers/forward/mux.rs
@@ -14,7 +14,7 @@
 use zinniastall_wire::{
     frame::Frame,
     link::{self, Link},
-    stream::{Message, Open, Stream},
+    stream::{self, Message, Open},
 };
 
 use super::{KEEPALIVE_INTERVAL, LINK_TIMEOUT, head::reply, refusal};
@@ -30,8 +30,8 @@
     /// Outgoing messages; bounded in practice by the requests in progress and their credit
     /// messages.
     out: mpsc::UnboundedSender<Message>,
-    streams: RefCell<IndexMap<Stream, mpsc::UnboundedSender<Message>>>,
-    last: Cell<Stream>,
+    streams: RefCell<IndexMap<stream::Id, mpsc::UnboundedSender<Message>>>,
+    last: Cell<stream::Id>,
     alive: Cell<bool>,
 }
 
@@ -152,7 +152,7 @@
 /// Response body of one stream; dropping it before its end cancels the request.
 struct StreamBody {
     mux: Rc<Mux>,
-    stream: Stream,
+    stream: stream::Id,
     receiver: mpsc::UnboundedReceiver<Message>,
     offset: u64,
     ended: bool,
--- a/crates/zinniastall-entry/src/callers/forward/serve.rs
+++ b/crates/zinniastall-entry/src/callers/forward/serve.rs
@@ -15,7 +15,7 @@
     frame::Frame,
     hello::Hello,
     link::{self, Detached, Link},
-    stream::{Message, Open, Stream},
+    stream::{self, Message, Open},
 };
 
 use super::{KEEPALIVE, WINDOW_BYTES, credit::Credit, failure, handler::handle};
@@ -79,10 +79,10 @@
 /// Requests in progress on one link.
 #[derive(Debug, Default)]
 struct ActiveStreams {
-    streams: RefCell<IndexMap<Stream, ActiveStream>>,
+    streams: RefCell<IndexMap<stream::Id, ActiveStream>>,
     /// Highest stream number so far. Senders count up, so a frame with a lower number is a
     /// duplicate.
-    last: Cell<Stream>,
+    last: Cell<stream::Id>,
 }
 
 #[derive(Debug)]
@@ -178,7 +178,7 @@
     streams.insert(stream, ActiveStream { task, credit });
 }
 
-fn cancel(active: &Rc<ActiveStreams>, stream: Stream) {
+fn cancel(active: &Rc<ActiveStreams>, stream: stream::Id) {
     if let Some(request) = active.streams.borrow_mut().swap_remove(&stream) {
         request.task.abort();
     }
--- a/crates/zinniastall-entry/src/follow/actor.rs
+++ b/crates/zinniastall-entry/src/follow/actor.rs
@@ -154,7 +154,7 @@
         if next.revision > self.held.revision {
             self.held = Arc::new(next);
             let state = Arc::clone(&self.held);
-            self.feed.send_modify(|feed| feed.reach(state));
+            self.feed.send_modify(|feed| feed.set_state(state));
         }
         taken
     }
--- a/crates/zinniastall-entry/src/follow/astray.rs
+++ b/crates/zinniastall-entry/src/follow/astray.rs
@@ -5,7 +5,7 @@
     order::{Holding, Order, Version},
     state::State,
 };
-use zinniastall_wire::{follow::Astray, gossip};
+use zinniastall_wire::{follow::Drift, gossip};
 
 use crate::view::View;
 
@@ -13,15 +13,15 @@
 const REPORTED: usize = 64;
 
 /// Compares what the zone's targets announce with what they should hold.
-pub(super) fn find(state: &State, view: &View) -> Vec<Astray> {
+pub(super) fn find(state: &State, view: &View) -> Vec<Drift> {
     let astray = view.targets.values().filter_map(|target| {
         let report = &target.report;
         if !is_engine(report) {
             return None;
         }
-        let order = Order::of(state, &report.place, &report.target)?;
+        let order = Order::for_target(state, &report.place, &report.target)?;
         let holding = holding(report);
-        (!order.agrees(&holding)).then(|| Astray {
+        (!order.matches(&holding)).then(|| Drift {
             target: report.target.clone(),
             incarnation: report.incarnation,
             place: report.place.clone(),
--- a/crates/zinniastall-entry/src/follow/force.rs
+++ b/crates/zinniastall-entry/src/follow/force.rs
@@ -75,7 +75,7 @@
             let changed = feed.is_connected() != (connected && direct);
             // Only who hears control itself vouches for it: two relays that follow each other
             // could otherwise keep telling one another that control is there.
-            feed.connect(connected && direct);
+            feed.set_connected(connected && direct);
             changed
         });
         if !self.settled && self.settles(connected) {
--- a/crates/zinniastall-entry/src/follow/mod.rs
+++ b/crates/zinniastall-entry/src/follow/mod.rs
@@ -22,7 +22,7 @@
 use zinniastall_settings::metrics::{Hub, Row};
 use zinniastall_wire::{
     feed::{self, Event, Feed},
-    follow::{Figure, Message},
+    follow::{Message, Summary},
     link::Link,
 };
 
@@ -92,8 +92,8 @@
             }
             // A relay's follower reports to the relay; only relays report to control.
             // Only control can vouch, since only it can ask a majority.
-            Event::Astray(_) | Event::Vouch(_) => None,
-            Event::Asked => Some(feed::at_once(Message::Figures(figures(&metrics)))),
+            Event::Drifted(_) | Event::ReadIndex(_) => None,
+            Event::SummariesRequested => Some(feed::ready(Message::Summaries(figures(&metrics)))),
         };
         actix::spawn(async move {
             if let Err(error) = feed::serve(link, feed, notify).await {
@@ -103,8 +103,8 @@
     }
 }
 
-fn figures(metrics: &Hub) -> Vec<Figure> {
-    let figure = |row: Row| Figure {
+fn figures(metrics: &Hub) -> Vec<Summary> {
+    let figure = |row: Row| Summary {
         name: row.key.name.to_owned(),
         client: row.key.client,
         class: row.key.class,
--- a/crates/zinniastall-entry/src/follow/report.rs
+++ b/crates/zinniastall-entry/src/follow/report.rs
@@ -103,7 +103,7 @@
         if report.due && self.source.is_some_and(|source| source.control) {
             let astray = astray::find(&self.held, &self.board.view());
             if !astray.is_empty() {
-                messages.push(follow::Message::Astray(astray));
+                messages.push(follow::Message::Drifted(astray));
             }
         }
         MessageResult(messages)
--- a/crates/zinniastall-entry/src/follow/survey.rs
+++ b/crates/zinniastall-entry/src/follow/survey.rs
@@ -88,7 +88,7 @@
         feed::send(&mut sender, from).await?;
         let mut awaits_word = source.is_control();
         if awaits_word {
-            feed::send(&mut sender, Message::Vouch { ask: ASK }).await?;
+            feed::send(&mut sender, Message::ReadIndex { ask: ASK }).await?;
         }
         loop {
             let message = feed::receive(&mut receiver).await?;
@@ -99,7 +99,7 @@
                     }
                     continue;
                 }
-                Message::Vouched { ask: ASK, revision } => {
+                Message::ReadIndexAnswer { ask: ASK, revision } => {
                     awaits_word = false;
                     let vouched = self.follower.send(Vouched { revision }).await;
                     vouched.map_err(|_| Error::Closed)?;
--- a/crates/zinniastall-entry/src/follow/upstream.rs
+++ b/crates/zinniastall-entry/src/follow/upstream.rs
@@ -110,7 +110,7 @@
 
     async fn dial(&self, source: &Source) -> Result<Link, Error> {
         let dialled = self.identity.dial(source.address(), Purpose::Follow);
-        let link = time::timeout(feed::SILENCE, dialled)
+        let link = time::timeout(feed::IDLE_TIMEOUT, dialled)
             .await
             .map_err(|_| Error::Closed)??;
         same_cluster(&self.identity, link).ok_or(Error::Handshake)
--- a/crates/zinniastall-entry/src/spread/actor.rs
+++ b/crates/zinniastall-entry/src/spread/actor.rs
@@ -236,7 +236,7 @@
             gossip::Message::Stale(remembered) => self.raise(remembered),
             gossip::Message::Peers(peers) => self.meet(&peer, peers, now),
             gossip::Message::Targets(reports) => self.take(&place, reports, now),
-            gossip::Message::News(news) => {
+            gossip::Message::Delta(news) => {
                 self.passing |= self.digests.take(line, &place, news, now);
             }
         }
--- a/crates/zinniastall-entry/src/spread/digests.rs
+++ b/crates/zinniastall-entry/src/spread/digests.rs
@@ -5,7 +5,7 @@
 use indexmap::{IndexMap, IndexSet};
 use zinniastall_coord::digest::Entry;
 use zinniastall_model::{id, object::Subject, place::Place};
-use zinniastall_wire::gossip::{self, Fact, Item, Maker, News, Peer, Topic};
+use zinniastall_wire::gossip::{self, Delta, Fact, Item, Maker, Peer, Topic};
 
 use super::{
     capacity::{Zones, sum},
@@ -92,7 +92,7 @@
     }
 
     /// Returns what fits into a number of bytes, by link, and the bytes that it takes.
-    pub fn flush(&mut self, bytes: u64, now: Instant) -> (Vec<(Line, News)>, u64) {
+    pub fn flush(&mut self, bytes: u64, now: Instant) -> (Vec<(Line, Delta)>, u64) {
         self.ways.flush(&self.table, bytes, now)
     }
 
@@ -102,7 +102,7 @@
     }
 
     /// Takes facts in that came on a link. Returns whether there was news.
-    pub fn take(&mut self, line: Line, from: &Place, news: News, now: Instant) -> bool {
+    pub fn take(&mut self, line: Line, from: &Place, news: Delta, now: Instant) -> bool {
         let mut any = false;
         for item in news.items {
             // A zone's own facts don't come back from outside.
@@ -120,7 +120,7 @@
     pub fn doors(&self, now: Instant) -> Vec<(Place, Vec<Peer>)> {
         let fresh = self.table.fresh(now);
         let doors = fresh.filter_map(|fresh| match (fresh.key, fresh.value) {
-            (Topic::Doors(place), Fact::Doors(doors)) if *place != self.place => {
+            (Topic::Contacts(place), Fact::Contacts(doors)) if *place != self.place => {
                 Some((place.clone(), doors.clone()))
             }
             _ => None,
--- a/crates/zinniastall-entry/src/spread/passing.rs
+++ b/crates/zinniastall-entry/src/spread/passing.rs
@@ -40,7 +40,7 @@
         let (news, spent) = self.digests.flush(bytes, now);
         self.promised += spent;
         for (line, news) in news {
-            self.lines.send(line, gossip::Message::News(news));
+            self.lines.send(line, gossip::Message::Delta(news));
         }
     }
 
--- a/crates/zinniastall-entry/src/spread/peers.rs
+++ b/crates/zinniastall-entry/src/spread/peers.rs
@@ -35,7 +35,7 @@
             targets: addresses.targets.clone(),
             draining: self.around.board.view().draining,
             load: self.around.board.load(),
-            up_ms: up.min(gossip::UP),
+            up_ms: up.min(gossip::MAX_UP_MS),
         }
     }
 
@@ -102,7 +102,7 @@
         peer.incarnation = heartbeat.beat.incarnation;
         peer.load = heartbeat.load;
         let up = peer.up_ms + millis(self.settings.period * periods);
-        peer.up_ms = up.min(gossip::UP);
+        peer.up_ms = up.min(gossip::MAX_UP_MS);
         if peer.draining != heartbeat.draining {
             peer.draining = heartbeat.draining;
             self.publish_peers(now);
--- a/crates/zinniastall-entry/src/spread/speaker.rs
+++ b/crates/zinniastall-entry/src/spread/speaker.rs
@@ -143,8 +143,8 @@
 
     fn doors(&mut self, doors: &[Peer]) -> Option<Item> {
         let doors = doors.iter().take(DOORS).map(coarse).collect();
-        let topic = Topic::Doors(self.place.clone());
-        self.make(topic, Some(Fact::Doors(doors)))
+        let topic = Topic::Contacts(self.place.clone());
+        self.make(topic, Some(Fact::Contacts(doors)))
     }
 
     fn facts(&self, knowledge: &Knowledge, now: Instant) -> Vec<(Topic, Fact)> {
@@ -180,7 +180,7 @@
     }
 
     fn withdraw(&mut self, said: &IndexSet<Topic>) -> Vec<Item> {
-        let gone = |topic: &&Topic| !matches!(topic, Topic::Doors(_)) && !said.contains(*topic);
+        let gone = |topic: &&Topic| !matches!(topic, Topic::Contacts(_)) && !said.contains(*topic);
         let keys = self.authors.iter().flat_map(Author::keys);
         let gone: Vec<Topic> = keys.filter(gone).cloned().collect();
         let mut items = Vec::new();
@@ -228,7 +228,7 @@
 /// Returns which zone a fact names, if any, and the capacity that it tells.
 const fn capacity(fact: &Fact) -> Option<(Option<&id::Zone>, &Capacity)> {
     match fact {
-        Fact::Doors(_) => None,
+        Fact::Contacts(_) => None,
         Fact::Capacity(capacity) => Some((None, capacity)),
         Fact::Region(zone, capacity) => Some((Some(zone), capacity)),
     }
@@ -239,7 +239,7 @@
     Peer {
         load: peer.load / LOAD_STEP * LOAD_STEP,
         up_ms: if peer.up_ms >= UP_STEP * 2 {
-            gossip::UP
+            gossip::MAX_UP_MS
         } else {
             peer.up_ms / UP_STEP * UP_STEP
         },
--- a/crates/zinniastall-entry/src/spread/ways.rs
+++ b/crates/zinniastall-entry/src/spread/ways.rs
@@ -5,7 +5,7 @@
 use indexmap::{IndexMap, IndexSet};
 use zinniastall_coord::digest::{Outbox, Table, overlay};
 use zinniastall_model::place::Place;
-use zinniastall_wire::gossip::{Fact, Item, Maker, News, Topic};
+use zinniastall_wire::gossip::{Delta, Fact, Item, Maker, Topic};
 
 use super::lines::Line;
 
@@ -132,7 +132,7 @@
     /// Links take turns. The first one whose next fact is longer than what is left of the budget comes
     /// first the next time, and until then no other gets more: with an equal share for each link, short facts
     /// on the others would use up every budget, and a long one would never go out.
-    pub fn flush(&mut self, table: &Facts, bytes: u64, now: Instant) -> (Vec<(Line, News)>, u64) {
+    pub fn flush(&mut self, table: &Facts, bytes: u64, now: Instant) -> (Vec<(Line, Delta)>, u64) {
         let first = self.held.take();
         let first = first.and_then(|line| self.boxes.get_index_of(&line));
         let count = self.boxes.len();
@@ -154,7 +154,7 @@
                 self.held = Some(*line);
             }
             if !batch.items.is_empty() || !batch.renewals.is_empty() {
-                let news = News {
+                let news = Delta {
                     items: batch.items,
                     renewals: batch.renewals,
                 };
@@ -240,7 +240,7 @@
 /// Returns where facts of a topic matter.
 const fn scope(topic: &Topic) -> overlay::Scope {
     match topic {
-        Topic::Doors(_) => overlay::Scope::Everywhere,
+        Topic::Contacts(_) => overlay::Scope::Everywhere,
         Topic::Capacity(..) => overlay::Scope::Region,
         Topic::Region(..) => overlay::Scope::OtherRegions,
     }
@@ -249,7 +249,7 @@
 /// Estimates an item's bytes on the wire; the budget is charged with the real ones afterwards.
 fn size(item: &Item) -> u64 {
     match &item.value {
-        Some(Fact::Doors(doors)) => 60 + 180 * doors.len() as u64,
+        Some(Fact::Contacts(doors)) => 60 + 180 * doors.len() as u64,
         Some(Fact::Capacity(_) | Fact::Region(..)) => 60,
         None => 40,
     }
--- a/crates/zinniastall-entry/tests/speaker.rs
+++ b/crates/zinniastall-entry/tests/speaker.rs
@@ -16,7 +16,7 @@
     view,
 };
 use zinniastall_model::{object::Subject, place::Place};
-use zinniastall_wire::gossip::{Capacity, Fact, Item, News, Peer, Serving, Target, Topic};
+use zinniastall_wire::gossip::{Capacity, Delta, Fact, Item, Peer, Serving, Target, Topic};
 
 const SEED: [u8; 32] = *b"zinniastall speaker test seed 01";
 const INTERVAL: Duration = Duration::from_secs(2);
@@ -175,11 +175,11 @@
         self.digests.speak(voice, vec![door], &targets, now);
     }
 
-    fn flush(&mut self, now: Instant) -> IndexMap<Line, News> {
+    fn flush(&mut self, now: Instant) -> IndexMap<Line, Delta> {
         self.digests.flush(1_000_000, now).0.into_iter().collect()
     }
 
-    fn take(&mut self, from: &Place, news: Option<&News>, now: Instant) {
+    fn take(&mut self, from: &Place, news: Option<&Delta>, now: Instant) {
         if let Some(news) = news {
             self.digests.take(TO_B, from, news.clone(), now);
         }
@@ -249,7 +249,7 @@
         let items = &out[&line].items;
         items
             .iter()
-            .filter(|item| !matches!(item.key, Topic::Doors(_)))
+            .filter(|item| !matches!(item.key, Topic::Contacts(_)))
             .collect()
     };
     let [one] = &facts_for(TO_PATRAS)[..] else {
@@ -289,7 +289,7 @@
             out.iter()
                 .flat_map(|(line, news)| news.items.iter().map(move |item| (line, item)))
         };
-        let is_door = |item: &Item| matches!(item.key, Topic::Doors(_));
+        let is_door = |item: &Item| matches!(item.key, Topic::Contacts(_));
         if items().any(|(line, item)| *line == 20 && is_door(item)) {
             return;
         }
--- a/crates/zinniastall-gateway/src/decide/identity.rs
+++ b/crates/zinniastall-gateway/src/decide/identity.rs
@@ -46,7 +46,9 @@
         Trust::Stale => return Err(Unauthenticated::Stale),
     }
     let key = key(headers).ok_or(Unauthenticated::UnknownKey)?;
-    let holder = table.holder(key).ok_or(Unauthenticated::UnknownKey)?;
+    let holder = table
+        .account_index_by_key(key)
+        .ok_or(Unauthenticated::UnknownKey)?;
     Ok(Some(holder))
 }
 
@@ -64,7 +66,7 @@
     match (needs_key(table, route), account) {
         (false, None) => Ok(None),
         (true, Some(account)) => {
-            let place = table.account_named(account);
+            let place = table.account_index_by_name(account);
             place.map(Some).ok_or(Unauthenticated::Mismatch)
         }
         _ => Err(Unauthenticated::Mismatch),
--- a/crates/zinniastall-gateway/src/index.rs
+++ b/crates/zinniastall-gateway/src/index.rs
@@ -137,7 +137,7 @@
         for held in loads {
             let regions = services.entry(held.load.service).or_default();
             let sum = regions.entry(held.region).or_default();
-            sum.in_flight += held.load.flights;
+            sum.in_flight += held.load.in_flight;
             sum.reading_us += held.load.reading_us;
         }
         Self(services)
--- a/crates/zinniastall-gateway/src/path/attempt.rs
+++ b/crates/zinniastall-gateway/src/path/attempt.rs
@@ -126,7 +126,7 @@
         let Place::Target { address, .. } = self.place else {
             return work.await;
         };
-        if !self.job.route().repeats() {
+        if !self.job.route().is_retryable() {
             return work.await;
         }
         let outcome = until_unreachable(work, address).await;
@@ -163,7 +163,7 @@
             Place::Target { .. } => CONNECT_TIMEOUT,
             Place::Instance { .. } => REMOTE_CONNECT_TIMEOUT,
         };
-        let repeats = job.route().repeats();
+        let repeats = job.route().is_retryable();
         let connected = self.pool.connect(place.address(), repeats, timeout).await;
         let mut connection = match connected {
             Ok(connection) => connection,
@@ -312,7 +312,7 @@
         // Without the echoed id it may be a late refusal of an earlier request on the same
         // connection.
         let is_for_this_request = headers.contains_key(&self.header_names.request_id) || !is_used;
-        if !is_for_this_request && !attempt.job.route().repeats() {
+        if !is_for_this_request && !attempt.job.route().is_retryable() {
             return Some(Ended::Unknown("a refusal without a request id".to_owned()));
         }
         attempt.may_have_run.set(may_have_run_before);
@@ -348,7 +348,7 @@
             headers: end_to_end_headers(&response.headers),
             body,
         };
-        if response.status.is_server_error() && job.route().repeats() {
+        if response.status.is_server_error() && job.route().is_retryable() {
             return Ended::Failing(answer);
         }
         match responder.send(answer).await {
--- a/crates/zinniastall-gateway/src/path/job.rs
+++ b/crates/zinniastall-gateway/src/path/job.rs
@@ -104,7 +104,7 @@
     ) -> Result<Self, Refusal> {
         let configuration = view.configuration.clone().ok_or(Refusal::Unconfigured)?;
         let table = configuration.table.as_ref().ok_or(Refusal::Unconfigured)?;
-        let at = table.position(head.host(), head.path());
+        let at = table.route_index(head.host(), head.path());
         let route = at.ok_or(Refusal::NoRoute)?;
         let route_entry = &table.routes[route];
         let account = if forwarded {
--- a/crates/zinniastall-gateway/src/path/run.rs
+++ b/crates/zinniastall-gateway/src/path/run.rs
@@ -256,7 +256,7 @@
             }
             Ended::Unknown(_) => {
                 state.sent += 1;
-                if job.route().repeats() && self.may_repeat(state) {
+                if job.route().is_retryable() && self.may_repeat(state) {
                     Step::Retry
                 } else {
                     Step::Refuse(Refusal::AnswerLost)
--- a/crates/zinniastall-gateway/src/tracker.rs
+++ b/crates/zinniastall-gateway/src/tracker.rs
@@ -199,10 +199,10 @@
         for target in self.targets.values().filter(|target| target.is_busy()) {
             let load = loads.entry(&target.service).or_insert_with(|| Load {
                 service: target.service.clone(),
-                flights: 0,
+                in_flight: 0,
                 reading_us: 0,
             });
-            load.flights += target.in_flight;
+            load.in_flight += target.in_flight;
             load.reading_us += target.reading_us;
         }
         loads.into_values().collect()
--- a/crates/zinniastall-gateway/src/uplink.rs
+++ b/crates/zinniastall-gateway/src/uplink.rs
@@ -328,7 +328,7 @@
         let confirmed = self.freshness.borrow().confirmed();
         let is_old = confirmed.is_none_or(|confirmed| confirmed + CONFIRMATION_TIMEOUT < now);
         let stamp = u64::try_from(now.as_nanos()).unwrap_or(u64::MAX);
-        (is_source || is_old).then_some(Message::Vouch(stamp))
+        (is_source || is_old).then_some(Message::ReadIndex(stamp))
     }
 
     /// Handles a replica's answer that the group had reached a revision when this instance asked.
@@ -377,7 +377,7 @@
                     None => self.finish_fetch(),
                 }
             }
-            Message::Vouched { stamp, revision } => {
+            Message::ReadIndexAnswer { stamp, revision } => {
                 self.handle_confirmation(stamp, revision);
                 let mut reached = self.latest_revisions.borrow_mut();
                 let known = reached.entry(replica.to_owned()).or_default();
@@ -409,8 +409,10 @@
                     .insert(replica.to_owned(), list);
                 self.update_links();
             }
-            Message::Present(_) | Message::Fetch(_) | Message::Subscribe(_) | Message::Vouch(_) => {
-            }
+            Message::Present(_)
+            | Message::Fetch(_)
+            | Message::Subscribe(_)
+            | Message::ReadIndex(_) => {}
         }
         false
     }
--- a/crates/zinniastall-gateway/tests/groups.rs
+++ b/crates/zinniastall-gateway/tests/groups.rs
@@ -52,13 +52,13 @@
     (presence.instance.clone(), presence)
 }
 
-fn load((service, region, flights): (usize, usize, u32)) -> RegionLoad {
+fn load((service, region, in_flight): (usize, usize, u32)) -> RegionLoad {
     RegionLoad {
         region: REGIONS[region].to_owned(),
         load: Load {
             service: SERVICES[service].to_owned(),
-            flights,
-            reading_us: u64::from(flights) * 10,
+            in_flight,
+            reading_us: u64::from(in_flight) * 10,
         },
     }
 }
@@ -112,8 +112,8 @@
         let loads: Loads = all.iter().copied().map(load).collect();
         for (service, region) in (0..3).flat_map(|service| (0..3).map(move |region| (service, region))) {
             let fits = all.iter().filter(|held| (held.0, held.1) == (service, region));
-            let flights: u32 = fits.map(|held| held.2).sum();
-            let sum = Total { in_flight: flights, reading_us: u64::from(flights) * 10 };
+            let in_flight: u32 = fits.map(|held| held.2).sum();
+            let sum = Total { in_flight, reading_us: u64::from(in_flight) * 10 };
             prop_assert_eq!(loads.of(SERVICES[service], REGIONS[region]), sum);
         }
     }
--- a/crates/zinniastall-model/src/change.rs
+++ b/crates/zinniastall-model/src/change.rs
@@ -109,7 +109,7 @@
     Used(String),
     /// The routing table is not valid.
     #[error(transparent)]
-    Routing(#[from] routing::Fault),
+    Routing(#[from] routing::Error),
     /// The state holds as many objects as it may.
     #[error("too many objects")]
     Full,
--- a/crates/zinniastall-model/src/fingerprint.rs
+++ b/crates/zinniastall-model/src/fingerprint.rs
@@ -7,9 +7,9 @@
 use zinniastall_coord::quarantine::Suspicion;
 
 /// Separates these digests from all others that are made with the same function.
-const CONTEXT: &str = "zinniastall 2026 fingerprint of a request";
+const DERIVE_KEY_CONTEXT: &str = "zinniastall 2026 fingerprint of a request";
 /// Length of a fingerprint, in bytes.
-const LENGTH: usize = 16;
+const LENGTH_BYTES: usize = 16;
 
 /// Digest of what a request asks: its client account, host, path with query, and body.
 ///
@@ -17,20 +17,20 @@
 /// the body already.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
-pub struct Fingerprint(ByteArray<LENGTH>);
+pub struct Fingerprint(ByteArray<LENGTH_BYTES>);
 
 /// A request and what is known against it.
 pub type Suspect = (Fingerprint, Suspicion);
 
 /// A text is no fingerprint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
-#[error("a fingerprint has {} hexadecimal digits", 2 * LENGTH)]
-pub struct Malformed;
+#[error("a fingerprint has {} hexadecimal digits", 2 * LENGTH_BYTES)]
+pub struct ParseError;
 
 impl Fingerprint {
     /// Computes the fingerprint of a request; `target` is its path with the query.
     pub fn of(account: Option<&str>, host: &str, target: &str, body: &[u8]) -> Self {
-        let mut hasher = blake3::Hasher::new_derive_key(CONTEXT);
+        let mut hasher = blake3::Hasher::new_derive_key(DERIVE_KEY_CONTEXT);
         let host = host.to_ascii_lowercase();
         let fields = [account.unwrap_or_default(), &host, target];
         for field in fields {
@@ -40,14 +40,14 @@
         }
         hasher.update(&[u8::from(account.is_some())]);
         hasher.update(body);
-        let mut bytes = [0; LENGTH];
+        let mut bytes = [0; LENGTH_BYTES];
         hasher.finalize_xof().fill(&mut bytes);
         Self::from(bytes)
     }
 }
 
-impl From<[u8; LENGTH]> for Fingerprint {
-    fn from(bytes: [u8; LENGTH]) -> Self {
+impl From<[u8; LENGTH_BYTES]> for Fingerprint {
+    fn from(bytes: [u8; LENGTH_BYTES]) -> Self {
         Self(ByteArray::new(bytes))
     }
 }
@@ -71,16 +71,16 @@
 }
 
 impl FromStr for Fingerprint {
-    type Err = Malformed;
+    type Err = ParseError;
 
-    fn from_str(text: &str) -> Result<Self, Malformed> {
-        if text.len() != 2 * LENGTH || !text.bytes().all(|byte| byte.is_ascii_hexdigit()) {
-            return Err(Malformed);
+    fn from_str(text: &str) -> Result<Self, ParseError> {
+        if text.len() != 2 * LENGTH_BYTES || !text.bytes().all(|byte| byte.is_ascii_hexdigit()) {
+            return Err(ParseError);
         }
-        let mut bytes = [0; LENGTH];
-        for (at, byte) in bytes.iter_mut().enumerate() {
-            let digits = &text[2 * at..2 * at + 2];
-            *byte = u8::from_str_radix(digits, 16).map_err(|_| Malformed)?;
+        let mut bytes = [0; LENGTH_BYTES];
+        for (index, byte) in bytes.iter_mut().enumerate() {
+            let digits = &text[2 * index..2 * index + 2];
+            *byte = u8::from_str_radix(digits, 16).map_err(|_| ParseError)?;
         }
         Ok(Self::from(bytes))
     }
--- a/crates/zinniastall-model/src/lib.rs
+++ b/crates/zinniastall-model/src/lib.rs
@@ -19,4 +19,4 @@
 pub mod routing;
 pub mod state;
 pub mod target;
-pub mod valid;
+pub mod validate;
--- a/crates/zinniastall-model/src/machine.rs
+++ b/crates/zinniastall-model/src/machine.rs
@@ -9,15 +9,15 @@
     change::{Answer, Body, Change, Origin},
     id,
     state::State,
-    valid,
+    validate,
 };
 
 /// Answers kept for one operator.
-const PER_OPERATOR: usize = 512;
+const MAX_ANSWERS_PER_OPERATOR: usize = 512;
 /// Answers kept in all.
-const COMMANDS: usize = 8192;
+const MAX_ANSWERS: usize = 8192;
 /// Narrowing revisions kept.
-const NARROWING: usize = 4096;
+const MAX_NARROWING_REVISIONS: usize = 4096;
 
 /// What every control replica holds: the configuration and what is known of commands.
 ///
@@ -35,7 +35,7 @@
     fn default() -> Self {
         Self {
             state: Arc::default(),
-            commands: Table::new(PER_OPERATOR, COMMANDS),
+            commands: Table::new(MAX_ANSWERS_PER_OPERATOR, MAX_ANSWERS),
             narrowing: VecDeque::new(),
             dropped: 0,
         }
@@ -81,8 +81,8 @@
     }
 
     fn run(&mut self, change: &Change) -> Answer {
-        if let Some(Err(fault)) = change.origin.as_ref().map(valid::origin) {
-            return Answer::Invalid(fault);
+        if let Some(Err(invalid)) = change.origin.as_ref().map(validate::origin) {
+            return Answer::Invalid(invalid);
         }
         let answer = Arc::make_mut(&mut self.state).apply(change);
         if let Answer::Done {
@@ -90,14 +90,14 @@
             narrows: true,
         } = answer
         {
-            self.note_narrowing(revision);
+            self.record_narrowing(revision);
         }
         answer
     }
 
-    fn note_narrowing(&mut self, revision: id::Revision) {
+    fn record_narrowing(&mut self, revision: id::Revision) {
         self.narrowing.push_back(revision);
-        if self.narrowing.len() > NARROWING {
+        if self.narrowing.len() > MAX_NARROWING_REVISIONS {
             self.dropped = self.narrowing.pop_front().unwrap_or(self.dropped);
         }
     }
--- a/crates/zinniastall-model/src/narrow.rs
+++ b/crates/zinniastall-model/src/narrow.rs
@@ -19,25 +19,25 @@
 };
 
 /// Tells whether replacing an object, or deleting it with `None`, narrows.
-pub fn by_object(state: &State, key: &Key, new: Option<&Object>) -> bool {
+pub fn narrows(state: &State, key: &Key, new: Option<&Object>) -> bool {
     let old = state
         .objects
         .get(key)
         .map(|record| Arc::clone(&record.object));
     match (old.as_deref(), new) {
-        (Some(Object::Client(old)), new) => client(old, as_client(new)),
+        (Some(Object::Client(old)), new) => client_narrows(old, as_client(new)),
         (Some(Object::Route(old)), new) => {
-            as_route(new).is_none_or(|new| route(old, new) || shadows(state, new))
+            as_route(new).is_none_or(|new| route_narrows(old, new) || shadows(state, new))
         }
         (None, Some(Object::Route(new))) => shadows(state, new),
-        (Some(Object::Residency(old)), new) => residency(state, Some(old), as_residency(new)),
-        (None, Some(Object::Residency(new))) => residency(state, None, Some(new)),
+        (Some(Object::Residency(old)), new) => rule_narrows(state, Some(old), as_residency(new)),
+        (None, Some(Object::Residency(new))) => rule_narrows(state, None, Some(new)),
         _ => false,
     }
 }
 
 /// A client loses something when a key that was good is not good any more.
-fn client(old: &Client, new: Option<&Client>) -> bool {
+fn client_narrows(old: &Client, new: Option<&Client>) -> bool {
     let Some(new) = new else {
         return !old.withdrawn;
     };
@@ -47,14 +47,14 @@
 
 /// A route loses something when it leads elsewhere, or when its calls may no longer be repeated:
 /// an instance that has not heard would run them twice.
-fn route(old: &Route, new: &Route) -> bool {
+fn route_narrows(old: &Route, new: &Route) -> bool {
     let moved = old.prefix != new.prefix || old.subject != new.subject;
     moved || (old.idempotent && !new.idempotent)
 }
 
 /// A route whose calls may not be repeated takes calls from a shorter one whose calls may.
 fn shadows(state: &State, new: &Route) -> bool {
-    let wider = |object: &Object| match object {
+    let is_shadowed = |object: &Object| match object {
         Object::Route(other) => {
             let covers = other.id != new.id && new.prefix.starts_with(&other.prefix);
             covers && other.idempotent
@@ -62,10 +62,10 @@
         _ => false,
     };
     let mut objects = state.objects.values();
-    !new.idempotent && objects.any(|record| wider(&record.object))
+    !new.idempotent && objects.any(|record| is_shadowed(&record.object))
 }
 
-fn residency(state: &State, old: Option<&Residency>, new: Option<&Residency>) -> bool {
+fn rule_narrows(state: &State, old: Option<&Residency>, new: Option<&Residency>) -> bool {
     let mut clients: IndexSet<&str> = IndexSet::new();
     clients.extend(
         [old, new]
@@ -74,17 +74,17 @@
             .map(|rule| rule.client.as_str()),
     );
     clients.into_iter().any(|client| {
-        let others = others_of(state, client, old.or(new));
+        let others = other_rules(state, client, old.or(new));
         let covers = |rule: &&Residency| rule.client == client;
         let mut before = others.clone();
         before.extend(old.filter(covers));
         let mut after = others;
         after.extend(new.filter(covers));
-        takes_away(state, &before, &after)
+        revokes_permission(state, &before, &after)
     })
 }
 
-fn others_of<'a>(
+fn other_rules<'a>(
     state: &'a State,
     client: &str,
     changed: Option<&Residency>,
@@ -92,10 +92,10 @@
     let is_other = |rule: &&Residency| {
         rule.client == client && changed.is_none_or(|changed| changed.id != rule.id)
     };
-    state.rules().filter(is_other).collect()
+    state.residency_rules().filter(is_other).collect()
 }
 
-fn takes_away(state: &State, before: &[&Residency], after: &[&Residency]) -> bool {
+fn revokes_permission(state: &State, before: &[&Residency], after: &[&Residency]) -> bool {
     // A subject that no rule names stands for all such subjects.
     let mut subjects = IndexSet::from([""]);
     let named = before.iter().chain(after);
@@ -148,7 +148,7 @@
 }
 
 impl State {
-    fn rules(&self) -> impl Iterator<Item = &Residency> {
+    fn residency_rules(&self) -> impl Iterator<Item = &Residency> {
         self.objects
             .values()
             .filter_map(|record| as_residency(Some(&record.object)))
--- a/crates/zinniastall-model/src/order.rs
+++ b/crates/zinniastall-model/src/order.rs
@@ -42,16 +42,16 @@
 
 impl Order {
     /// Finds the order for a target, from the role object that names it most closely.
-    pub fn of(state: &State, place: &Place, target: &str) -> Option<Self> {
+    pub fn for_target(state: &State, place: &Place, target: &str) -> Option<Self> {
         let roles = state.objects.iter().filter_map(|(key, record)| {
             let Object::Role(role) = &*record.object else {
                 return None;
             };
-            Some((closeness(role, place, target)?, key.name.as_str(), role))
+            Some((specificity(role, place, target)?, key.name.as_str(), role))
         });
         // Between equally close ones the name decides, so that every leader decides alike.
-        let closest = roles.max_by_key(|(closeness, name, _)| (*closeness, *name));
-        let (_, _, role) = closest?;
+        let most_specific = roles.max_by_key(|(specificity, name, _)| (*specificity, *name));
+        let (_, _, role) = most_specific?;
         let version = |name: &id::Model| {
             let key = Key {
                 kind: Kind::Model,
@@ -73,19 +73,20 @@
     }
 
     /// Tells whether a target holds exactly this; an order without a role leaves the role open.
-    pub fn agrees(&self, holding: &Holding) -> bool {
+    pub fn matches(&self, holding: &Holding) -> bool {
         let role = self.role.is_empty() || self.role == holding.role;
-        role && same(&self.models, &holding.models) && same(&self.adapters, &holding.adapters)
+        role && same_elements(&self.models, &holding.models)
+            && same_elements(&self.adapters, &holding.adapters)
     }
 
     /// Returns the models that a target has yet to load.
     pub fn missing<'a>(&'a self, holding: &'a Holding) -> impl Iterator<Item = &'a Version> {
-        let lacks = |model: &&Version| !holding.models.contains(model);
-        self.models.iter().filter(lacks)
+        let is_missing = |model: &&Version| !holding.models.contains(model);
+        self.models.iter().filter(is_missing)
     }
 
     /// Tells whether requests may be waiting for a model, as some route leads to it.
-    pub fn is_awaited(state: &State, model: &str) -> bool {
+    pub fn is_routed(state: &State, model: &str) -> bool {
         let mut objects = state.objects.values();
         objects.any(|record| match &*record.object {
             Object::Route(route) => route.subject == Subject::Model(model.to_owned()),
@@ -95,15 +96,15 @@
 }
 
 /// How closely a role object names a target; `None` when it does not mean it.
-fn closeness(role: &Role, place: &Place, target: &str) -> Option<u8> {
+fn specificity(role: &Role, place: &Place, target: &str) -> Option<u8> {
     let region = role.region == place.region;
     let zone = role.zone.as_ref().is_none_or(|zone| *zone == place.zone);
-    let own = role.target.as_ref().is_none_or(|named| named == target);
-    let closeness = u8::from(role.zone.is_some()) + 2 * u8::from(role.target.is_some());
-    (region && zone && own).then_some(closeness)
+    let target_matches = role.target.as_ref().is_none_or(|named| named == target);
+    let specificity = u8::from(role.zone.is_some()) + 2 * u8::from(role.target.is_some());
+    (region && zone && target_matches).then_some(specificity)
 }
 
-fn same<T: PartialEq>(wanted: &[T], held: &[T]) -> bool {
+fn same_elements<T: PartialEq>(wanted: &[T], held: &[T]) -> bool {
     let all = |some: &[T], others: &[T]| some.iter().all(|one| others.contains(one));
     all(wanted, held) && all(held, wanted)
 }
--- a/crates/zinniastall-model/src/presence.rs
+++ b/crates/zinniastall-model/src/presence.rs
@@ -49,7 +49,8 @@
     /// Service.
     pub service: id::Service,
     /// Requests at targets.
-    pub flights: u32,
+    #[serde(rename = "flights")]
+    pub in_flight: u32,
     /// Expected time to read the prompts of those whose answers have not begun, in microseconds.
     pub reading_us: u64,
 }
--- a/crates/zinniastall-model/src/reference.rs
+++ b/crates/zinniastall-model/src/reference.rs
@@ -11,8 +11,8 @@
 /// # Errors
 ///
 /// [`Invalid::Missing`] names the first that does not.
-pub fn all_exist(state: &State, object: &Object) -> Result<(), Invalid> {
-    for key in of(object) {
+pub fn check_all_exist(state: &State, object: &Object) -> Result<(), Invalid> {
+    for key in references_of(object) {
         if !state.objects.contains_key(&key) {
             return Err(Invalid::Missing(describe(&key)));
         }
@@ -25,16 +25,16 @@
 /// # Errors
 ///
 /// [`Invalid::Used`] names the first that does.
-pub fn none_to(state: &State, key: &Key) -> Result<(), Invalid> {
-    let refers = |object: &Object| of(object).contains(key);
+pub fn check_unused(state: &State, key: &Key) -> Result<(), Invalid> {
+    let is_referring = |object: &Object| references_of(object).contains(key);
     let mut objects = state.objects.iter();
-    match objects.find(|(_, record)| refers(&record.object)) {
+    match objects.find(|(_, record)| is_referring(&record.object)) {
         Some((user, _)) => Err(Invalid::Used(describe(user))),
         None => Ok(()),
     }
 }
 
-fn of(object: &Object) -> Vec<Key> {
+fn references_of(object: &Object) -> Vec<Key> {
     let models = |names: &[String]| names.iter().map(|name| key(Kind::Model, name)).collect();
     match object {
         Object::Client(_) | Object::Model(_) => Vec::new(),
--- a/crates/zinniastall-model/src/routing.rs
+++ b/crates/zinniastall-model/src/routing.rs
@@ -14,7 +14,7 @@
 //! let table = Table::new(7, vec![route], vec![Service::new("api")]);
 //! table.check()?;
 //! assert_eq!(table.find("maps.example", "/plans/9").map(|route| &*route.name), Some("plans"));
-//! # Ok::<(), zinniastall_model::routing::Fault>(())
+//! # Ok::<(), zinniastall_model::routing::Error>(())
 //! ```
 
 mod account;
@@ -173,7 +173,7 @@
 /// Why a table is not valid.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize, thiserror::Error)]
 #[serde(rename_all = "kebab-case")]
-pub enum Fault {
+pub enum Error {
     /// A route names a service that the table lacks.
     #[error("route {route} names the unknown service {service}")]
     Service {
@@ -247,35 +247,35 @@
     ///
     /// # Errors
     ///
-    /// The first [`Fault`].
-    pub fn check(&self) -> Result<(), Fault> {
+    /// The first [`Error`].
+    pub fn check(&self) -> Result<(), Error> {
         let services = self.unique_services()?;
-        let mut places = IndexMap::new();
+        let mut routes_by_place = IndexMap::new();
         for route in &self.routes {
             route.check(&services)?;
             let place = (route.host.as_str(), route.prefix.as_str());
-            if let Some(other) = places.insert(place, &route.name) {
-                return Err(Fault::Place(other.clone(), route.name.clone()));
+            if let Some(other) = routes_by_place.insert(place, &route.name) {
+                return Err(Error::Place(other.clone(), route.name.clone()));
             }
         }
         self.check_accounts()
     }
 
-    fn check_accounts(&self) -> Result<(), Fault> {
+    fn check_accounts(&self) -> Result<(), Error> {
         let mut names = IndexSet::new();
         let mut holders = IndexMap::new();
         for account in self.accounts.iter().flatten() {
             let name = &account.name;
             if name.trim().is_empty() || name.contains(char::is_control) {
-                return Err(Fault::Name(name.clone()));
+                return Err(Error::Name(name.clone()));
             }
             if !names.insert(name) {
-                return Err(Fault::Account(name.clone()));
+                return Err(Error::Account(name.clone()));
             }
             for key in &account.keys {
                 let other = holders.insert(key, name).filter(|other| *other != name);
                 if let Some(other) = other {
-                    return Err(Fault::Key(other.clone(), name.clone()));
+                    return Err(Error::Key(other.clone(), name.clone()));
                 }
             }
         }
@@ -284,26 +284,27 @@
 
     /// Returns the route of a host whose prefix is the longest that begins the path.
     pub fn find(&self, host: &str, path: &str) -> Option<&Route> {
-        self.position(host, path).map(|at| &self.routes[at])
+        self.route_index(host, path)
+            .map(|index| &self.routes[index])
     }
 
     /// Returns the place of that route in [`Table::routes`].
-    pub fn position(&self, host: &str, path: &str) -> Option<usize> {
+    pub fn route_index(&self, host: &str, path: &str) -> Option<usize> {
         self.index.route(self, host, path)
     }
 
     /// Returns the place of the account that holds a key.
-    pub fn holder(&self, key: &[u8]) -> Option<usize> {
+    pub fn account_index_by_key(&self, key: &[u8]) -> Option<usize> {
         self.index.account(self, &Digest::of(key))
     }
 
     /// Returns an account by its place.
-    pub fn account(&self, at: usize) -> Option<&Account> {
-        self.accounts.as_ref()?.get(at)
+    pub fn account(&self, index: usize) -> Option<&Account> {
+        self.accounts.as_ref()?.get(index)
     }
 
     /// Returns the place of an account by its name.
-    pub fn account_named(&self, name: &str) -> Option<usize> {
+    pub fn account_index_by_name(&self, name: &str) -> Option<usize> {
         let mut accounts = self.accounts.iter().flatten();
         accounts.position(|account| account.name == name)
     }
@@ -313,11 +314,11 @@
         self.services.iter().find(|service| service.name == name)
     }
 
-    fn unique_services(&self) -> Result<IndexSet<&str>, Fault> {
+    fn unique_services(&self) -> Result<IndexSet<&str>, Error> {
         let mut names = IndexSet::new();
         for service in &self.services {
             if !names.insert(service.name.as_str()) {
-                return Err(Fault::Twice(service.name.clone()));
+                return Err(Error::Twice(service.name.clone()));
             }
         }
         Ok(names)
@@ -347,7 +348,7 @@
     }
 
     /// Tells whether a request may be sent again after an outcome that is not known.
-    pub const fn repeats(&self) -> bool {
+    pub const fn is_retryable(&self) -> bool {
         match self.kind {
             Kind::Idempotent => true,
             Kind::Once => false,
@@ -368,21 +369,21 @@
     /// Returns the service at a point of the split; `point` is taken modulo the sum of weights.
     pub fn service_at(&self, point: u64) -> Option<&id::Service> {
         let total: u64 = self.split.iter().map(|share| share.weight).sum();
-        let mut left = point.checked_rem(total)?;
+        let mut remainder = point.checked_rem(total)?;
         for share in &self.split {
-            if left < share.weight {
+            if remainder < share.weight {
                 return Some(&share.service);
             }
-            left -= share.weight;
+            remainder -= share.weight;
         }
         None
     }
 
-    fn check(&self, services: &IndexSet<&str>) -> Result<(), Fault> {
+    fn check(&self, services: &IndexSet<&str>) -> Result<(), Error> {
         let name = || self.name.clone();
         let unknown = |share: &&Share| !services.contains(share.service.as_str());
         if let Some(share) = self.split.iter().find(unknown) {
-            return Err(Fault::Service {
+            return Err(Error::Service {
                 route: name(),
                 service: share.service.clone(),
             });
@@ -390,14 +391,14 @@
         // A sum beyond 64 bits would wrap to a small number and pass as one.
         let add = |sum: u64, share: &Share| sum.checked_add(share.weight);
         match self.split.iter().try_fold(0, add) {
-            None | Some(0) => return Err(Fault::Weight(name())),
+            None | Some(0) => return Err(Error::Weight(name())),
             Some(_) => {}
         }
         if self.timeout_ms == 0 {
-            return Err(Fault::Timeout(name()));
+            return Err(Error::Timeout(name()));
         }
         if !self.prefix.starts_with('/') || !self.prefix.ends_with('/') {
-            return Err(Fault::Prefix(name()));
+            return Err(Error::Prefix(name()));
         }
         Ok(())
     }
@@ -435,13 +436,13 @@
     /// Returns roughly how many bytes the publication takes in a state.
     pub fn size(&self) -> usize {
         /// Bytes counted for a route beside its document.
-        const ROUTE: usize = 256;
+        const ROUTE_BYTES: usize = 256;
         /// Bytes counted for an account and for each of its keys.
-        const ACCOUNT: usize = 64;
-        let routes = self.table.routes.len() * ROUTE;
+        const ACCOUNT_BYTES: usize = 64;
+        let routes = self.table.routes.len() * ROUTE_BYTES;
         let accounts = self.table.accounts.iter().flatten();
         let accounts: usize = accounts
-            .map(|account| ACCOUNT * (1 + account.keys.len()))
+            .map(|account| ACCOUNT_BYTES * (1 + account.keys.len()))
             .sum();
         self.document.as_ref().map_or(0, |text| text.len()) + routes + accounts
     }
--- a/crates/zinniastall-model/src/routing/changes.rs
+++ b/crates/zinniastall-model/src/routing/changes.rs
@@ -11,13 +11,13 @@
 use crate::id;
 
 /// Host and prefix of a route, of which a table has one at most.
-type Place = (String, String);
+type RouteKey = (String, String);
 
 /// Differences between two tables.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Changes {
     number: Number,
-    routes: List<Place, Route>,
+    routes: List<RouteKey, Route>,
     services: List<id::Service, Service>,
     limits: Limits,
     /// `None` where requests need no key from then on.
@@ -40,10 +40,10 @@
         let accounts = after.accounts.as_ref();
         Self {
             number: after.number,
-            routes: List::between(&before.routes, &after.routes, place),
-            services: List::between(&before.services, &after.services, service),
+            routes: List::between(&before.routes, &after.routes, route_key),
+            services: List::between(&before.services, &after.services, service_key),
             limits: after.limits.clone(),
-            accounts: accounts.map(|accounts| List::between(held, accounts, account)),
+            accounts: accounts.map(|accounts| List::between(held, accounts, account_key)),
         }
     }
 
@@ -54,13 +54,13 @@
         let held = before.accounts.as_deref().unwrap_or_default();
         let accounts = self.accounts.as_ref();
         let table = Table {
-            accounts: accounts.map(|accounts| accounts.apply(held, account)),
+            accounts: accounts.map(|accounts| accounts.apply(held, account_key)),
             ..Table::default()
         };
         Table {
             number: self.number,
-            routes: self.routes.apply(&before.routes, place),
-            services: self.services.apply(&before.services, service),
+            routes: self.routes.apply(&before.routes, route_key),
+            services: self.services.apply(&before.services, service_key),
             ..table.limits(self.limits.clone())
         }
     }
@@ -68,16 +68,17 @@
 
 impl<K: Hash + Eq, T: Clone + PartialEq> List<K, T> {
     fn between(before: &[T], after: &[T], key: impl Fn(&T) -> K) -> Self {
-        let mut left: IndexMap<K, &T> = before.iter().map(|entry| (key(entry), entry)).collect();
+        let mut unmatched: IndexMap<K, &T> =
+            before.iter().map(|entry| (key(entry), entry)).collect();
         let mut set = Vec::new();
         for entry in after {
-            if left.swap_remove(&key(entry)) != Some(entry) {
+            if unmatched.swap_remove(&key(entry)) != Some(entry) {
                 set.push(entry.clone());
             }
         }
         Self {
             set,
-            gone: left.into_keys().collect(),
+            gone: unmatched.into_keys().collect(),
         }
     }
 
@@ -91,14 +92,14 @@
     }
 }
 
-fn place(route: &Route) -> Place {
+fn route_key(route: &Route) -> RouteKey {
     (route.host.clone(), route.prefix.clone())
 }
 
-fn service(service: &Service) -> id::Service {
+fn service_key(service: &Service) -> id::Service {
     service.name.clone()
 }
 
-fn account(account: &Account) -> id::Client {
+fn account_key(account: &Account) -> id::Client {
     account.name.clone()
 }
--- a/crates/zinniastall-model/src/routing/index.rs
+++ b/crates/zinniastall-model/src/routing/index.rs
@@ -8,10 +8,10 @@
 
 /// Places in a table's lists, found by what a request carries; made when the first request asks.
 #[derive(Debug, Clone, Default)]
-pub(super) struct Index(OnceLock<Places>);
+pub(super) struct Index(OnceLock<Maps>);
 
 #[derive(Debug, Clone, Default)]
-struct Places {
+struct Maps {
     /// Routes by host in lower case, then by prefix.
     routes: IndexMap<String, IndexMap<String, usize>>,
     accounts: IndexMap<Digest, usize>,
@@ -29,40 +29,40 @@
 impl Index {
     /// Returns the place of the route of a host whose prefix is the longest that begins the path.
     pub(super) fn route(&self, table: &Table, host: &str, path: &str) -> Option<usize> {
-        let places = self.places(table);
+        let maps = self.maps(table);
         let host = host.to_ascii_lowercase();
-        let prefixes = places.routes.get(&host)?;
-        let ends = path.rmatch_indices('/').map(|(at, _)| at + 1);
+        let prefixes = maps.routes.get(&host)?;
+        let ends = path.rmatch_indices('/').map(|(index, _)| index + 1);
         let mut found = ends.filter_map(|end| prefixes.get(&path[..end]));
         found.next().copied()
     }
 
     /// Returns the place of the account that holds a key.
     pub(super) fn account(&self, table: &Table, key: &Digest) -> Option<usize> {
-        self.places(table).accounts.get(key).copied()
+        self.maps(table).accounts.get(key).copied()
     }
 
-    fn places(&self, table: &Table) -> &Places {
-        self.0.get_or_init(|| Places::new(table))
+    fn maps(&self, table: &Table) -> &Maps {
+        self.0.get_or_init(|| Maps::new(table))
     }
 }
 
-impl Places {
+impl Maps {
     fn new(table: &Table) -> Self {
-        let mut places = Self::default();
-        for (at, route) in table.routes.iter().enumerate() {
-            places.add(at, route);
+        let mut maps = Self::default();
+        for (index, route) in table.routes.iter().enumerate() {
+            maps.add(index, route);
         }
-        for (at, account) in table.accounts.iter().flatten().enumerate() {
-            let keys = account.keys.iter().map(|key| (*key, at));
-            places.accounts.extend(keys);
+        for (index, account) in table.accounts.iter().flatten().enumerate() {
+            let keys = account.keys.iter().map(|key| (*key, index));
+            maps.accounts.extend(keys);
         }
-        places
+        maps
     }
 
-    fn add(&mut self, at: usize, route: &Route) {
+    fn add(&mut self, index: usize, route: &Route) {
         let host = route.host.to_ascii_lowercase();
         let prefixes = self.routes.entry(host).or_default();
-        prefixes.insert(route.prefix.clone(), at);
+        prefixes.insert(route.prefix.clone(), index);
     }
 }
--- a/crates/zinniastall-model/src/state.rs
+++ b/crates/zinniastall-model/src/state.rs
@@ -15,22 +15,22 @@
     object::{Key, Object},
     reference,
     routing::{Number, Publication},
-    valid,
+    validate,
 };
 
 /// Deleted objects whose last revision is remembered; see [`State::floor`].
-const DELETED: usize = 4096;
+const MAX_TOMBSTONES: usize = 4096;
 /// Most entry instances.
-const MEMBERS: usize = 4096;
+const MAX_MEMBERS: usize = 4096;
 /// Bytes that all objects may take, so that a whole state always fits into one frame.
-const BYTES: usize = 2 << 20;
+const MAX_OBJECTS_BYTES: usize = 2 << 20;
 /// Bytes that a published routing table may take, so that with all objects it fits into one frame.
-const PUBLICATION: usize = 1 << 20;
+const MAX_PUBLICATION_BYTES: usize = 1 << 20;
 /// Most zones that may be evacuated.
-const EVACUATED: usize = 1024;
+const MAX_EVACUATED_ZONES: usize = 1024;
 
 /// Most requests that are kept as not run any more, or released. Each took three targets down.
-const SUSPECTS: usize = 1024;
+const MAX_SUSPECTS: usize = 1024;
 
 /// An object and the revision of its last change.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -95,7 +95,7 @@
     /// Only [`Answer::Done`] moves the revision, and not even that when an instance joins that is
     /// listed already with the same addresses; every other answer leaves the state as it was.
     pub fn apply(&mut self, change: &Change) -> Answer {
-        let done = match &change.body {
+        let result = match &change.body {
             Body::Apply(object) => self.put(object, change.expected),
             Body::Delete(key) => self.remove(key, change.expected),
             Body::Join(member) => self.join(member),
@@ -106,14 +106,14 @@
             Body::Suspect(suspects) => Ok(self.suspect(suspects)),
             Body::Release(request) => Ok(self.release(*request)),
         };
-        done.unwrap_or_else(|refused| refused)
+        result.unwrap_or_else(|rejected| rejected)
     }
 
     /// Returns the revision against which a change of this object is checked.
     ///
     /// It is that of the last change, also when that was a deletion, and 0 for an object that was
     /// never there.
-    pub fn current(&self, key: &Key) -> id::Revision {
+    pub fn current_revision(&self, key: &Key) -> id::Revision {
         if let Some(record) = self.objects.get(key) {
             return record.revision;
         }
@@ -128,15 +128,15 @@
     }
 
     /// Tells whether a routing table is in force that a later one of this number would not replace.
-    pub fn has_routing(&self, number: Number) -> bool {
+    pub fn has_routing_at_least(&self, number: Number) -> bool {
         self.routing.is_some() && self.routing_number() >= number
     }
 
     /// Returns the state as entry instances need it: without the operators' text of the routing table.
     #[must_use]
     pub fn stripped(mut self: Arc<Self>) -> Arc<Self> {
-        let has_text = |publication: &Arc<Publication>| publication.document.is_some();
-        if self.routing.as_ref().is_some_and(has_text) {
+        let has_document = |publication: &Arc<Publication>| publication.document.is_some();
+        if self.routing.as_ref().is_some_and(has_document) {
             let state = Arc::make_mut(&mut self);
             state.routing = state
                 .routing
@@ -147,12 +147,12 @@
     }
 
     fn publish(&mut self, publication: &Publication) -> Result<Answer, Answer> {
-        let invalid = |fault| Answer::Invalid(Invalid::Routing(fault));
+        let invalid = |error| Answer::Invalid(Invalid::Routing(error));
         publication.table.check().map_err(invalid)?;
-        if publication.size() > PUBLICATION {
+        if publication.size() > MAX_PUBLICATION_BYTES {
             return Err(Answer::Invalid(Invalid::Full));
         }
-        if self.has_routing(publication.table.number) {
+        if self.has_routing_at_least(publication.table.number) {
             return Ok(self.done(false));
         }
         self.routing = Some(Arc::new(publication.clone()));
@@ -161,7 +161,7 @@
     }
 
     fn evacuate(&mut self, zone: &id::Zone) -> Result<Answer, Answer> {
-        if self.evacuated.len() >= EVACUATED {
+        if self.evacuated.len() >= MAX_EVACUATED_ZONES {
             return Err(Answer::Invalid(Invalid::Full));
         }
         if self.evacuated.insert(zone.clone()) {
@@ -200,7 +200,7 @@
             if self.lacks(&(*request, suspicion.clone())) {
                 let mut merged = self.suspects.shift_remove(request).unwrap_or_default();
                 merged.merge(suspicion);
-                self.keep(*request, merged);
+                self.insert_suspect(*request, merged);
             }
         }
         self.done(false)
@@ -211,14 +211,14 @@
         if let Some(mut released) = held.filter(|held| held.crashes() > 0) {
             released.clear();
             self.suspects.shift_remove(&request);
-            self.keep(request, released);
+            self.insert_suspect(request, released);
         }
         self.done(false)
     }
 
-    fn keep(&mut self, request: Fingerprint, suspicion: Suspicion) {
+    fn insert_suspect(&mut self, request: Fingerprint, suspicion: Suspicion) {
         self.suspects.insert(request, suspicion);
-        let surplus = self.suspects.len().saturating_sub(SUSPECTS);
+        let surplus = self.suspects.len().saturating_sub(MAX_SUSPECTS);
         self.suspects.drain(..surplus);
         self.revision += 1;
         self.suspected = self.revision;
@@ -227,18 +227,18 @@
     fn put(&mut self, object: &Object, expected: Option<id::Revision>) -> Result<Answer, Answer> {
         let key = object.key();
         self.check_revision(&key, expected)?;
-        valid::object(object).map_err(Answer::Invalid)?;
-        reference::all_exist(self, object).map_err(Answer::Invalid)?;
+        validate::object(object).map_err(Answer::Invalid)?;
+        reference::check_all_exist(self, object).map_err(Answer::Invalid)?;
         let old = self
             .objects
             .get(&key)
             .map(|record| Arc::clone(&record.object));
-        let freed = old.as_ref().map_or(0, |old| valid::size(old));
-        let bytes = self.bytes - freed + valid::size(object);
-        if bytes > BYTES {
+        let freed = old.as_ref().map_or(0, |old| validate::size(old));
+        let bytes = self.bytes - freed + validate::size(object);
+        if bytes > MAX_OBJECTS_BYTES {
             return Err(Answer::Invalid(Invalid::Full));
         }
-        let narrows = narrow::by_object(self, &key, Some(object));
+        let narrows = narrow::narrows(self, &key, Some(object));
         self.bytes = bytes;
         self.revision += 1;
         self.deleted.shift_remove(&key);
@@ -256,19 +256,19 @@
             let name = format!("{:?} {}", key.kind, key.name);
             return Err(Answer::Invalid(Invalid::Missing(name)));
         };
-        reference::none_to(self, key).map_err(Answer::Invalid)?;
-        let freed = valid::size(&record.object);
-        let narrows = narrow::by_object(self, key, None);
+        reference::check_unused(self, key).map_err(Answer::Invalid)?;
+        let freed = validate::size(&record.object);
+        let narrows = narrow::narrows(self, key, None);
         self.bytes -= freed;
         self.revision += 1;
         self.objects.shift_remove(key);
-        self.bury(key.clone());
+        self.add_tombstone(key.clone());
         Ok(self.done(narrows))
     }
 
-    fn bury(&mut self, key: Key) {
+    fn add_tombstone(&mut self, key: Key) {
         self.deleted.insert(key, self.revision);
-        if self.deleted.len() <= DELETED {
+        if self.deleted.len() <= MAX_TOMBSTONES {
             return;
         }
         if let Some((_, revision)) = self.deleted.shift_remove_index(0) {
@@ -277,11 +277,11 @@
     }
 
     fn join(&mut self, member: &Member) -> Result<Answer, Answer> {
-        valid::member(member).map_err(Answer::Invalid)?;
+        validate::member(member).map_err(Answer::Invalid)?;
         if self.members.get(&member.instance) == Some(member) {
             return Ok(self.done(false));
         }
-        if self.members.len() >= MEMBERS && !self.members.contains_key(&member.instance) {
+        if self.members.len() >= MAX_MEMBERS && !self.members.contains_key(&member.instance) {
             return Err(Answer::Invalid(Invalid::Full));
         }
         self.members.insert(member.instance.clone(), member.clone());
@@ -300,7 +300,7 @@
     }
 
     fn check_revision(&self, key: &Key, expected: Option<id::Revision>) -> Result<(), Answer> {
-        let current = self.current(key);
+        let current = self.current_revision(key);
         if expected.is_some_and(|expected| expected != current) {
             return Err(Answer::Conflict { current });
         }
--- a/crates/zinniastall-model/src/valid.rs
+++ b/crates/zinniastall-model/src/validate.rs
@@ -9,26 +9,26 @@
 };
 
 /// Longest name, in bytes.
-const NAME: usize = 64;
+const MAX_NAME_BYTES: usize = 64;
 /// Longest command id, version, address or name of weights, in bytes.
-const TEXT: usize = 256;
+const MAX_TEXT_BYTES: usize = 256;
 /// Most items of a list.
-const ITEMS: usize = 64;
+const MAX_LIST_ITEMS: usize = 64;
 /// Length of a hex BLAKE3 digest.
-const DIGEST: usize = 64;
+const DIGEST_HEX_DIGITS: usize = 64;
 /// Bytes counted for an object beside its text.
-const OVERHEAD: usize = 128;
+const OBJECT_OVERHEAD_BYTES: usize = 128;
 /// Greatest weight of a client.
-const WEIGHT: u32 = 1_000_000;
+const MAX_CLIENT_WEIGHT: u32 = 1_000_000;
 
-type Verdict = Result<(), Invalid>;
+type Validation = Result<(), Invalid>;
 
 /// Checks an object.
 ///
 /// # Errors
 ///
 /// The first fault, with the name of the field.
-pub fn object(object: &Object) -> Verdict {
+pub fn object(object: &Object) -> Validation {
     match object {
         Object::Client(object) => client(object),
         Object::Route(object) => route(object),
@@ -44,7 +44,7 @@
 /// # Errors
 ///
 /// The first fault, with the name of the field.
-pub fn member(member: &Member) -> Verdict {
+pub fn member(member: &Member) -> Validation {
     name("instance", &member.instance)?;
     name("region", &member.place.region)?;
     name("zone", &member.place.zone)?;
@@ -57,53 +57,53 @@
 /// # Errors
 ///
 /// The first fault, with the name of the field.
-pub fn origin(origin: &Origin) -> Verdict {
+pub fn origin(origin: &Origin) -> Validation {
     name("command.operator", &origin.operator)?;
-    filled("command.id", &origin.command)?;
+    non_empty("command.id", &origin.command)?;
     text("command.id", &origin.command)
 }
 
 /// Returns roughly how many bytes an object takes in a state.
 pub fn size(object: &Object) -> usize {
     let text: usize = match object {
-        Object::Client(client) => client.id.len() + client.keys.len() * DIGEST,
+        Object::Client(client) => client.id.len() + client.keys.len() * DIGEST_HEX_DIGITS,
         Object::Route(route) => route.id.len() + route.prefix.len() + route.subject.name().len(),
         Object::Model(model) => model.id.len() + model.version.len() + model.weights.len(),
         Object::Adapter(adapter) => {
-            let of_adapter = adapter.id.len() + adapter.model.len();
-            of_adapter + adapter.version.len() + adapter.weights.len()
+            let names = adapter.id.len() + adapter.model.len();
+            names + adapter.version.len() + adapter.weights.len()
         }
-        Object::Residency(rule) => rule.id.len() + rule.client.len() + total(&rule.regions),
+        Object::Residency(rule) => rule.id.len() + rule.client.len() + texts_size(&rule.regions),
         Object::Role(role) => {
-            role.id.len() + role.role.len() + total(&role.models) + total(&role.adapters)
+            role.id.len() + role.role.len() + texts_size(&role.models) + texts_size(&role.adapters)
         }
     };
     // The key repeats the name.
-    OVERHEAD + object.name().len() + text
+    OBJECT_OVERHEAD_BYTES + object.name().len() + text
 }
 
-fn total(texts: &[String]) -> usize {
+fn texts_size(texts: &[String]) -> usize {
     texts.iter().map(|text| text.len() + size_of::<u64>()).sum()
 }
 
-fn client(client: &Client) -> Verdict {
+fn client(client: &Client) -> Validation {
     name("client.id", &client.id)?;
     list("client.keys", &client.keys)?;
     for key in &client.keys {
         let is_hex = |byte: u8| byte.is_ascii_digit() || (b'a'..=b'f').contains(&byte);
-        if key.len() != DIGEST || !key.bytes().all(is_hex) {
+        if key.len() != DIGEST_HEX_DIGITS || !key.bytes().all(is_hex) {
             return Err(Invalid::Malformed("client.keys".to_owned()));
         }
     }
-    if !(1..=WEIGHT).contains(&client.weight) {
+    if !(1..=MAX_CLIENT_WEIGHT).contains(&client.weight) {
         return Err(Invalid::Malformed("client.weight".to_owned()));
     }
     Ok(())
 }
 
-fn route(route: &Route) -> Verdict {
+fn route(route: &Route) -> Validation {
     name("route.id", &route.id)?;
-    filled("route.prefix", &route.prefix)?;
+    non_empty("route.prefix", &route.prefix)?;
     text("route.prefix", &route.prefix)?;
     if !route.prefix.starts_with('/') {
         return Err(Invalid::Malformed("route.prefix".to_owned()));
@@ -111,20 +111,20 @@
     name("route.serves", route.subject.name())
 }
 
-fn model(model: &Model) -> Verdict {
+fn model(model: &Model) -> Validation {
     name("model.id", &model.id)?;
     text("model.version", &model.version)?;
     text("model.weights", &model.weights)
 }
 
-fn adapter(adapter: &Adapter) -> Verdict {
+fn adapter(adapter: &Adapter) -> Validation {
     name("adapter.id", &adapter.id)?;
     name("adapter.model", &adapter.model)?;
     text("adapter.version", &adapter.version)?;
     text("adapter.weights", &adapter.weights)
 }
 
-fn residency(rule: &Residency) -> Verdict {
+fn residency(rule: &Residency) -> Validation {
     name("residency.id", &rule.id)?;
     name("residency.client", &rule.client)?;
     if let Some(subject) = &rule.subject {
@@ -136,7 +136,7 @@
     names("residency.regions", &rule.regions)
 }
 
-fn role(role: &Role) -> Verdict {
+fn role(role: &Role) -> Validation {
     name("role.id", &role.id)?;
     name("role.region", &role.region)?;
     if let Some(zone) = &role.zone {
@@ -152,21 +152,21 @@
     names("role.adapters", &role.adapters)
 }
 
-fn names(field: &str, values: &[String]) -> Verdict {
+fn names(field: &str, values: &[String]) -> Validation {
     list(field, values)?;
     values.iter().try_for_each(|value| name(field, value))
 }
 
-fn list(field: &str, values: &[String]) -> Verdict {
-    if values.len() > ITEMS {
+fn list(field: &str, values: &[String]) -> Validation {
+    if values.len() > MAX_LIST_ITEMS {
         return Err(Invalid::Long(field.to_owned()));
     }
     Ok(())
 }
 
-fn name(field: &str, value: &str) -> Verdict {
-    filled(field, value)?;
-    if value.len() > NAME {
+fn name(field: &str, value: &str) -> Validation {
+    non_empty(field, value)?;
+    if value.len() > MAX_NAME_BYTES {
         return Err(Invalid::Long(field.to_owned()));
     }
     let permitted = |c: char| c.is_ascii_alphanumeric() || "._-/:@+".contains(c);
@@ -176,15 +176,15 @@
     Ok(())
 }
 
-fn filled(field: &str, value: &str) -> Verdict {
+fn non_empty(field: &str, value: &str) -> Validation {
     if value.is_empty() {
         return Err(Invalid::Empty(field.to_owned()));
     }
     Ok(())
 }
 
-fn text(field: &str, value: &str) -> Verdict {
-    if value.len() > TEXT {
+fn text(field: &str, value: &str) -> Validation {
+    if value.len() > MAX_TEXT_BYTES {
         return Err(Invalid::Long(field.to_owned()));
     }
     if value.chars().any(char::is_control) {
--- a/crates/zinniastall-model/tests/fingerprint.rs
+++ b/crates/zinniastall-model/tests/fingerprint.rs
@@ -16,12 +16,12 @@
 }
 
 differ! {
-    accounts_have_their_own: of(Some("a"), HOST, "/", "x"), of(Some("b"), HOST, "/", "x");
-    no_account_is_not_an_empty_one: of(None, HOST, "/", "x"), of(Some(""), HOST, "/", "x");
-    hosts_have_their_own: of(None, "a.example", "/", "x"), of(None, "b.example", "/", "x");
-    queries_count: of(None, HOST, "/?a=1", "x"), of(None, HOST, "/?a=2", "x");
-    bodies_count: of(None, HOST, "/", "x"), of(None, HOST, "/", "y");
-    fields_don_t_run_into_each_other: of(Some("ab"), "c", "/", ""), of(Some("a"), "bc", "/", "");
+    the_account_is_included: of(Some("a"), HOST, "/", "x"), of(Some("b"), HOST, "/", "x");
+    no_account_differs_from_an_empty_one: of(None, HOST, "/", "x"), of(Some(""), HOST, "/", "x");
+    the_host_is_included: of(None, "a.example", "/", "x"), of(None, "b.example", "/", "x");
+    the_query_is_included: of(None, HOST, "/?a=1", "x"), of(None, HOST, "/?a=2", "x");
+    the_body_is_included: of(None, HOST, "/", "x"), of(None, HOST, "/", "y");
+    fields_are_delimited: of(Some("ab"), "c", "/", ""), of(Some("a"), "bc", "/", "");
 }
 
 #[test]
@@ -37,7 +37,7 @@
     }
 
     #[test]
-    fn other_texts_are_no_fingerprints(text in "[0-9a-g]{0,40}") {
+    fn other_texts_are_rejected(text in "[0-9a-g]{0,40}") {
         let is_one = text.len() == 32 && !text.contains('g');
         prop_assert_eq!(text.parse::<Fingerprint>().is_ok(), is_one);
     }
--- a/crates/zinniastall-model/tests/routing.rs
+++ b/crates/zinniastall-model/tests/routing.rs
@@ -2,7 +2,7 @@
 
 use proptest::prelude::*;
 use zinniastall_model::routing::{
-    Account, Changes, Digest, Fault, Kind, Quota, Route, Service, Share, Table, Unit,
+    Account, Changes, Digest, Error, Kind, Quota, Route, Service, Share, Table, Unit,
 };
 
 fn route(host: &str, prefix: &str) -> Route {
@@ -32,17 +32,17 @@
     /// Guards against a key that opens the requests of two accounts.
     a_key_of_two_accounts_is_refused:
         vec![Account::new("a").key("k").key("l"), Account::new("b").key("m").key("l")]
-        => Err(Fault::Key("a".to_owned(), "b".to_owned()));
+        => Err(Error::Key("a".to_owned(), "b".to_owned()));
     a_key_named_twice_by_one_account_is_valid: vec![Account::new("a").key("k").key("k")] => Ok(());
     an_account_without_keys_is_valid: vec![Account::new("a"), Account::new("b")] => Ok(());
     no_accounts_at_all_are_valid: vec![] => Ok(());
     /// Guards against two accounts that targets can't tell apart.
     two_accounts_of_one_name_are_refused: vec![Account::new("a"), Account::new("a")]
-        => Err(Fault::Account("a".to_owned()));
+        => Err(Error::Account("a".to_owned()));
     /// Guards against a name that can't be told to targets.
-    an_account_without_a_name_is_refused: vec![Account::new(" ")] => Err(Fault::Name(" ".to_owned()));
+    an_account_without_a_name_is_refused: vec![Account::new(" ")] => Err(Error::Name(" ".to_owned()));
     a_name_with_a_line_end_is_refused: vec![Account::new("a\r\nb")]
-        => Err(Fault::Name("a\r\nb".to_owned()));
+        => Err(Error::Name("a\r\nb".to_owned()));
 }
 
 #[test]
@@ -68,7 +68,7 @@
     let accounts = vec![Account::new("a").key("k"), Account::new("b").key("l")];
     let table = table(Vec::new()).accounts(accounts);
     let holder = |key: &str| {
-        let account = table.account(table.holder(key.as_bytes())?)?;
+        let account = table.account(table.account_index_by_key(key.as_bytes())?)?;
         Some(account.name.as_str())
     };
     assert_eq!(
@@ -78,7 +78,7 @@
 }
 
 #[test]
-fn a_digest_survives_its_text() {
+fn a_digest_round_trips_through_hex() {
     let digest = Digest::of(b"k");
     assert_eq!(Digest::from_hex(&digest.to_hex()), Some(digest));
     assert_eq!(Digest::from_hex("k"), None);
--- a/crates/zinniastall-model/tests/state.rs
+++ b/crates/zinniastall-model/tests/state.rs
@@ -47,7 +47,7 @@
     }
 }
 
-fn by(mut change: Change, command: &str) -> Change {
+fn with_origin(mut change: Change, command: &str) -> Change {
     change.origin = Some(Origin {
         operator: "script".into(),
         command: command.into(),
@@ -91,7 +91,7 @@
     }
 }
 
-fn with(objects: impl IntoIterator<Item = Object>) -> State {
+fn state_with(objects: impl IntoIterator<Item = Object>) -> State {
     let mut state = State::default();
     for region in REGIONS {
         let member = Member {
@@ -125,7 +125,7 @@
     ($($name:ident: [$($before:expr),*], $change:expr => $wanted:literal;)*) => {
         $(#[test]
         fn $name() {
-            let mut state = with([$($before),*]);
+            let mut state = state_with([$($before),*]);
             assert_eq!(narrows(&state.apply(&$change)), Some($wanted));
         })*
     };
@@ -141,7 +141,7 @@
     not_repeatable_any_more: [route("/a", true)], apply(route("/a", false), None) => true;
     repeatable: [route("/a", false)], apply(route("/a", true), None) => false;
     shadowing: [route("/a", true)], apply(route("/a/b", false), None) => true;
-    beside: [route("/a", true)], apply(route("/bb", false), None) => false;
+    another_prefix_not_shadowed: [route("/a", true)], apply(route("/bb", false), None) => false;
     route_deleted: [route("/a", true)], delete(Kind::Route, "r2", 4) => true;
     new_version: [model("1")], apply(model("2"), None) => false;
 }
@@ -157,9 +157,10 @@
         let matching: Vec<&Residency> = matching.collect();
         for from in REGIONS {
             for to in REGIONS {
-                let by_rule = |rule: &&Residency| rule.regions.iter().any(|region| region == to);
+                let is_permitted =
+                    |rule: &&Residency| rule.regions.iter().any(|region| region == to);
                 let none = matching.is_empty() && from == to;
-                if none || (!matching.is_empty() && matching.iter().all(by_rule)) {
+                if none || (!matching.is_empty() && matching.iter().all(is_permitted)) {
                     permitted.insert((subject, from, to));
                 }
             }
@@ -182,7 +183,7 @@
     /// A rule change that takes a permission away without being known as narrowing would be
     /// reported as accepted while a region that is cut off goes on under the old rule.
     #[test]
-    fn a_rule_narrows_exactly_when_it_takes_something_away(
+    fn a_rule_narrows_exactly_when_it_revokes_a_permission(
         other in any_rule("other"),
         old in any_rule("changed"),
         new in any_rule("changed"),
@@ -194,7 +195,7 @@
         let before = rules([&other, &old]);
         let after = rules([&other, &new]);
         let objects = before.iter().cloned().map(Object::Residency);
-        let mut state = with(std::iter::once(client(false, &[])).chain(objects));
+        let mut state = state_with(std::iter::once(client(false, &[])).chain(objects));
         let expected = state.revision;
         let change = match new {
             Some(new) => apply(Object::Residency(new), None),
@@ -211,17 +212,17 @@
 #[test]
 fn a_late_resend_does_not_create_again() {
     let mut machine = Machine::default();
-    let create = by(apply(model("1"), Some(0)), "create");
+    let create = with_origin(apply(model("1"), Some(0)), "create");
     let created = machine.apply(&create);
     assert_eq!(machine.apply(&create), created);
-    machine.apply(&by(delete(Kind::Model, "m", 1), "delete"));
+    machine.apply(&with_origin(delete(Kind::Model, "m", 1), "delete"));
     for number in 0..600 {
         let other = apply(client(false, &[]), None);
-        machine.apply(&by(other, &format!("filler-{number}")));
+        machine.apply(&with_origin(other, &format!("filler-{number}")));
     }
     assert_eq!(machine.apply(&create), Answer::Conflict { current: 2 });
     assert_eq!(
-        machine.state().current(&Key {
+        machine.state().current_revision(&Key {
             kind: Kind::Model,
             name: "m".into()
         }),
@@ -232,13 +233,13 @@
 #[test]
 fn a_reused_command_id_is_refused() {
     let mut machine = Machine::default();
-    machine.apply(&by(apply(model("1"), Some(0)), "c"));
-    let reused = machine.apply(&by(apply(model("2"), Some(1)), "c"));
+    machine.apply(&with_origin(apply(model("1"), Some(0)), "c"));
+    let reused = machine.apply(&with_origin(apply(model("2"), Some(1)), "c"));
     assert_eq!(reused, Answer::Reused);
 }
 
 #[test]
-fn references_are_kept() {
+fn references_are_checked() {
     let mut state = State::default();
     let chat = Object::Route(Route {
         id: "chat".into(),
@@ -286,10 +287,10 @@
 }
 
 fn suspect(number: u8, suspicion: Suspicion) -> Change {
-    own(Body::Suspect(vec![(request(number), suspicion)]))
+    system_change(Body::Suspect(vec![(request(number), suspicion)]))
 }
 
-fn own(body: Body) -> Change {
+fn system_change(body: Body) -> Change {
     Change {
         origin: None,
         expected: None,
@@ -318,7 +319,7 @@
     let mut state = State::default();
     state.apply(&suspect(1, suspicion(3)));
     for _ in 0..2 {
-        state.apply(&own(Body::Release(request(1))));
+        state.apply(&system_change(Body::Release(request(1))));
         assert_eq!((quarantined(&state), state.revision), (vec![], 2));
     }
     state.apply(&suspect(1, suspicion(3)));
@@ -340,7 +341,7 @@
     let mut state = State::default();
     for number in 0..2_000_u128 {
         let request = Fingerprint::from(number.to_le_bytes());
-        state.apply(&own(Body::Suspect(vec![(request, suspicion(3))])));
+        state.apply(&system_change(Body::Suspect(vec![(request, suspicion(3))])));
     }
     let kept = quarantined(&state);
     assert_eq!(kept.len(), 1_024);
--- a/crates/zinniastall-wire/src/feed.rs
+++ b/crates/zinniastall-wire/src/feed.rs
@@ -7,26 +7,26 @@
 use zinniastall_model::{change::Change, id, member::Member, state::State};
 
 use crate::{
-    follow::{Astray, Confirmation, Message},
+    follow::{Confirmation, Drift, Message},
     frame::Frame,
     link::{Error, Link, Receiver, Sender, send_within},
 };
 
 /// Changes of one frame; each is bounded by the checks of the model.
-const BATCH: usize = 128;
+const MAX_CHANGES_PER_FRAME: usize = 128;
 /// Time between two signs of life.
-pub const ALIVE: Duration = Duration::from_secs(1);
+pub const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
 /// Most answers that one follower may wait for; it needs one at a time.
-const OWED: usize = 4;
+const MAX_PENDING_ANSWERS: usize = 4;
 /// Time without a frame after which a follow link counts as cut.
-pub const SILENCE: Duration = Duration::from_secs(3);
+pub const IDLE_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// A configuration and how it was reached.
 #[derive(Debug, Clone)]
 pub struct Feed {
     state: Arc<State>,
-    tail: VecDeque<(id::Revision, Arc<Change>)>,
-    keep: usize,
+    recent: VecDeque<(id::Revision, Arc<Change>)>,
+    capacity: usize,
     connected: bool,
 }
 
@@ -38,11 +38,11 @@
     /// Revisions are in force.
     Confirmed(Vec<Confirmation>),
     /// Targets of its zone do not hold what the configuration says.
-    Astray(Vec<Astray>),
-    /// It asks for figures; the answer is [`Message::Figures`].
-    Asked,
-    /// It asks what the group has reached; the answer is [`Message::Vouched`].
-    Vouch(u64),
+    Drifted(Vec<Drift>),
+    /// It asks for figures; the answer is [`Message::Summaries`].
+    SummariesRequested,
+    /// It asks what the group has reached; the answer is [`Message::ReadIndexAnswer`].
+    ReadIndex(u64),
 }
 
 /// An answer to what a follower says, as soon as there is one; `None` leaves it unanswered.
@@ -50,11 +50,11 @@
 
 impl Feed {
     /// Creates a feed that keeps a number of changes for followers that are a little behind.
-    pub fn new(state: Arc<State>, keep: usize) -> Self {
+    pub fn new(state: Arc<State>, capacity: usize) -> Self {
         Self {
             state,
-            tail: VecDeque::new(),
-            keep,
+            recent: VecDeque::new(),
+            capacity,
             connected: false,
         }
     }
@@ -70,59 +70,65 @@
     }
 
     /// Sets whether the control group is reachable from here.
-    pub const fn connect(&mut self, connected: bool) {
+    pub const fn set_connected(&mut self, connected: bool) {
         self.connected = connected;
     }
 
-    /// Notes a change; its configuration is set by [`Feed::reach`].
+    /// Notes a change; its configuration is set by [`Feed::set_state`].
     pub fn push(&mut self, revision: id::Revision, change: Arc<Change>) {
-        self.tail.push_back((revision, change));
-        if self.tail.len() > self.keep {
-            self.tail.pop_front();
+        self.recent.push_back((revision, change));
+        if self.recent.len() > self.capacity {
+            self.recent.pop_front();
         }
     }
 
     /// Sets the configuration that the changes pushed so far made.
-    pub fn reach(&mut self, state: Arc<State>) {
+    pub fn set_state(&mut self, state: Arc<State>) {
         self.state = state;
     }
 
     /// Takes a whole configuration, to which no changes are known.
     pub fn restore(&mut self, state: Arc<State>) {
-        self.tail.clear();
+        self.recent.clear();
         self.state = state;
     }
 
     /// Returns the changes after a revision, or `None` when not all of them are kept.
-    pub fn after(&self, revision: id::Revision) -> Option<Vec<(id::Revision, Arc<Change>)>> {
+    pub fn changes_after(
+        &self,
+        revision: id::Revision,
+    ) -> Option<Vec<(id::Revision, Arc<Change>)>> {
         if revision >= self.state.revision {
             return Some(Vec::new());
         }
-        let first = self.tail.front()?.0;
+        let first = self.recent.front()?.0;
         if revision + 1 < first {
             return None;
         }
         // A change is pushed before its state is set; a reader on another thread that sent it in
         // between would send it a second time after.
         let due = revision + 1..=self.state.revision;
-        let missing = self.tail.iter().filter(|(made, _)| due.contains(made));
+        let missing = self.recent.iter().filter(|(made, _)| due.contains(made));
         Some(missing.cloned().collect())
     }
 
     /// Returns what brings a follower up to date, and the revision that it then holds.
     pub fn messages(&self, held: id::Revision) -> (Vec<Message>, id::Revision) {
         let reached = held.max(self.state.revision);
-        let Some(changes) = self.after(held) else {
+        let Some(changes) = self.changes_after(held) else {
             let state = Box::new(State::clone(&self.state));
             return (vec![Message::Snapshot(state)], reached);
         };
         let own =
             |(revision, change): &(id::Revision, Arc<Change>)| (*revision, Change::clone(change));
         let batch = |part: &[_]| Message::Changes(part.iter().map(own).collect());
-        (changes.chunks(BATCH).map(batch).collect(), reached)
+        (
+            changes.chunks(MAX_CHANGES_PER_FRAME).map(batch).collect(),
+            reached,
+        )
     }
 
-    fn alive(&self) -> Message {
+    fn keepalive(&self) -> Message {
         Message::Alive {
             revision: self.state.revision,
             connected: self.connected,
@@ -141,36 +147,36 @@
     notify: impl Fn(Event) -> Option<Answer>,
 ) -> Result<(), Error> {
     let (mut sender, mut receiver) = link.split();
-    let mut owed: FuturesUnordered<Answer> = FuturesUnordered::new();
+    let mut pending: FuturesUnordered<Answer> = FuturesUnordered::new();
     let mut held = None;
-    let mut alive = time::interval(ALIVE);
-    let mut silent = time::Instant::now() + SILENCE;
+    let mut keepalive = time::interval(KEEPALIVE_INTERVAL);
+    let mut idle_deadline = time::Instant::now() + IDLE_TIMEOUT;
     loop {
         tokio::select! {
             frame = receiver.next() => {
-                silent = time::Instant::now() + SILENCE;
+                idle_deadline = time::Instant::now() + IDLE_TIMEOUT;
                 let Frame::Follow(message) = frame.ok_or(Error::Closed)?? else {
                     return Err(Error::Handshake);
                 };
                 if let Message::From { revision, .. } = &message {
                     held = Some(*revision);
                 }
-                let answer = event(message)?.and_then(&notify);
-                owed.extend(answer.filter(|_| owed.len() < OWED));
+                let answer = event_of(message)?.and_then(&notify);
+                pending.extend(answer.filter(|_| pending.len() < MAX_PENDING_ANSWERS));
             }
-            Some(answer) = owed.next(), if !owed.is_empty() => {
+            Some(answer) = pending.next(), if !pending.is_empty() => {
                 if let Some(message) = answer {
                     send(&mut sender, message).await?;
                 }
             }
             changed = feed.changed() => changed.map_err(|_| Error::Closed)?,
-            _ = alive.tick() => {
-                let message = feed.borrow().alive();
+            _ = keepalive.tick() => {
+                let message = feed.borrow().keepalive();
                 send(&mut sender, message).await?;
             }
             // A follower confirms every second; one that does not is gone, and a link that stays
             // open after a silent cut would hold its place until TCP gives up much later.
-            () = time::sleep_until(silent) => return Err(Error::Closed),
+            () = time::sleep_until(idle_deadline) => return Err(Error::Closed),
         }
         if let Some(revision) = held {
             let (messages, reached) = feed.borrow_and_update().messages(revision);
@@ -182,20 +188,20 @@
     }
 }
 
-fn event(message: Message) -> Result<Option<Event>, Error> {
+fn event_of(message: Message) -> Result<Option<Event>, Error> {
     match message {
         Message::From { member, .. } => Ok(member.map(Event::Member)),
         Message::Present(member) => Ok(Some(Event::Member(member))),
         Message::Confirm(list) => Ok(Some(Event::Confirmed(list))),
-        Message::Astray(list) => Ok(Some(Event::Astray(list))),
-        Message::Ask => Ok(Some(Event::Asked)),
-        Message::Vouch { ask } => Ok(Some(Event::Vouch(ask))),
+        Message::Drifted(list) => Ok(Some(Event::Drifted(list))),
+        Message::SummariesRequest => Ok(Some(Event::SummariesRequested)),
+        Message::ReadIndex { ask } => Ok(Some(Event::ReadIndex(ask))),
         _ => Err(Error::Handshake),
     }
 }
 
 /// Returns an answer that is there already.
-pub fn at_once(message: Message) -> Answer {
+pub fn ready(message: Message) -> Answer {
     std::future::ready(Some(message)).boxed_local()
 }
 
@@ -205,7 +211,7 @@
 ///
 /// [`Error::Closed`] when it takes nothing.
 pub async fn send(sender: &mut Sender, message: Message) -> Result<(), Error> {
-    send_within(sender, Frame::Follow(message), SILENCE).await
+    send_within(sender, Frame::Follow(message), IDLE_TIMEOUT).await
 }
 
 /// Receives one message, unless the other end is silent for too long.
@@ -214,7 +220,7 @@
 ///
 /// [`Error::Closed`] when it is silent, [`Error::Handshake`] when it sends something else.
 pub async fn receive(receiver: &mut Receiver) -> Result<Message, Error> {
-    let frame = time::timeout(SILENCE, receiver.next()).await;
+    let frame = time::timeout(IDLE_TIMEOUT, receiver.next()).await;
     match frame.map_err(|_| Error::Closed)?.ok_or(Error::Closed)?? {
         Frame::Follow(message) => Ok(message),
         _ => Err(Error::Handshake),
--- a/crates/zinniastall-wire/src/follow.rs
+++ b/crates/zinniastall-wire/src/follow.rs
@@ -33,13 +33,15 @@
         connected: bool,
     },
     /// Follower that starts, to a control instance: which revision has been reached by now?
-    Vouch {
+    #[serde(rename = "vouch")]
+    ReadIndex {
         /// Number that the answer repeats.
         ask: u64,
     },
     /// Control instance: the group has confirmed, after it was asked, that nothing later than this
     /// had been accepted before.
-    Vouched {
+    #[serde(rename = "vouched")]
+    ReadIndexAnswer {
         /// Number of the question.
         ask: u64,
         /// Revision that the group had reached.
@@ -50,16 +52,19 @@
     /// Relay: an instance presented itself that follows the relay.
     Present(Member),
     /// Relay: targets of its zone that do not hold what the configuration says.
-    Astray(Vec<Astray>),
+    #[serde(rename = "astray")]
+    Drifted(Vec<Drift>),
     /// Control, on a link that it dialled itself: send your figures.
-    Ask,
+    #[serde(rename = "ask")]
+    SummariesRequest,
     /// Entry instance: its histograms.
-    Figures(Vec<Figure>),
+    #[serde(rename = "figures")]
+    Summaries(Vec<Summary>),
 }
 
 /// A target that does not hold what the configuration says.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Astray {
+pub struct Drift {
     /// Target.
     pub target: id::Target,
     /// Its run.
@@ -76,7 +81,7 @@
 
 /// Summary of one histogram of an entry instance; values in microseconds.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Figure {
+pub struct Summary {
     /// Name, such as `request.whole`.
     pub name: String,
     /// Client.
--- a/crates/zinniastall-wire/src/frame.rs
+++ b/crates/zinniastall-wire/src/frame.rs
@@ -5,7 +5,7 @@
 use crate::{follow, gossip, hello, hub, stream};
 
 /// Longest encoded frame, in bytes; a longer one closes the link.
-pub const LIMIT: usize = 4 * 1024 * 1024;
+pub const MAX_BYTES: usize = 4 * 1024 * 1024;
 
 /// One message of a link.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
@@ -43,7 +43,7 @@
 /// Why bytes are not a frame.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// The frame is longer than [`LIMIT`].
+    /// The frame is longer than [`MAX_BYTES`].
     #[error("frame of {0} bytes is too long")]
     Long(usize),
     /// The bytes are not CBOR of a frame.
@@ -59,11 +59,11 @@
     ///
     /// # Errors
     ///
-    /// [`Error::Long`] when the result passes [`LIMIT`].
+    /// [`Error::Long`] when the result passes [`MAX_BYTES`].
     pub fn encode(&self) -> Result<Vec<u8>, Error> {
         let mut bytes = Vec::new();
         ciborium::into_writer(self, &mut bytes).map_err(Error::Encode)?;
-        if bytes.len() > LIMIT {
+        if bytes.len() > MAX_BYTES {
             return Err(Error::Long(bytes.len()));
         }
         Ok(bytes)
@@ -75,7 +75,7 @@
     ///
     /// [`Error::Long`] and [`Error::Malformed`].
     pub fn decode(bytes: &[u8]) -> Result<Self, Error> {
-        if bytes.len() > LIMIT {
+        if bytes.len() > MAX_BYTES {
             return Err(Error::Long(bytes.len()));
         }
         ciborium::from_reader(bytes).map_err(Error::Malformed)
--- a/crates/zinniastall-wire/src/gossip.rs
+++ b/crates/zinniastall-wire/src/gossip.rs
@@ -22,7 +22,8 @@
     /// Targets of the sender's zone, whole; inside the zone only.
     Targets(Vec<Target>),
     /// What zones say of themselves; between zones and regions.
-    News(News),
+    #[serde(rename = "news")]
+    Delta(Delta),
 }
 
 /// A heartbeat to one peer.
@@ -65,12 +66,12 @@
     pub draining: bool,
     /// Requests in progress over what it can take, in thousandths.
     pub load: u32,
-    /// How long it has been up, in milliseconds, up to [`UP`].
+    /// How long it has been up, in milliseconds, up to [`MAX_UP_MS`].
     pub up_ms: u64,
 }
 
 /// Greatest [`Peer::up_ms`]; whoever is up longer is no newcomer to anybody.
-pub const UP: u64 = 60_000;
+pub const MAX_UP_MS: u64 = 60_000;
 
 /// A renewal of a target whose other fields have not changed.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -133,16 +134,16 @@
     /// Two reports with the same tag differ in load, lease and cached prefixes only.
     pub fn tag(&self) -> u64 {
         let mut hasher = blake3::Hasher::new();
-        let rare = (
+        let stable = (
             (&self.target, self.incarnation, &self.place, &self.address),
             (&self.kind, &self.role, &self.serves, self.slots),
             (self.price.to_bits(), self.leaving, self.gap),
         );
         // Writing to a hasher cannot fail; a failure would only cost a whole report.
-        drop(ciborium::into_writer(&rare, &mut hasher));
-        let mut first = [0; 8];
-        first.copy_from_slice(&hasher.finalize().as_bytes()[..8]);
-        u64::from_le_bytes(first)
+        drop(ciborium::into_writer(&stable, &mut hasher));
+        let mut tag = [0; 8];
+        tag.copy_from_slice(&hasher.finalize().as_bytes()[..8]);
+        u64::from_le_bytes(tag)
     }
 }
 
@@ -159,8 +160,8 @@
 
 /// What zones say of themselves, as made or passed on.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-#[serde(from = "pack::News", into = "pack::News")]
-pub struct News {
+#[serde(from = "pack::Delta", into = "pack::Delta")]
+pub struct Delta {
     /// Facts.
     pub items: Vec<Item>,
     /// Words that facts still hold.
@@ -189,7 +190,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub enum Topic {
     /// Instances through which a zone is reached.
-    Doors(Place),
+    Contacts(Place),
     /// Capacity of a zone for a subject in a role; for the zone's own region.
     Capacity(Place, Subject, String),
     /// What a region has for a subject in a role, as the zone says that speaks for it; for other
@@ -201,7 +202,9 @@
     /// Returns the zone that says it.
     pub const fn place(&self) -> &Place {
         match self {
-            Self::Doors(place) | Self::Capacity(place, _, _) | Self::Region(place, _, _) => place,
+            Self::Contacts(place) | Self::Capacity(place, _, _) | Self::Region(place, _, _) => {
+                place
+            }
         }
     }
 }
@@ -210,7 +213,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub enum Fact {
     /// Instances through which a zone is reached, its speakers first.
-    Doors(Vec<Peer>),
+    Contacts(Vec<Peer>),
     /// Capacity.
     Capacity(Capacity),
     /// The region's zone that has most, and its capacity.
--- a/crates/zinniastall-wire/src/gossip/pack.rs
+++ b/crates/zinniastall-wire/src/gossip/pack.rs
@@ -11,7 +11,7 @@
 
 /// News, as it travels.
 #[derive(Debug, Serialize, Deserialize)]
-pub(super) struct News(Vec<Group>, Vec<Word>);
+pub(super) struct Delta(Vec<Group>, Vec<PackedRenewal>);
 
 /// Maker, its run, the place, and the facts.
 #[derive(Debug, Serialize, Deserialize)]
@@ -20,22 +20,22 @@
     id::Incarnation,
     id::Region,
     id::Zone,
-    Vec<Packed>,
+    Vec<PackedItem>,
 );
 
 /// Maker, its run, the number of its last item, the age in milliseconds, and whether it is a
 /// region's.
 #[derive(Debug, Serialize, Deserialize)]
-struct Word(id::Instance, id::Incarnation, u64, u64, bool);
+struct PackedRenewal(id::Instance, id::Incarnation, u64, u64, bool);
 
 /// Number, age in milliseconds, what it is about, and the fact.
 #[derive(Debug, Serialize, Deserialize)]
-struct Packed(u64, u64, About, Option<Value>);
+struct PackedItem(u64, u64, PackedTopic, Option<PackedFact>);
 
 #[derive(Debug, Serialize, Deserialize)]
-enum About {
+enum PackedTopic {
     #[serde(rename = "d")]
-    Doors,
+    Contacts,
     #[serde(rename = "m")]
     Model(String, String),
     #[serde(rename = "s")]
@@ -48,9 +48,9 @@
 }
 
 #[derive(Debug, Serialize, Deserialize)]
-enum Value {
+enum PackedFact {
     #[serde(rename = "d")]
-    Doors(Vec<Peer>),
+    Contacts(Vec<Peer>),
     /// Slots, free ones, wait in milliseconds, price.
     #[serde(rename = "c")]
     Capacity(u32, u32, u64, f64),
@@ -59,23 +59,24 @@
     Region(id::Zone, u32, u32, u64, f64),
 }
 
-impl From<super::News> for News {
-    fn from(news: super::News) -> Self {
-        let mut groups: IndexMap<(id::Instance, id::Incarnation, Place), Vec<Packed>> =
+impl From<super::Delta> for Delta {
+    fn from(delta: super::Delta) -> Self {
+        let mut groups: IndexMap<(id::Instance, id::Incarnation, Place), Vec<PackedItem>> =
             IndexMap::new();
-        for item in news.items {
+        for item in delta.items {
             let place = item.key.place().clone();
-            let about = About::from(item.key);
-            let value = item.value.map(Value::from);
-            let packed = Packed(item.sequence, item.age_ms, about, value);
+            let topic = PackedTopic::from(item.key);
+            let value = item.value.map(PackedFact::from);
+            let packed = PackedItem(item.sequence, item.age_ms, topic, value);
             let group = (item.maker.instance, item.incarnation, place);
             groups.entry(group).or_default().push(packed);
         }
-        let group = |((maker, run, place), facts): ((id::Instance, id::Incarnation, Place), _)| {
-            Group(maker, run, place.region, place.zone, facts)
-        };
-        let word = |renewal: Renewal| {
-            Word(
+        let group =
+            |((maker, incarnation, place), facts): ((id::Instance, id::Incarnation, Place), _)| {
+                Group(maker, incarnation, place.region, place.zone, facts)
+            };
+        let pack_renewal = |renewal: Renewal| {
+            PackedRenewal(
                 renewal.maker.instance,
                 renewal.incarnation,
                 renewal.sequence,
@@ -85,15 +86,15 @@
         };
         Self(
             groups.into_iter().map(group).collect(),
-            news.renewals.into_iter().map(word).collect(),
+            delta.renewals.into_iter().map(pack_renewal).collect(),
         )
     }
 }
 
-impl From<News> for super::News {
-    fn from(packed: News) -> Self {
-        let News(groups, words) = packed;
-        let renewal = |Word(instance, incarnation, sequence, age_ms, region)| Renewal {
+impl From<Delta> for super::Delta {
+    fn from(packed: Delta) -> Self {
+        let Delta(groups, renewals) = packed;
+        let renewal = |PackedRenewal(instance, incarnation, sequence, age_ms, region)| Renewal {
             maker: Maker { instance, region },
             incarnation,
             sequence,
@@ -101,7 +102,7 @@
         };
         Self {
             items: groups.into_iter().flat_map(Group::unpack).collect(),
-            renewals: words.into_iter().map(renewal).collect(),
+            renewals: renewals.into_iter().map(renewal).collect(),
         }
     }
 }
@@ -110,12 +111,12 @@
     fn unpack(self) -> Vec<Item> {
         let Self(instance, incarnation, region, zone, facts) = self;
         let place = Place::new(region, zone);
-        let item = |Packed(sequence, age_ms, about, value)| Item {
+        let item = |PackedItem(sequence, age_ms, topic, value)| Item {
             maker: Maker {
                 instance: instance.clone(),
-                region: about.is_region(),
+                region: topic.is_region(),
             },
-            key: about.topic(place.clone()),
+            key: topic.unpack(place.clone()),
             incarnation,
             sequence,
             age_ms,
@@ -125,10 +126,10 @@
     }
 }
 
-impl From<Topic> for About {
+impl From<Topic> for PackedTopic {
     fn from(topic: Topic) -> Self {
         match topic {
-            Topic::Doors(_) => Self::Doors,
+            Topic::Contacts(_) => Self::Contacts,
             Topic::Capacity(_, Subject::Model(name), role) => Self::Model(name, role),
             Topic::Capacity(_, Subject::Service(name), role) => Self::Service(name, role),
             Topic::Region(_, Subject::Model(name), role) => Self::RegionModel(name, role),
@@ -137,14 +138,14 @@
     }
 }
 
-impl About {
+impl PackedTopic {
     const fn is_region(&self) -> bool {
         matches!(self, Self::RegionModel(..) | Self::RegionService(..))
     }
 
-    fn topic(self, place: Place) -> Topic {
+    fn unpack(self, place: Place) -> Topic {
         match self {
-            Self::Doors => Topic::Doors(place),
+            Self::Contacts => Topic::Contacts(place),
             Self::Model(name, role) => Topic::Capacity(place, Subject::Model(name), role),
             Self::Service(name, role) => Topic::Capacity(place, Subject::Service(name), role),
             Self::RegionModel(name, role) => Topic::Region(place, Subject::Model(name), role),
@@ -153,10 +154,10 @@
     }
 }
 
-impl From<Fact> for Value {
+impl From<Fact> for PackedFact {
     fn from(fact: Fact) -> Self {
         match fact {
-            Fact::Doors(doors) => Self::Doors(doors),
+            Fact::Contacts(contacts) => Self::Contacts(contacts),
             Fact::Capacity(Capacity {
                 slots,
                 free,
@@ -174,17 +175,17 @@
     }
 }
 
-impl From<Value> for Fact {
-    fn from(value: Value) -> Self {
+impl From<PackedFact> for Fact {
+    fn from(value: PackedFact) -> Self {
         match value {
-            Value::Doors(doors) => Self::Doors(doors),
-            Value::Capacity(slots, free, wait_ms, price) => Self::Capacity(Capacity {
+            PackedFact::Contacts(contacts) => Self::Contacts(contacts),
+            PackedFact::Capacity(slots, free, wait_ms, price) => Self::Capacity(Capacity {
                 slots,
                 free,
                 wait_ms,
                 price,
             }),
-            Value::Region(zone, slots, free, wait_ms, price) => {
+            PackedFact::Region(zone, slots, free, wait_ms, price) => {
                 let capacity = Capacity {
                     slots,
                     free,
--- a/crates/zinniastall-wire/src/hub.rs
+++ b/crates/zinniastall-wire/src/hub.rs
@@ -29,7 +29,8 @@
     /// replicas know the same of both, so an instance asks two of them at most.
     Subscribe(bool),
     /// Gateway: asks which revision the group has reached by now. The stamp comes back with the answer.
-    Vouch(Stamp),
+    #[serde(rename = "vouch")]
+    ReadIndex(Stamp),
     /// Gateway: requests that aren't run any more, or may run again, as far as the group doesn't hold that yet.
     /// Control: all that the group holds of these.
     Suspects(Vec<Suspect>),
@@ -37,7 +38,8 @@
     Reached(id::Revision),
     /// Control: the group had reached a revision when the question with this stamp came, and no later one was
     /// accepted before.
-    Vouched {
+    #[serde(rename = "vouched")]
+    ReadIndexAnswer {
         /// Stamp of the question.
         stamp: Stamp,
         /// Revision.
--- a/crates/zinniastall-wire/src/link.rs
+++ b/crates/zinniastall-wire/src/link.rs
@@ -24,12 +24,12 @@
 
 /// Bytes read at once. The library keeps and clears a buffer of this size for every read of every link;
 /// its default of 128 KiB was nearly all the memory of a link, and frames of gossip are far shorter.
-const READ: usize = 16 * 1024;
+const READ_BUFFER_BYTES: usize = 16 * 1024;
 
 /// Longest time for a connection to open: twice the round trip between distant regions. The first packet
 /// to a machine without power is lost, and the system repeats it after a second; a new attempt finds
 /// the machine as soon as it is back.
-const CONNECT: Duration = Duration::from_millis(500);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Why a link could not be opened or broke.
 #[derive(Debug, thiserror::Error)]
@@ -110,9 +110,9 @@
 pub async fn send_within<T>(
     sender: &mut (impl Sink<T, Error = Error> + Unpin),
     item: T,
-    longest: Duration,
+    timeout: Duration,
 ) -> Result<(), Error> {
-    let sent = time::timeout(longest, sender.send(item)).await;
+    let sent = time::timeout(timeout, sender.send(item)).await;
     sent.map_err(|_| Error::Closed)?
 }
 
@@ -126,7 +126,7 @@
     ///
     /// Fails when the address cannot be reached or the other end refuses.
     pub async fn dial(address: &str, hello: Hello) -> Result<Self, Error> {
-        let connecting = time::timeout(CONNECT, TcpStream::connect(address)).await;
+        let connecting = time::timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await;
         let stream =
             connecting.map_err(|_| std::io::Error::from(std::io::ErrorKind::TimedOut))??;
         stream.set_nodelay(true)?;
@@ -157,7 +157,7 @@
     /// Fails when the other end sends no valid first frame or `judge` refuses it.
     pub async fn accept(
         stream: TcpStream,
-        judge: impl FnOnce(&Hello) -> Result<Hello, Refusal>,
+        check: impl FnOnce(&Hello) -> Result<Hello, Refusal>,
     ) -> Result<Self, Error> {
         stream.set_nodelay(true)?;
         let stream = MaybeTlsStream::Plain(stream);
@@ -166,12 +166,12 @@
         let Frame::Hello(peer) = receive(&mut socket).await? else {
             return Err(Error::Handshake);
         };
-        let verdict = if peer.version == VERSION {
-            judge(&peer)
+        let decision = if peer.version == VERSION {
+            check(&peer)
         } else {
             Err(Refusal::Version)
         };
-        match verdict {
+        match decision {
             Ok(hello) => send(&mut socket, &Frame::Hello(hello)).await?,
             Err(refusal) => {
                 send(&mut socket, &Frame::Refused(refusal.clone())).await?;
@@ -266,9 +266,9 @@
 
 fn config() -> WebSocketConfig {
     WebSocketConfig::default()
-        .read_buffer_size(READ)
-        .max_message_size(Some(frame::LIMIT))
-        .max_frame_size(Some(frame::LIMIT))
+        .read_buffer_size(READ_BUFFER_BYTES)
+        .max_message_size(Some(frame::MAX_BYTES))
+        .max_frame_size(Some(frame::MAX_BYTES))
 }
 
 async fn send(
--- a/crates/zinniastall-wire/src/stream.rs
+++ b/crates/zinniastall-wire/src/stream.rs
@@ -8,7 +8,7 @@
 use zinniastall_model::{id, object::Subject, place::Place};
 
 /// Number of a stream, unique on its link.
-pub type Stream = u64;
+pub type Id = u64;
 
 /// A message of a stream link.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -19,7 +19,7 @@
     /// Starts the answer.
     Head {
         /// Stream.
-        stream: Stream,
+        stream: Id,
         /// HTTP status.
         status: u16,
         /// HTTP headers that the caller may see.
@@ -28,7 +28,7 @@
     /// A part of the answer.
     Data {
         /// Stream.
-        stream: Stream,
+        stream: Id,
         /// Offset of the first byte in the answer's body.
         offset: u64,
         /// Bytes.
@@ -38,26 +38,26 @@
     /// The answer is whole.
     End {
         /// Stream.
-        stream: Stream,
+        stream: Id,
         /// Length of the answer's body, in bytes.
         length: u64,
     },
     /// The request ended without a whole answer.
     Failed {
         /// Stream.
-        stream: Stream,
+        stream: Id,
         /// Whether it certainly did not run.
         failure: Failure,
     },
     /// The caller is gone or has lost interest.
     Cancel {
         /// Stream.
-        stream: Stream,
+        stream: Id,
     },
     /// The receiver of the answer can take more; without bytes, its end has arrived.
     Credit {
         /// Stream.
-        stream: Stream,
+        stream: Id,
         /// Further bytes; 0 acknowledges [`Message::End`] or [`Message::Failed`].
         bytes: u64,
     },
@@ -66,7 +66,7 @@
 impl Message {
     /// Returns the stream that it belongs to.
     #[must_use]
-    pub const fn stream(&self) -> Stream {
+    pub const fn stream(&self) -> Id {
         match self {
             Self::Open(open) => open.stream,
             Self::Head { stream, .. }
@@ -83,7 +83,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Open {
     /// Stream.
-    pub stream: Stream,
+    pub stream: Id,
     /// Request id for logs.
     pub request: String,
     /// Places that the request has passed, the receiving entry instance's first.
--- a/crates/zinniastall-wire/tests/codec.rs
+++ b/crates/zinniastall-wire/tests/codec.rs
@@ -13,8 +13,8 @@
     state::State,
 };
 use zinniastall_wire::{
-    follow::{self, Confirmation, Figure},
-    frame::{Error, Frame, LIMIT, Replica},
+    follow::{self, Confirmation, Summary},
+    frame::{Error, Frame, MAX_BYTES, Replica},
     gossip,
     hello::{Hello, Purpose, Refusal, VERSION},
     stream::{self, Failure, Open},
@@ -161,7 +161,7 @@
             draining,
         },
     );
-    let figure = (text(), any::<[u64; 5]>()).prop_map(|(name, values)| Figure {
+    let summary = (text(), any::<[u64; 5]>()).prop_map(|(name, values)| Summary {
         client: name.clone(),
         class: name.clone(),
         name,
@@ -181,10 +181,10 @@
             connected
         }),
         prop::collection::vec(confirmation, 0..4).prop_map(Message::Confirm),
-        Just(Message::Ask),
-        any::<u64>().prop_map(|ask| Message::Vouch { ask }),
-        any::<[u64; 2]>().prop_map(|[ask, revision]| Message::Vouched { ask, revision }),
-        prop::collection::vec(figure, 0..4).prop_map(Message::Figures),
+        Just(Message::SummariesRequest),
+        any::<u64>().prop_map(|ask| Message::ReadIndex { ask }),
+        any::<[u64; 2]>().prop_map(|[ask, revision]| Message::ReadIndexAnswer { ask, revision }),
+        prop::collection::vec(summary, 0..4).prop_map(Message::Summaries),
     ]
     .boxed()
 }
@@ -266,7 +266,7 @@
         }
     });
     let fact = prop_oneof![
-        prop::collection::vec(peer.clone(), 0..3).prop_map(gossip::Fact::Doors),
+        prop::collection::vec(peer.clone(), 0..3).prop_map(gossip::Fact::Contacts),
         capacity.clone().prop_map(gossip::Fact::Capacity),
         (text(), capacity).prop_map(|(zone, capacity)| gossip::Fact::Region(zone, capacity)),
     ];
@@ -279,7 +279,7 @@
     )
         .prop_map(|(place, subject, maker, numbers, value)| gossip::Item {
             key: match value {
-                Some(gossip::Fact::Doors(_)) => gossip::Topic::Doors(place),
+                Some(gossip::Fact::Contacts(_)) => gossip::Topic::Contacts(place),
                 Some(gossip::Fact::Region(..)) => {
                     gossip::Topic::Region(place, subject, maker.clone())
                 }
@@ -294,7 +294,7 @@
             age_ms: numbers[2],
             value,
         });
-    let news = prop::collection::vec(item, 0..3).prop_map(|items| {
+    let delta = prop::collection::vec(item, 0..3).prop_map(|items| {
         let renewal = |item: &gossip::Item| gossip::Renewal {
             maker: item.maker.clone(),
             incarnation: item.incarnation,
@@ -302,10 +302,10 @@
             age_ms: item.age_ms,
         };
         let renewals = items.iter().map(renewal).collect();
-        gossip::News { items, renewals }
+        gossip::Delta { items, renewals }
     });
     prop_oneof![
-        news.prop_map(Message::News),
+        delta.prop_map(Message::Delta),
         heartbeat.prop_map(Message::Heartbeat),
         prop::collection::vec(peer, 0..4).prop_map(Message::Peers),
         any::<u64>().prop_map(Message::Stale),
@@ -402,7 +402,7 @@
     }
 
     #[test]
-    fn cut_frames_are_refused(frame in frame(), cut in any::<prop::sample::Index>()) {
+    fn truncated_frames_are_refused(frame in frame(), cut in any::<prop::sample::Index>()) {
         let bytes = frame.encode().unwrap();
         let cut = &bytes[..cut.index(bytes.len())];
         prop_assert!(matches!(Frame::decode(cut), Err(Error::Malformed(_))));
@@ -426,17 +426,17 @@
     let frame = Frame::Replica(Replica {
         from: 1,
         to: 2,
-        message: vec![0; LIMIT],
+        message: vec![0; MAX_BYTES],
     });
     assert!(matches!(frame.encode(), Err(Error::Long(_))));
     assert!(matches!(
-        Frame::decode(&vec![0; LIMIT + 1]),
+        Frame::decode(&vec![0; MAX_BYTES + 1]),
         Err(Error::Long(_))
     ));
 }
 
 #[test]
-fn a_length_that_lies_takes_no_memory() {
+fn a_false_length_allocates_no_memory() {
     // A byte string that claims to be 2^62 bytes long, inside a frame of a few bytes.
     let mut bytes = Frame::Replica(Replica {
         from: 1,
@@ -456,7 +456,7 @@
 #[test]
 fn deep_nesting_is_refused() {
     let mut bytes = b"\xa1\x67replica\xa4\x64from\x01\x62to\x02\x67message\x40\x61x".to_vec();
-    bytes.resize(LIMIT, 0x81);
+    bytes.resize(MAX_BYTES, 0x81);
     let decoding = std::thread::Builder::new()
         .stack_size(1024 * 1024)
         .spawn(move || Frame::decode(&bytes).is_err())
--- a/crates/zinniastall-wire/tests/feed.rs
+++ b/crates/zinniastall-wire/tests/feed.rs
@@ -22,31 +22,31 @@
 }
 
 /// Returns a feed of some changes that keeps `keep` of them.
-fn feed(changes: u64, keep: usize) -> Feed {
+fn feed(changes: u64, capacity: usize) -> Feed {
     let mut state = State::default();
-    let mut feed = Feed::new(Arc::new(state.clone()), keep);
+    let mut feed = Feed::new(Arc::new(state.clone()), capacity);
     for number in 1..=changes {
         state.apply(&change(number));
         feed.push(number, Arc::new(change(number)));
     }
-    feed.reach(Arc::new(state));
+    feed.set_state(Arc::new(state));
     feed
 }
 
 fn revisions(feed: &Feed, after: u64) -> Option<Vec<u64>> {
-    let changes = feed.after(after)?;
+    let changes = feed.changes_after(after)?;
     Some(changes.iter().map(|(revision, _)| *revision).collect())
 }
 
 #[test]
-fn a_follower_gets_what_it_lacks() {
+fn a_follower_gets_the_changes_that_it_lacks() {
     assert_eq!(revisions(&feed(5, 8), 3), Some(vec![4, 5]));
     assert_eq!(revisions(&feed(5, 8), 5), Some(vec![]));
     assert_eq!(revisions(&feed(5, 8), 9), Some(vec![]));
 }
 
 #[test]
-fn who_is_too_far_behind_gets_the_whole_state() {
+fn a_follower_too_far_behind_gets_a_snapshot() {
     assert_eq!(revisions(&feed(5, 2), 2), None);
     let (messages, reached) = feed(5, 2).messages(2);
     assert!(matches!(&messages[..], [Message::Snapshot(state)] if state.revision == 5));
@@ -56,7 +56,7 @@
 /// An operator's watch runs on another thread and looks at the feed just when a change has been
 /// noted and its state has not. It must not see the change yet: it would see it again right after.
 #[test]
-fn a_change_is_seen_with_its_state_only() {
+fn a_change_is_hidden_until_its_state_is_set() {
     let mut feed = feed(5, 8);
     feed.push(6, Arc::new(change(6)));
     assert_eq!(revisions(&feed, 4), Some(vec![5]));
