--- a/crates/zinniastall-control/src/rpc/operators.rs
+++ b/crates/zinniastall-control/src/rpc/operators.rs
@@ -316,7 +316,7 @@
     key: &zinniastall_model::object::Key,
 ) -> Status {
     let mut status = Status::not_found("no such object");
-    let current = state.current(key);
+    let current = state.current_revision(key);
     status
         .metadata_mut()
         .insert(metadata::CURRENT_REVISION, current.into());
--- a/crates/zinniastall-entry/src/follow/report.rs
+++ b/crates/zinniastall-entry/src/follow/report.rs
@@ -103,7 +103,7 @@
         if report.due && self.source.is_some_and(|source| source.control) {
             let drifted = drift::find(&self.held, &self.shared_view.view());
             if !drifted.is_empty() {
-                messages.push(follow::Message::Astray(drifted));
+                messages.push(follow::Message::Drifted(drifted));
             }
         }
         MessageResult(messages)
--- a/crates/zinniastall-entry/src/follow/survey.rs
+++ b/crates/zinniastall-entry/src/follow/survey.rs
@@ -88,7 +88,7 @@
         feed::send(&mut sender, from).await?;
         let mut awaits_answer = source.is_control();
         if awaits_answer {
-            feed::send(&mut sender, Message::Vouch { ask: QUESTION_ID }).await?;
+            feed::send(&mut sender, Message::ReadIndex { ask: QUESTION_ID }).await?;
         }
         loop {
             let message = feed::receive(&mut receiver).await?;
@@ -99,7 +99,7 @@
                     }
                     continue;
                 }
-                Message::Vouched {
+                Message::ReadIndexAnswer {
                     ask: QUESTION_ID,
                     revision,
                 } => {
--- a/crates/zinniastall-entry/src/spread/actor.rs
+++ b/crates/zinniastall-entry/src/spread/actor.rs
@@ -247,7 +247,7 @@
             gossip::Message::Stale(remembered) => self.raise_incarnation(remembered),
             gossip::Message::Peers(peers) => self.handle_peers(&peer, peers, now),
             gossip::Message::Targets(reports) => self.apply_reports(&place, reports, now),
-            gossip::Message::News(news) => {
+            gossip::Message::Delta(news) => {
                 self.forward_pending |= self.digests.apply(link, &place, news, now);
             }
         }
--- a/crates/zinniastall-entry/src/spread/digests.rs
+++ b/crates/zinniastall-entry/src/spread/digests.rs
@@ -5,7 +5,7 @@
 use indexmap::{IndexMap, IndexSet};
 use zinniastall_coord::digest::Entry;
 use zinniastall_model::{id, object::Subject, place::Place};
-use zinniastall_wire::gossip::{self, Fact, Item, Maker, News, Peer, Topic};
+use zinniastall_wire::gossip::{self, Delta, Fact, Item, Maker, Peer, Topic};
 
 use super::{
     capacity::{Zones, sum_targets},
@@ -92,7 +92,7 @@
     }
 
     /// Returns what fits into a number of bytes, by link, and the bytes that it takes.
-    pub fn flush(&mut self, bytes: u64, now: Instant) -> (Vec<(Handle, News)>, u64) {
+    pub fn flush(&mut self, bytes: u64, now: Instant) -> (Vec<(Handle, Delta)>, u64) {
         self.forwarder.flush(&self.table, bytes, now)
     }
 
@@ -102,7 +102,7 @@
     }
 
     /// Takes facts in that came on a link. Returns whether there was news.
-    pub fn apply(&mut self, link: Handle, from: &Place, news: News, now: Instant) -> bool {
+    pub fn apply(&mut self, link: Handle, from: &Place, news: Delta, now: Instant) -> bool {
         let mut changed = false;
         for item in news.items {
             // A zone's own facts don't come back from outside.
@@ -120,7 +120,7 @@
     pub fn contacts(&self, now: Instant) -> Vec<(Place, Vec<Peer>)> {
         let entries = self.table.fresh(now);
         let contacts = entries.filter_map(|entry| match (entry.key, entry.value) {
-            (Topic::Doors(place), Fact::Doors(contacts)) if *place != self.place => {
+            (Topic::Contacts(place), Fact::Contacts(contacts)) if *place != self.place => {
                 Some((place.clone(), contacts.clone()))
             }
             _ => None,
--- a/crates/zinniastall-entry/src/spread/dissemination.rs
+++ b/crates/zinniastall-entry/src/spread/dissemination.rs
@@ -43,7 +43,7 @@
         let (news, used) = self.digests.flush(bytes, now);
         self.reserved_bytes += used;
         for (link, news) in news {
-            self.links.send(link, gossip::Message::News(news));
+            self.links.send(link, gossip::Message::Delta(news));
         }
     }
 
--- a/crates/zinniastall-entry/src/spread/speaker.rs
+++ b/crates/zinniastall-entry/src/spread/speaker.rs
@@ -143,8 +143,8 @@
 
     fn contacts_item(&mut self, contacts: &[Peer]) -> Option<Item> {
         let contacts = contacts.iter().take(MAX_CONTACTS).map(quantize).collect();
-        let topic = Topic::Doors(self.place.clone());
-        self.make_item(topic, Some(Fact::Doors(contacts)))
+        let topic = Topic::Contacts(self.place.clone());
+        self.make_item(topic, Some(Fact::Contacts(contacts)))
     }
 
     fn current_facts(&self, snapshot: &Snapshot, now: Instant) -> Vec<(Topic, Fact)> {
@@ -180,7 +180,7 @@
     }
 
     fn withdraw(&mut self, current: &IndexSet<Topic>) -> Vec<Item> {
-        let gone = |topic: &&Topic| !matches!(topic, Topic::Doors(_)) && !current.contains(*topic);
+        let gone = |topic: &&Topic| !matches!(topic, Topic::Contacts(_)) && !current.contains(*topic);
         let keys = self.authors.iter().flat_map(Author::keys);
         let gone: Vec<Topic> = keys.filter(gone).cloned().collect();
         let mut items = Vec::new();
@@ -228,7 +228,7 @@
 /// Returns which zone a fact names, if any, and the capacity that it tells.
 const fn read_capacity(fact: &Fact) -> Option<(Option<&id::Zone>, &Capacity)> {
     match fact {
-        Fact::Doors(_) => None,
+        Fact::Contacts(_) => None,
         Fact::Capacity(capacity) => Some((None, capacity)),
         Fact::Region(zone, capacity) => Some((Some(zone), capacity)),
     }
@@ -239,7 +239,7 @@
     Peer {
         load: peer.load / LOAD_STEP_PERMILLE * LOAD_STEP_PERMILLE,
         up_ms: if peer.up_ms >= UPTIME_STEP_MS * 2 {
-            gossip::UP
+            gossip::MAX_UP_MS
         } else {
             peer.up_ms / UPTIME_STEP_MS * UPTIME_STEP_MS
         },
