--- a/crates/zinniastall-route/src/admit.rs
+++ b/crates/zinniastall-route/src/admit.rs
@@ -1,9 +1,9 @@
-//! Fourth filter: whether a request may wait, and who goes next.
+//! Fourth filter: admission control, and the order in which waiting requests start.
 //!
-//! Requests wait at the instance while all targets are at their limits. Classes go by priority,
-//! clients of a class by their weights. A request that cannot meet its deadline
-//! is refused on arrival: refusing late would spend the caller's deadline in a queue and leave no
-//! time to try again elsewhere.
+//! Requests wait at the instance while all targets are at their limits. Classes are served by
+//! priority, and clients of a class by weighted fair queueing. A request that cannot meet its
+//! deadline is refused on arrival: a later refusal would spend the time that the caller needs to
+//! try again elsewhere.
 
 use std::{
     collections::BTreeMap,
@@ -18,37 +18,37 @@
     outcome::{Reason, Refusal},
 };
 
-/// Every so many starts the last class with waiting requests goes first, so that a long peak of a
-/// higher class cannot stop it altogether.
+/// Every start whose number is a multiple of this goes to the lowest waiting class, so that a long
+/// peak of higher classes cannot starve it.
 const LOWEST_CLASS_INTERVAL: u64 = 8;
-/// Share of the queue from which on no client may hold more than its own share of it.
+/// Filled share of the queue from which each client is limited to its weighted share of it.
 const CROWDED_SHARE: f64 = 0.5;
 
-/// Part of the time left that wait and work may take. Expected times are means: a request that just
-/// fits is late half of the time, and then it has cost a target work for nothing.
-const FEASIBLE_SHARE: f64 = 0.8;
+/// Share of the time left that the expected wait and service may take. Expected times are means: a
+/// request that just fits would miss its deadline half of the time and waste a target's work.
+const FEASIBLE_TIME_SHARE: f64 = 0.8;
 
 /// Number of a waiting request.
 pub type Id = u64;
 
-/// A request that wants to wait.
+/// A request to enqueue.
 #[derive(Debug, Clone)]
 pub struct Waiter {
-    /// Its number.
+    /// Number of the request.
     pub id: Id,
-    /// Client.
+    /// Client that the request belongs to.
     pub client: id::Client,
     /// Weight of the client's share.
     pub weight: u32,
-    /// Place of its class in the order of priority.
+    /// Position of its class in the order of priority, from 0.
     pub rank: usize,
-    /// When its answer is due.
+    /// When its response is due.
     pub deadline: Instant,
-    /// Time that it will take once it starts.
+    /// Expected service time once it starts.
     pub service_time: Duration,
 }
 
-/// Requests that wait for one model or service.
+/// Requests that wait for one model or service, by rank of their class.
 #[derive(Debug)]
 pub struct Queue {
     classes: BTreeMap<usize, FairQueue>,
@@ -73,19 +73,19 @@
         self.length
     }
 
-    /// Returns whether none waits.
+    /// Returns whether no request waits.
     pub const fn is_empty(&self) -> bool {
         self.length == 0
     }
 
-    /// Lets a request wait or refuses it at once; `pace` is the mean time from start to start.
+    /// Adds a request, or refuses it at once; `start_interval` is the mean time between starts.
     ///
-    /// Returns the wait that it has to expect.
+    /// Returns the expected wait.
     ///
     /// # Errors
     ///
-    /// A refusal that says when to come back: [`Reason::QueueFull`], [`Reason::ShareUsedUp`] and
-    /// [`Reason::DeadlineNotFeasible`].
+    /// Returns [`Reason::QueueFull`], [`Reason::ShareUsedUp`] or [`Reason::DeadlineNotFeasible`],
+    /// each with the time after which to retry.
     pub fn enqueue(
         &mut self,
         waiter: &Waiter,
@@ -101,7 +101,7 @@
             return Err(Refusal::not_run(Reason::ShareUsedUp).retry_after(wait.max(start_interval)));
         }
         let time_left = waiter.deadline.saturating_duration_since(now);
-        if wait + waiter.service_time > time_left.mul_f64(FEASIBLE_SHARE) {
+        if wait + waiter.service_time > time_left.mul_f64(FEASIBLE_TIME_SHARE) {
             return Err(
                 Refusal::not_run(Reason::DeadlineNotFeasible).retry_after(wait.max(start_interval))
             );
@@ -110,20 +110,20 @@
         Ok(wait)
     }
 
-    /// Takes the request out that goes next.
+    /// Removes and returns the request that starts next.
     pub fn pop(&mut self) -> Option<Id> {
         let id = *self.peek(1).first()?;
         self.take(id).then_some(id)
     }
 
-    /// Returns up to `count` requests out of those that go next, the one whose turn it is first.
+    /// Returns up to `count` requests of the class that is served next, the next to start first.
     pub fn peek(&self, count: usize) -> Vec<Id> {
         self.next_class()
             .map_or_else(Vec::new, |class| class.peek(count))
     }
 
-    /// Takes one of the requests out that [`Queue::first`] named, in place of the one whose turn it
-    /// is; it counts against its own client's share.
+    /// Removes a request returned by [`Queue::peek`] because it starts, possibly ahead of the first
+    /// one; the start is charged to its own client.
     pub fn take(&mut self, id: Id) -> bool {
         let taken = self.classes.values_mut().any(|class| class.take(id));
         self.starts += u64::from(taken);
@@ -131,14 +131,14 @@
         taken
     }
 
-    /// Takes a request out that does not want to wait any longer.
+    /// Removes a request that no longer waits.
     pub fn remove(&mut self, id: Id) -> bool {
         let removed = self.classes.values_mut().any(|class| class.remove(id));
         self.length -= usize::from(removed);
         removed
     }
 
-    /// Returns how many waiting requests go before one, which may be a new one.
+    /// Returns how many waiting requests start before this one, which may not be queued yet.
     pub fn ahead_of(&self, waiter: &Waiter) -> usize {
         let higher = self.classes.range(..waiter.rank);
         let higher: usize = higher.map(|(_, class)| class.length).sum();
@@ -146,7 +146,7 @@
         higher + class.map_or(0, |class| class.ahead(waiter))
     }
 
-    /// Returns the class whose turn it is.
+    /// Returns the queue of the class that is served next.
     fn next_class(&self) -> Option<&FairQueue> {
         let mut waiting = self.classes.values().filter(|class| class.length > 0);
         if (self.starts + 1).is_multiple_of(LOWEST_CLASS_INTERVAL) {
@@ -156,7 +156,7 @@
         }
     }
 
-    /// Returns whether a client has its share of a crowded queue.
+    /// Returns whether a client already holds its share of a crowded queue.
     #[expect(clippy::cast_precision_loss, reason = "counts of requests")]
     fn exceeds_share(&self, waiter: &Waiter) -> bool {
         if (self.length as f64) < self.limit as f64 * CROWDED_SHARE {
--- a/crates/zinniastall-route/src/budget.rs
+++ b/crates/zinniastall-route/src/budget.rs
@@ -1,13 +1,14 @@
-//! The budget of retries.
+//! Retry budget.
 //!
-//! After an outage of half the targets every request fails once. If each were simply tried again,
-//! the other half would get twice its load at the moment when it is weakest. Retries are therefore paid from
-//! a budget that requests fill: over any longer time they are at most a share of the requests.
+//! After an outage of half the targets, every request fails once. If each were simply retried, the
+//! other half would get twice its load when it can least take it. Retries are therefore withdrawn
+//! from a budget to which requests deposit: over any longer period they are at most a fixed share
+//! of the requests.
 
-/// Retries that may be saved up, so that single failures at low load are always retried.
+/// Maximum number of saved retries; enough to retry every isolated failure at low load.
 const MAX_BALANCE: f64 = 10.0;
 
-/// The budget of retries.
+/// Retry budget.
 #[derive(Debug, Clone)]
 pub struct Budget {
     retry_ratio: f64,
@@ -15,7 +16,7 @@
 }
 
 impl Budget {
-    /// Creates a full budget; `share` is the number of retries that one request pays for.
+    /// Creates a full budget; `retry_ratio` is the number of retries that one request earns.
     pub const fn new(retry_ratio: f64) -> Self {
         Self {
             retry_ratio,
@@ -23,12 +24,12 @@
         }
     }
 
-    /// Takes note of a request.
+    /// Deposits the share of a retry that a request earns.
     pub fn deposit(&mut self) {
         self.balance = (self.balance + self.retry_ratio).min(MAX_BALANCE);
     }
 
-    /// Takes one retry out, if there is one.
+    /// Withdraws one retry and returns whether the budget held one.
     pub fn withdraw(&mut self) -> bool {
         if self.balance < 1.0 {
             return false;
--- a/crates/zinniastall-route/src/cache.rs
+++ b/crates/zinniastall-route/src/cache.rs
@@ -1,7 +1,7 @@
-//! What an instance knows of a target's cache.
+//! Estimate of the prefixes that a target has cached.
 //!
-//! Cache events come late: prompts that were sent to a target lately count as cached there before it
-//! says so.
+//! Cache events arrive late, so prompts that were recently sent to a target count as cached there
+//! before it reports them.
 
 use std::{
     collections::HashSet,
@@ -10,18 +10,19 @@
 
 use indexmap::IndexMap;
 
-/// Blocks of own requests that are remembered for each target.
+/// Number of blocks of own requests remembered per target, exceeded by less than
+/// [`MIN_EVICTION_BATCH`].
 const MAX_RECENT_BLOCKS: usize = 4096;
-/// Prefixes that are forgotten at once.
-const EVICTION_BATCH: usize = 512;
-/// Time for which a block that was sent to a target counts as cached there before it says so. By
-/// then a report has it, or the target has dropped it again: remembering it for longer makes every
-/// target look warm for every prompt.
+/// Minimum number of blocks evicted at once.
+const MIN_EVICTION_BATCH: usize = 512;
+/// How long a block that was sent to a target counts as cached there without a report. By then a
+/// report includes it, or the target has evicted it: after a longer time, every target would seem
+/// to have cached every prompt.
 const MAX_REPORT_DELAY: Duration = Duration::from_secs(2);
-/// Worth of a cached block while cache events are missing.
+/// Weight of a reported block while cache events are missing.
 const UNSURE_BLOCK_WEIGHT: f64 = 0.5;
 
-/// What is known of a target's cache.
+/// Prefixes that a target is expected to have cached.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct Cache {
     reported: HashSet<u64>,
@@ -36,15 +37,15 @@
         cache
     }
 
-    /// Takes note of the prefixes that a report names, and whether cache events were missed.
+    /// Applies the prefixes of a report, and whether cache events were missed.
     pub(crate) fn update(&mut self, prefixes: &[u64], gap: bool) {
         self.reported = prefixes.iter().copied().collect();
         self.gap = gap;
     }
 
-    /// Takes note of a prompt that is sent there.
+    /// Records a prompt that is sent to the target.
     pub(crate) fn record_sent(&mut self, prefixes: &[u64], now: Instant) {
-        // The first blocks are the ones that others share, so they become the newest.
+        // The first blocks are the ones shared with other prompts, so they become the newest.
         for digest in prefixes.iter().rev() {
             self.recent.shift_remove(digest);
             self.recent.insert(*digest, now);
@@ -53,14 +54,14 @@
         let expired = self.recent.values().take_while(|sent| !fresh(sent)).count();
         let surplus = self.recent.len().saturating_sub(MAX_RECENT_BLOCKS);
         let evicted = surplus.max(expired);
-        // Taking some from the front moves all that stay, as much work for one as for hundreds, and
-        // all traffic threads wait for it. What is old meanwhile counts for nothing, see `leading`.
-        if evicted >= EVICTION_BATCH {
+        // Draining the front moves all remaining entries, so removing one costs as much as removing
+        // hundreds, while all request threads wait. `leading_blocks` ignores expired entries.
+        if evicted >= MIN_EVICTION_BATCH {
             self.recent.drain(..evicted);
         }
     }
 
-    /// Returns how many leading blocks of a prompt are cached; a fraction where that is unsure.
+    /// Returns how many leading blocks of a prompt are cached; uncertain ones count as a fraction.
     #[expect(clippy::cast_precision_loss, reason = "at most a few hundred blocks")]
     pub(crate) fn leading_blocks(&self, chain: &[u64], now: Instant) -> f64 {
         let fresh = |sent: &Instant| now.saturating_duration_since(*sent) < MAX_REPORT_DELAY;
--- a/crates/zinniastall-route/src/choose.rs
+++ b/crates/zinniastall-route/src/choose.rs
@@ -1,10 +1,12 @@
-//! Fifth filter: the target that serves a request.
+//! Fifth filter: selects the target that serves a request.
 //!
-//! Looking at every target and taking the cheapest would send all instances to the same one until
-//! the next reports. The choice by cost therefore compares a few: two drawn at random (Mitzenmacher,
-//! 2001), the one that has most of the prompt cached, and the one that the prompt's first block
-//! hashes to, so that instances agree on a home for a prefix before its cache is reported. The last
-//! two count only while their load is within a bound of the mean (Mirrokni et al., 2018).
+//! If every instance compared all targets and took the cheapest, all would send to the same one
+//! until the next reports arrive. Selection by cost therefore compares a few candidates: two
+//! sampled at random (power of two choices; Mitzenmacher, 2001), the one that has cached most of
+//! the prompt, and the one that the prompt's first block hashes to (rendezvous hashing), so that
+//! instances agree on a target for a prefix before its cache is reported. The last two are
+//! candidates only while their load is within a bound of the mean (consistent hashing with bounded
+//! loads; Mirrokni et al., 2018).
 
 use std::time::Instant;
 
@@ -16,32 +18,33 @@
     policy::{Choice, Policy},
 };
 
-/// Load over the mean up to which a target keeps its affinity.
-const MAX_AFFINITY_LOAD: f64 = 1.25;
-/// Share of a request's time by which a full batch slows it down.
+/// Maximum ratio of a target's utilization to the mean at which prefix affinity applies.
+const MAX_AFFINITY_LOAD_RATIO: f64 = 1.25;
+/// Share of its service time by which a full batch slows a request down.
 const FULL_BATCH_SLOWDOWN: f64 = 0.05;
-/// Costs within this factor and this many milliseconds of the least count as equal: means are not
-/// known better than that, and always taking the least would use one target only.
+/// Costs within this factor plus [`TIE_MARGIN_MS`] of the lowest count as equal: estimates are no
+/// more precise than that, and always taking the lowest would use a single target.
 const TIE_FACTOR: f64 = 1.05;
+/// See [`TIE_FACTOR`].
 const TIE_MARGIN_MS: f64 = 1.0;
 
-/// A target that may be chosen.
+/// A target that may be selected.
 #[derive(Debug, Clone, Copy)]
 pub struct Candidate<'a> {
-    /// Name.
+    /// Name of the target.
     pub target: &'a str,
-    /// What is known of it.
+    /// Its load and cache, as known to this instance.
     pub load: &'a Load,
 }
 
-/// The choice of one instance; it remembers its turn.
+/// Selects targets for one instance; keeps the position of round robin.
 #[derive(Debug, Default)]
 pub struct Chooser {
     next_turn: usize,
 }
 
 impl Chooser {
-    /// Chooses one of the candidates, which are in a fixed order; `None` when there is none.
+    /// Selects one of the candidates, which are in a fixed order; returns `None` if there are none.
     pub fn choose(
         &mut self,
         policy: &Policy,
@@ -73,7 +76,7 @@
     }
 }
 
-/// Returns the cost of a target for a prompt, in milliseconds.
+/// Returns the cost of serving a prompt at a target, in milliseconds.
 pub fn cost(policy: &Policy, prefixes: &[u64], load: &Load, now: Instant) -> f64 {
     let service = millis(load.service_time());
     let wait = millis(load.expected_wait(now))
@@ -84,7 +87,7 @@
         + weights.price * load.price() * service
 }
 
-/// Returns the part of the cost that is due to blocks which the target has not cached.
+/// Returns the part of the cost that is caused by blocks which the target has not cached.
 #[expect(clippy::cast_precision_loss, reason = "at most a few hundred blocks")]
 pub fn cache_miss_cost(policy: &Policy, prefixes: &[u64], load: &Load, now: Instant) -> f64 {
     let uncached = prefixes.len() as f64 - load.cached_blocks(prefixes, now);
@@ -108,7 +111,7 @@
     let equal = sampled.into_iter().zip(costs);
     let equal = equal.filter(|(_, cost)| *cost <= least * TIE_FACTOR + TIE_MARGIN_MS);
     let equal: Vec<_> = equal.map(|(candidate, _)| candidate).collect();
-    // Where no target is better, all instances agree on one, and the others' caches stay as they are.
+    // Among equal targets, all instances agree on one, which leaves the others' caches undisturbed.
     let home = prefixes
         .first()
         .and_then(|first| rendezvous(candidates, *first));
@@ -118,7 +121,7 @@
     chosen.or_else(|| equal.choose(random)).copied()
 }
 
-/// Returns the targets that a prompt's prefix belongs to, unless they have too much to do.
+/// Returns the targets with affinity to a prompt's prefix, without overloaded ones.
 fn affinity_candidates<'a, 'b>(
     prefixes: &[u64],
     candidates: &'a [Candidate<'b>],
@@ -146,8 +149,8 @@
         .iter()
         .map(|candidate| candidate.load.utilization(now));
     let mean = utilizations.sum::<f64>() / candidates.len() as f64;
-    // Below a full batch there is no wait to avoid.
-    (mean * MAX_AFFINITY_LOAD).max(1.0)
+    // Requests do not wait at a target whose batch is not full.
+    (mean * MAX_AFFINITY_LOAD_RATIO).max(1.0)
 }
 
 fn least_in_flight<'a, 'b>(
@@ -165,8 +168,8 @@
     ties.choose(random).copied()
 }
 
-/// Returns the target that a digest hashes to (highest random weight; Thaler and Ravishankar,
-/// 1998). When targets come and go, only the prefixes of these move.
+/// Returns the target that a digest hashes to by rendezvous hashing (highest random weight; Thaler
+/// and Ravishankar, 1998). When targets join or leave, only the prefixes of these targets move.
 fn rendezvous<'a, 'b>(candidates: &'a [Candidate<'b>], digest: u64) -> Option<&'a Candidate<'b>> {
     candidates
         .iter()
--- a/crates/zinniastall-route/src/dispatch.rs
+++ b/crates/zinniastall-route/src/dispatch.rs
@@ -1,8 +1,8 @@
-//! Sixth filter: what may follow an attempt that brought no whole answer.
+//! Sixth filter: decides whether a failed attempt is retried.
 //!
 //! A retry may run a request twice. It is therefore permitted only after an attempt that certainly
-//! did not run, or for an idempotent request; and only within a budget and before the deadline, so
-//! that an outage of some targets isn't multiplied onto the rest.
+//! did not run, or for an idempotent request. It also needs the retry budget and must start before
+//! the deadline, so that an outage of some targets does not multiply the load of the others.
 
 use std::time::Instant;
 
@@ -11,33 +11,33 @@
     request::Request,
 };
 
-/// Most attempts of one request, the first included.
-pub const MAX_ATTEMPTS: u32 = 3;
+/// Maximum number of attempts for one request, including the first.
+pub const ATTEMPT_LIMIT: u32 = 3;
 
 /// What follows a failed attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Next {
-    /// Another target is tried.
+    /// Another attempt is made.
     Retry,
     /// The request ends.
     End,
 }
 
-/// How far a request has come.
+/// Progress of a request.
 #[derive(Debug, Clone, Copy)]
 pub struct Progress {
-    /// Attempts made.
+    /// Number of attempts made.
     pub attempts: u32,
-    /// Whether a part of an answer has gone to the caller.
+    /// Whether part of a response has been sent to the caller.
     pub relayed: bool,
-    /// Whether the retry budget has something left.
+    /// Whether the retry budget holds a retry.
     pub has_budget: bool,
 }
 
-/// Decides on what follows a failed attempt.
+/// Decides what follows a failed attempt.
 pub fn next(request: &Request, failure: &Refusal, progress: Progress, now: Instant) -> Next {
     let safe = failure.outcome == Outcome::NotRun || request.idempotent;
-    let left = now < request.deadline && progress.attempts < MAX_ATTEMPTS;
+    let left = now < request.deadline && progress.attempts < ATTEMPT_LIMIT;
     if safe && left && progress.has_budget && !progress.relayed {
         Next::Retry
     } else {
@@ -45,9 +45,9 @@
     }
 }
 
-/// Merges the ends of two attempts: a request is "not run" only if no attempt may have run.
+/// Merges the refusals of two attempts: a request is "not run" only if no attempt may have run.
 ///
-/// The caller is told why the attempt ended that decides on the outcome.
+/// The reason is that of the attempt which determines the outcome.
 #[must_use]
 pub fn merge(earlier: Option<Refusal>, later: Refusal) -> Refusal {
     match earlier {
--- a/crates/zinniastall-route/src/eject.rs
+++ b/crates/zinniastall-route/src/eject.rs
@@ -1,20 +1,20 @@
-//! Ejects targets that fail again and again, but never too many of them.
+//! Outlier detection: ejects targets that fail repeatedly, within a limit.
 //!
-//! A target that answers nothing looks idle, so a choice by load sends it ever more requests. After
-//! some failures in a row it gets none for a while, which doubles each time. When most targets fail
-//! at once the cause is elsewhere, and ejecting them all would refuse everything; a floor keeps
-//! some in use.
+//! A target that never responds looks idle, so selection by load would send it ever more requests.
+//! After several consecutive failures it receives none for a time that doubles with each ejection.
+//! When most targets fail at once, the cause is elsewhere, and ejecting all of them would refuse
+//! every request; therefore a minimum share of the targets stays usable.
 
 use std::time::{Duration, Instant};
 
-/// Failures in a row that eject a target.
+/// Number of consecutive failures after which a target is ejected.
 const FAILURE_THRESHOLD: u32 = 3;
-/// First ejection.
+/// Duration of the first ejection.
 const BASE_EJECTION_TIME: Duration = Duration::from_secs(1);
-/// Longest ejection.
+/// Maximum duration of an ejection.
 const MAX_EJECTION_TIME: Duration = Duration::from_secs(30);
 
-/// One target's record of failures.
+/// Detects consecutive failures of one target.
 #[derive(Debug, Clone, Default)]
 pub struct Detector {
     failures: u32,
@@ -23,33 +23,33 @@
 }
 
 impl Detector {
-    /// Takes note of a failure that is the target's: lost, unreachable or late.
+    /// Records a failure caused by the target: a lost request, no connection or a passed deadline.
     pub fn failed(&mut self, now: Instant) {
         self.failures += 1;
         if self.failures >= FAILURE_THRESHOLD {
             let backoff = BASE_EJECTION_TIME.saturating_mul(1 << self.ejections.min(8));
             self.ejected_until = Some(now + backoff.min(MAX_EJECTION_TIME));
             self.ejections += 1;
-            // One more failure after the ejection is enough for the next.
+            // After an ejection, a single failure causes the next one.
             self.failures = FAILURE_THRESHOLD - 1;
         }
     }
 
-    /// Takes note of an answer.
+    /// Records a response, which resets the failures and the backoff.
     pub fn answered(&mut self) {
         *self = Self::default();
     }
 
-    /// Returns when the target may be used again; `None` when it may be used now.
+    /// Returns when the ejection ends; `None` if the target may be used now.
     pub fn ejected_until(&self, now: Instant) -> Option<Instant> {
         self.ejected_until.filter(|until| *until > now)
     }
 }
 
-/// Returns which targets may be used, given each one's end of ejection.
+/// Returns for each target whether it may be used, given the ends of the ejections.
 ///
-/// At least `floor` of them may, those whose ejection ends first; the result has the order of the
-/// input.
+/// At least the share `floor` of the targets stays usable, those whose ejection ends first; the
+/// result has the order of the input.
 pub fn usable(ejected_until: &[Option<Instant>], floor: f64) -> Vec<bool> {
     let count = min_usable(ejected_until.len(), floor);
     let mut order: Vec<usize> = (0..ejected_until.len()).collect();
--- a/crates/zinniastall-route/src/fair_queue.rs
+++ b/crates/zinniastall-route/src/fair_queue.rs
@@ -1,7 +1,7 @@
-//! Waiting requests of one class, shared out between clients.
+//! Weighted fair queue of one class.
 //!
-//! Clients of a class go by their weights, so that one client's burst does not starve the others
-//! (start-time fair queueing; Goyal, Vin and Cheng, 1996).
+//! Clients of a class are served in proportion to their weights, so that a burst of one client does
+//! not starve the others (start-time fair queueing; Goyal, Vin and Cheng, 1996).
 
 use std::collections::VecDeque;
 
@@ -10,7 +10,7 @@
 
 use crate::admit::{Id, Waiter};
 
-/// Waiting requests of one class.
+/// Waiting requests of one class, by client.
 #[derive(Debug, Default)]
 pub(crate) struct FairQueue {
     pub(crate) flows: IndexMap<id::Client, Flow>,
@@ -44,13 +44,13 @@
             });
         flow.weight = f64::from(waiter.weight.max(1));
         if flow.waiting.is_empty() {
-            // A client that was away has no claim to the time it did not use.
+            // An idle client earns no credit for the time that it did not use.
             flow.start_tag = flow.start_tag.max(virtual_time);
         }
         flow
     }
 
-    /// Returns requests in the order of shares, several of a client one after the other.
+    /// Returns requests by the start tag of their client; those of one client are adjacent.
     pub(crate) fn peek(&self, count: usize) -> Vec<Id> {
         let waiting = self.flows.values();
         let mut waiting: Vec<_> = waiting.filter(|flow| !flow.waiting.is_empty()).collect();
@@ -72,7 +72,8 @@
         true
     }
 
-    /// Forgets clients that have caught up, so that the table is bounded by who waits.
+    /// Removes idle clients whose start tag the virtual time has reached, so that the table is
+    /// bounded by the waiting clients.
     fn remove_idle_flows(&mut self) {
         let virtual_time = self.virtual_time;
         self.flows
@@ -90,7 +91,7 @@
         false
     }
 
-    /// Returns how many go before a request of a client, when all shares are served by weight.
+    /// Returns how many requests start before one of a client if all clients are served by weight.
     #[expect(
         clippy::cast_possible_truncation,
         clippy::cast_sign_loss,
--- a/crates/zinniastall-route/src/hops.rs
+++ b/crates/zinniastall-route/src/hops.rs
@@ -1,18 +1,18 @@
-//! Rules of forwarding that rule out loops.
+//! Rules that prevent forwarding loops.
 //!
-//! A request crosses at most one border between regions, and at most one between zones within each
-//! region; it enters no place twice. The sender checks before it forwards and the receiver checks what
-//! arrives, so that one wrong instance alone cannot make a loop.
+//! A request crosses at most one region boundary, and at most one zone boundary within each region;
+//! it enters no place twice. The sender checks before it forwards and the receiver checks on
+//! arrival, so that a single faulty instance cannot cause a loop.
 
 use zinniastall_model::place::Place;
 
 use crate::outcome::Reason;
 
-/// Checks a list of places that a request has passed, in order.
+/// Checks the places that a request has passed, in order.
 ///
 /// # Errors
 ///
-/// [`Reason::TooManyHops`].
+/// Returns [`Reason::TooManyHops`] if the list is empty or breaks these rules.
 pub fn check(hops: &[Place]) -> Result<(), Reason> {
     let is_repeated = |(index, place): (usize, &Place)| hops[..index].contains(place);
     let region_crossings = crossings(hops, |a, b| a.region != b.region);
@@ -29,19 +29,20 @@
     }
 }
 
-/// Checks whether a request that has passed `hops` may go on to a place, as its sender does.
+/// Checks, at the sender, whether a request that has passed `hops` may be forwarded to a place.
 ///
-/// A request that came from another instance is served or refused where it is; it never goes on.
+/// Returns the hops including that place. A request that came from another instance is served or
+/// refused locally; it is never forwarded again.
 ///
 /// # Errors
 ///
-/// [`Reason::TooManyHops`].
+/// Returns [`Reason::TooManyHops`] if the request may not be forwarded there.
 pub fn check_next(hops: &[Place], next: &Place) -> Result<Vec<Place>, Reason> {
     if hops.len() != 1 {
         return Err(Reason::TooManyHops);
     }
     let mut extended = hops.to_vec();
-    // Passing a ticket to its issuer in the same zone crosses no border.
+    // Passing a ticket to its issuer in the same zone crosses no boundary.
     if hops.last() != Some(next) {
         extended.push(next.clone());
     }
@@ -49,14 +50,15 @@
     Ok(extended)
 }
 
-/// Checks the places of a request that arrived from a sender's place, as its receiver does.
+/// Checks, at the receiver, the places of a request that arrived from a sender's place.
 ///
-/// The first place decides what a client without a rule may use, so a sender that names another than
-/// its own would choose the region for it.
+/// The first place determines the region that a client without residency rules may use. A sender
+/// that names a place other than its own would select that region itself.
 ///
 /// # Errors
 ///
-/// [`Reason::TooManyHops`].
+/// Returns [`Reason::TooManyHops`] if the places are invalid or do not lead from the sender to this
+/// instance.
 pub fn check_arrived(hops: &[Place], sender: &Place, local: &Place) -> Result<(), Reason> {
     check(hops)?;
     if hops.len() > 2 || hops.first() != Some(sender) || hops.last() != Some(local) {
@@ -65,9 +67,9 @@
     Ok(())
 }
 
-fn crossings(hops: &[Place], is_border: impl Fn(&Place, &Place) -> bool) -> usize {
+fn crossings(hops: &[Place], is_boundary: impl Fn(&Place, &Place) -> bool) -> usize {
     let steps = hops.windows(2);
     steps
-        .filter(|step| step[0] != step[1] && is_border(&step[0], &step[1]))
+        .filter(|step| step[0] != step[1] && is_boundary(&step[0], &step[1]))
         .count()
 }
--- a/crates/zinniastall-route/src/identify.rs
+++ b/crates/zinniastall-route/src/identify.rs
@@ -1,4 +1,4 @@
-//! First filter: who asks, and what is to serve it.
+//! First filter: identifies the client, and the model or service that is to serve the request.
 
 use std::sync::Arc;
 
@@ -11,7 +11,7 @@
 
 use crate::outcome::Reason;
 
-/// The configuration, arranged for look-ups by request; made once a revision.
+/// Lookup index of a configuration, built once per revision.
 #[derive(Debug, Default)]
 pub struct Index {
     keys: IndexMap<String, id::Client>,
@@ -23,7 +23,7 @@
 }
 
 impl Index {
-    /// Arranges a configuration.
+    /// Builds the index of a configuration.
     pub fn new(state: &Arc<State>) -> Self {
         let mut index = Self {
             revision: state.revision,
@@ -32,19 +32,19 @@
         for record in state.objects.values() {
             index.add(&record.object);
         }
-        // The longest prefix wins, so it has to come first.
+        // Lookups take the first match, and the longest prefix has to win.
         index
             .routes
             .sort_by(|a, b| b.prefix.len().cmp(&a.prefix.len()).then(a.id.cmp(&b.id)));
         index
     }
 
-    /// Returns the revision that it was made of.
+    /// Returns the revision of the configuration.
     pub const fn revision(&self) -> id::Revision {
         self.revision
     }
 
-    /// Returns the residency rules that cover a client.
+    /// Returns the residency rules of a client.
     pub fn rules(&self, client: &str) -> &[Residency] {
         self.rules.get(client).map_or(&[], Vec::as_slice)
     }
@@ -53,18 +53,18 @@
     ///
     /// # Errors
     ///
-    /// [`Reason::UnknownKey`] and [`Reason::Withdrawn`].
+    /// Returns [`Reason::UnknownKey`] or [`Reason::Withdrawn`].
     pub fn by_key(&self, key: &str) -> Result<&Client, Reason> {
         let digest = blake3::hash(key.as_bytes()).to_hex();
         let client = self.keys.get(digest.as_str()).ok_or(Reason::UnknownKey)?;
         self.client(client)
     }
 
-    /// Finds a client by name, as forwarded requests carry it.
+    /// Finds a client by the name that forwarded requests carry.
     ///
     /// # Errors
     ///
-    /// [`Reason::UnknownKey`] and [`Reason::Withdrawn`].
+    /// Returns [`Reason::UnknownKey`] or [`Reason::Withdrawn`].
     pub fn client(&self, client: &str) -> Result<&Client, Reason> {
         let client = self.clients.get(client).ok_or(Reason::UnknownKey)?;
         if client.withdrawn {
@@ -73,11 +73,11 @@
         Ok(client)
     }
 
-    /// Finds the route of a path; `model` is the one that the body names, if any.
+    /// Finds the route of a path; `model` is the model named in the body, if any.
     ///
     /// # Errors
     ///
-    /// [`Reason::NoRoute`].
+    /// Returns [`Reason::NoRoute`] if no route matches.
     pub fn route(&self, path: &str, model: Option<&str>) -> Result<&Route, Reason> {
         let matches_route = |route: &&Route| match &route.subject {
             Subject::Model(name) => Some(name.as_str()) == model && covers(&route.prefix, path),
@@ -89,19 +89,20 @@
         })
     }
 
-    /// Returns whether any route of a path serves models, so that its body must name one.
+    /// Returns whether the first route that covers a path serves a model, so that the body must
+    /// name one.
     pub fn needs_model(&self, path: &str) -> bool {
         let covering = self.routes.iter().find(|route| covers(&route.prefix, path));
         covering.is_some_and(|route| matches!(route.subject, Subject::Model(_)))
     }
 
-    /// Finds what a name stands for.
+    /// Finds the routed model or service with this name.
     pub fn subject(&self, name: &str) -> Option<&Subject> {
         let subjects = self.routes.iter().map(|route| &route.subject);
         subjects.into_iter().find(|subject| subject.name() == name)
     }
 
-    /// Returns the configured version of a subject.
+    /// Returns the configured version of a model; services have none.
     pub fn version(&self, subject: &Subject) -> Option<&str> {
         match subject {
             Subject::Model(model) => self.versions.get(model).map(String::as_str),
@@ -131,8 +132,8 @@
     }
 }
 
-/// Returns whether a prefix covers a path; it ends at a border between segments, so that `/proofs`
-/// does not take `/proofsheets`.
+/// Returns whether a prefix covers a path; it matches whole segments only, so that `/proofs` does
+/// not cover `/proofsheets`.
 fn covers(prefix: &str, path: &str) -> bool {
     let Some(rest) = path.strip_prefix(prefix) else {
         return false;
@@ -140,7 +141,7 @@
     prefix.ends_with('/') || rest.is_empty() || rest.starts_with('/')
 }
 
-/// Cuts what a caller sent before it goes into an error, so that errors stay short.
+/// Truncates text sent by a caller, so that error messages stay short.
 fn truncate(text: &str) -> String {
     const MAX_CHARS: usize = 80;
     text.chars().take(MAX_CHARS).collect()
--- a/crates/zinniastall-route/src/lib.rs
+++ b/crates/zinniastall-route/src/lib.rs
@@ -1,11 +1,11 @@
 //! The request path as pure filters over an immutable view.
 //!
 //! A request passes `identify → residency → ticket → admit → choose → dispatch → relay → settle`.
-//! Each filter is one module: a function of what is known, the request and the time, with a typed
-//! verdict and no I/O, so that property tests drive it without processes. The daemon around it is a
-//! thin shell that does what a verdict says.
+//! Each filter is one module: a function of the current view, the request and the time that returns
+//! a typed decision and performs no I/O, so that property tests run it without processes. The
+//! daemon around the filters only carries out their decisions.
 //!
-//! Every request ends in exactly one [`outcome::Outcome`].
+//! Every request ends with exactly one [`outcome::Outcome`].
 
 pub mod admit;
 pub mod budget;
--- a/crates/zinniastall-route/src/limit.rs
+++ b/crates/zinniastall-route/src/limit.rs
@@ -1,30 +1,32 @@
-//! How many requests one instance keeps at one target.
+//! Adaptive concurrency limit of one instance at one target.
 //!
-//! Targets announce their slots, but several instances share a target and none knows the others'
-//! requests in time. Each instance therefore finds its own limit: it grows by one for a limit's
-//! worth of answers while it is used, and shrinks by a share when the target refuses or reports a
-//! queue (additive increase, multiplicative decrease; Chiu and Jain, 1989). Work that a target
-//! would queue waits at the instance instead, where priorities, shares and deadlines still count.
+//! Targets announce their slots, but several instances share a target and none learns of the
+//! others' requests in time. Each instance therefore adapts its own limit: the limit grows by one
+//! per limit's worth of responses while it is used, and shrinks by a factor when the target refuses
+//! a request or reports a queue (additive increase, multiplicative decrease; Chiu and Jain, 1989).
+//! Requests that a target would queue wait at the instance instead, where priorities, weights and
+//! deadlines still apply.
 
 use std::time::{Duration, Instant};
 
-/// Factor after a refusal.
+/// Factor applied to the limit after a refusal.
 const REFUSED_FACTOR: f64 = 0.7;
-/// Factor after a report of a queue.
+/// Factor applied to the limit after a report of queued requests.
 const QUEUED_FACTOR: f64 = 0.9;
-/// A limit shrinks at most once in this time: all requests of one overload tell the same news.
+/// Minimum time between two decreases: all refusals of one overload carry the same information.
 const MIN_SHRINK_INTERVAL: Duration = Duration::from_millis(200);
-/// Share of the slots at which a target that is new here starts. Its cache and connections are
-/// cold, and every instance discovers it at the same moment.
-const INITIAL_SHARE: f64 = 0.5;
-/// Most requests over the slots. One instance alone can then use every slot, and what the others of its
-/// zone add keeps a target from standing idle between two requests. With two batches of each,
-/// requests waited where they can neither change their target nor be passed by more urgent ones.
-const MAX_SHARE: f64 = 1.0;
-/// Share of the limit that must be in use for it to grow.
+/// Share of the slots at which the limit of a new target starts. Its cache and connections are
+/// cold, and all instances discover it at the same time.
+const INITIAL_SLOT_SHARE: f64 = 0.5;
+/// Maximum limit as a multiple of the slots. One instance alone can then use every slot, and the
+/// requests of the zone's other instances keep the target from idling between two requests. At
+/// twice the slots, requests would wait at the target, where they can neither be moved to another
+/// target nor be overtaken by more urgent ones.
+const MAX_SLOT_FACTOR: f64 = 1.0;
+/// Share of the limit that must be in use before it grows.
 const MIN_USED_SHARE: f64 = 0.75;
 
-/// How many requests one instance keeps at one target.
+/// Concurrency limit of one instance at one target.
 #[derive(Debug, Clone)]
 pub struct Limit {
     value: f64,
@@ -33,19 +35,19 @@
 }
 
 impl Limit {
-    /// Creates the limit for a target with these slots.
+    /// Creates the limit of a target with this number of slots.
     pub fn new(slots: u32) -> Self {
         let slots = f64::from(slots.max(1));
         Self {
-            value: (slots * INITIAL_SHARE).max(1.0),
-            max: slots * MAX_SHARE,
+            value: (slots * INITIAL_SLOT_SHARE).max(1.0),
+            max: slots * MAX_SLOT_FACTOR,
             last_shrink: None,
         }
     }
 
-    /// Returns the limit in requests, at least 1.
+    /// Returns the maximum number of requests in flight, at least 1.
     pub fn requests(&self) -> u32 {
-        // Between 1 and the slots, which fit.
+        // Between 1 and the number of slots, which fits.
         #[expect(
             clippy::cast_possible_truncation,
             clippy::cast_sign_loss,
@@ -55,27 +57,27 @@
         requests.max(1)
     }
 
-    /// Takes note of the announced slots.
+    /// Applies the announced number of slots.
     pub fn set_slots(&mut self, slots: u32) {
-        self.max = f64::from(slots.max(1)) * MAX_SHARE;
+        self.max = f64::from(slots.max(1)) * MAX_SLOT_FACTOR;
         self.value = self.value.min(self.max);
     }
 
-    /// Takes note of an answer that came while this many requests were in progress.
+    /// Records a response that arrived while `in_flight` requests were in flight.
     pub fn answered(&mut self, in_flight: u32) {
-        // The value has a fraction that nobody can use: held against it, a small limit would never
-        // look used and stay where it started.
+        // Compares with the whole number of requests: the fraction cannot be used, and a small
+        // limit would otherwise never count as used and never grow.
         if f64::from(in_flight) >= f64::from(self.requests()) * MIN_USED_SHARE {
             self.value = (self.value + 1.0 / self.value).min(self.max);
         }
     }
 
-    /// Takes note of a refusal.
+    /// Records a refusal.
     pub fn refused(&mut self, now: Instant) {
         self.shrink(REFUSED_FACTOR, now);
     }
 
-    /// Takes note of a report of the requests that a target runs and queues.
+    /// Records a report of the number of requests that the target runs and queues.
     pub fn reported(&mut self, busy: u32, now: Instant) {
         if f64::from(busy) > self.max {
             self.shrink(QUEUED_FACTOR, now);
--- a/crates/zinniastall-route/src/load.rs
+++ b/crates/zinniastall-route/src/load.rs
@@ -1,7 +1,8 @@
-//! What an instance knows of the load and the caches of its zone's targets.
+//! Load and caches of the zone's targets, as known to one instance.
 //!
-//! Reports lag. The table therefore counts the instance's own requests exactly, takes from a report
-//! only what others had in progress then, and discounts that by the report's age.
+//! Reports lag behind. The table therefore counts the instance's own requests exactly, takes from a
+//! report only the requests that other instances had in flight, and discounts these by the report's
+//! age.
 
 use std::time::{Duration, Instant};
 
@@ -10,29 +11,30 @@
 
 use crate::{cache::Cache, eject::Detector, limit::Limit};
 
-/// Age at which half of what others had in progress counts as finished.
+/// Age of a report at which half of the others' requests count as finished.
 const OTHERS_HALF_LIFE_SECS: f64 = 2.0;
-/// Weight of the newest value in a mean.
+/// Weight of the latest sample in the moving averages of service times.
 const SERVICE_TIME_WEIGHT: f64 = 0.1;
-/// Weight of the newest report in the mean of what others have in progress. A report is late and own
-/// requests are counted to the moment, so that a single difference of the two is mostly noise.
+/// Weight of the latest report in the moving average of the others' requests. Reports are delayed
+/// while own requests are counted exactly, so that a single difference of the two is mostly noise.
 const REPORT_WEIGHT: f64 = 0.3;
-/// Time of a request while nothing at all is known.
+/// Service time assumed before the first response of any target.
 const DEFAULT_SERVICE_SECS: f64 = 0.2;
-/// Share by which each answer of another target moves a target's mean towards the common one. A
-/// target that was slow once and gets no requests for it would otherwise never be tried again.
+/// Share by which each response of another target moves a target's mean service time towards the
+/// overall mean. A target that was slow once, and therefore gets no requests, would otherwise never
+/// be tried again.
 const DRIFT_WEIGHT: f64 = 0.01;
 
-/// What a target announced.
+/// Report announced by a target.
 #[derive(Debug, Clone)]
 pub struct Report {
-    /// Run of its process.
+    /// Incarnation of its process.
     pub incarnation: id::Incarnation,
-    /// Number of its announcement.
+    /// Sequence number of the announcement.
     pub sequence: u64,
-    /// Requests that it runs at once.
+    /// Number of requests that it runs concurrently.
     pub slots: u32,
-    /// Requests that it ran or queued.
+    /// Number of requests that it was running or had queued.
     pub busy: u32,
     /// Price of one busy second.
     pub price: f64,
@@ -40,11 +42,11 @@
     pub prefixes: Vec<u64>,
     /// Whether cache events were missed.
     pub gap: bool,
-    /// When it arrived.
+    /// When the report arrived.
     pub received_at: Instant,
 }
 
-/// What is known of one target.
+/// Load and cache of one target.
 #[derive(Debug, Clone)]
 pub struct Load {
     incarnation: id::Incarnation,
@@ -60,29 +62,29 @@
     service_secs: f64,
 }
 
-/// How one request at a target ended, as its load is concerned.
+/// How a request at a target ended, as far as it concerns the target's load.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum End {
-    /// A whole answer after this time.
+    /// A complete response arrived after this time.
     Answered(Duration),
-    /// Refused before it ran.
+    /// The target refused it before running it.
     Refused,
-    /// Lost, unreachable or late.
+    /// The request was lost, the target could not be reached, or the deadline passed.
     Failed,
-    /// The caller went away; it says nothing of the target.
+    /// The caller disconnected, which says nothing about the target.
     Cancelled,
 }
 
-/// What is known of all targets.
+/// Load and caches of all targets.
 #[derive(Debug, Clone, Default)]
 pub struct Table {
     loads: IndexMap<id::Target, Load>,
-    /// Mean time of a request over all targets, in seconds.
+    /// Mean service time over all targets, in seconds.
     mean_service_secs: Option<f64>,
 }
 
 impl Table {
-    /// Takes note of a report; an old one changes nothing.
+    /// Applies a report; outdated ones are ignored.
     pub fn observe(&mut self, target: &str, report: &Report, now: Instant) {
         let load = match self.loads.get_mut(target) {
             Some(load) if load.incarnation == report.incarnation => load,
@@ -101,18 +103,18 @@
         }
     }
 
-    /// Forgets targets that are gone.
+    /// Removes targets that are not live, unless they have requests in flight.
     pub fn retain(&mut self, live: impl Fn(&str) -> bool) {
         self.loads
             .retain(|target, load| load.in_flight > 0 || live(target));
     }
 
-    /// Returns what is known of a target.
+    /// Returns the load of a target.
     pub fn get(&self, target: &str) -> Option<&Load> {
         self.loads.get(target)
     }
 
-    /// Counts a request with these prefixes at a target and returns the target's run.
+    /// Counts a request with these prefixes at a target and returns the target's incarnation.
     pub fn start(&mut self, target: &str, prefixes: &[u64], now: Instant) -> id::Incarnation {
         let Some(load) = self.loads.get_mut(target) else {
             return 0;
@@ -122,12 +124,12 @@
         load.incarnation
     }
 
-    /// Ends the count of a request at a run of a target.
+    /// Ends the count of a request at an incarnation of a target.
     pub fn end(&mut self, target: &str, incarnation: id::Incarnation, end: End, now: Instant) {
         let Some(load) = self.loads.get_mut(target) else {
             return;
         };
-        // Requests at an earlier run are gone with its counts.
+        // The counts of an earlier incarnation were dropped with it.
         if load.incarnation != incarnation {
             return;
         }
@@ -147,10 +149,10 @@
 }
 
 impl Table {
-    /// Takes note of the time of a request; all other means drift a little towards the common one.
+    /// Records a service time; the means of all other targets drift towards the overall mean.
     fn record_service_time(&mut self, target: &str, elapsed: Duration) {
         let elapsed = elapsed.as_secs_f64();
-        // What the first answer says of one target is the best guess for all.
+        // The first service time of any target is the best estimate for all.
         let mean = *self.mean_service_secs.get_or_insert_with(|| {
             self.loads
                 .values_mut()
@@ -197,22 +199,22 @@
         self.limit.reported(report.busy, now);
     }
 
-    /// Returns the requests of this instance in progress.
+    /// Returns the number of requests of this instance in flight.
     pub const fn in_flight(&self) -> u32 {
         self.in_flight
     }
 
-    /// Returns whether this instance may send it one more.
+    /// Returns whether this instance may send one more request.
     pub fn has_room(&self) -> bool {
         self.in_flight < self.limit.requests()
     }
 
-    /// Returns how many requests this instance may keep there.
+    /// Returns the concurrency limit of this instance at the target.
     pub fn limit(&self) -> u32 {
         self.limit.requests()
     }
 
-    /// Returns when an ejected target may be used again.
+    /// Returns when the ejection ends; `None` if the target may be used now.
     pub fn ejected_until(&self, now: Instant) -> Option<Instant> {
         self.detector.ejected_until(now)
     }
@@ -222,12 +224,12 @@
         self.price
     }
 
-    /// Returns the mean time of a request.
+    /// Returns the mean service time.
     pub fn service_time(&self) -> Duration {
         Duration::from_secs_f64(self.service_secs)
     }
 
-    /// Returns the requests in progress there, those of others estimated.
+    /// Returns the number of requests in flight at the target, with those of others estimated.
     pub fn estimated_in_flight(&self, now: Instant) -> f64 {
         let age = now
             .saturating_duration_since(self.received_at)
@@ -236,19 +238,19 @@
             + self.others_in_flight * 0.5_f64.powf(age / OTHERS_HALF_LIFE_SECS)
     }
 
-    /// Returns its requests in progress over its slots.
+    /// Returns the requests in flight at the target divided by its slots.
     pub fn utilization(&self, now: Instant) -> f64 {
         self.estimated_in_flight(now) / f64::from(self.slots)
     }
 
-    /// Returns the expected time until one more request starts to run.
+    /// Returns the expected time until one more request starts to run there.
     pub fn expected_wait(&self, now: Instant) -> Duration {
         let slots = f64::from(self.slots);
         let ahead = (self.estimated_in_flight(now) + 1.0 - slots).max(0.0);
         self.service_time().mul_f64(ahead / slots)
     }
 
-    /// Returns how many leading blocks of a prompt are cached; a fraction where that is unsure.
+    /// Returns how many leading blocks of a prompt are cached; uncertain ones count as a fraction.
     pub fn cached_blocks(&self, chain: &[u64], now: Instant) -> f64 {
         self.cache.leading_blocks(chain, now)
     }
--- a/crates/zinniastall-route/src/locate.rs
+++ b/crates/zinniastall-route/src/locate.rs
@@ -1,77 +1,77 @@
-//! Locate: tells a caller which entry instances to use, in order.
+//! Service discovery: tells callers which entry instances to use, in order of preference.
 //!
-//! There is no balancer before the entry instances, so the answers have to spread the callers. Each
-//! answer is a weighted random order: an instance comes first with a probability that is its share
-//! of the weight, where the weight is what it has free. A fixed order would send everybody to the
-//! same instance, and "least loaded first" would send everybody to the one that was least loaded
-//! when its load was last heard.
+//! There is no load balancer in front of the entry instances, so the answers have to spread the
+//! callers. Each answer is a weighted random order: an instance comes first with a probability
+//! equal to its share of the total weight, and its weight is its free capacity. A fixed order would
+//! send all callers to the same instance, and ordering by load would send all of them to the
+//! instance that was least loaded at its last report.
 
 use std::time::Duration;
 
 use rand::Rng;
 use zinniastall_model::{id, place::Place};
 
-/// Weight of an idle instance that has been up for long.
+/// Weight of an idle instance after its slow start.
 pub const MAX_WEIGHT: u32 = 1000;
-/// Least weight of an instance that may be used; one that is full still serves callers who can
-/// reach nothing else.
+/// Minimum weight of a usable instance; a full one still serves callers that reach no other.
 const MIN_WEIGHT: u32 = 10;
-/// Most instances that an answer names.
+/// Maximum number of instances in an answer.
 const MAX_INSTANCES: usize = 8;
-/// How long a newcomer takes to reach its whole weight. Its caches and connections are cold, and
-/// until its own load is heard it looks idle to everybody at once.
+/// Time over which a new instance's weight rises to its full value. Its caches and connections are
+/// cold, and until its load is reported it looks idle to all other instances at once.
 pub const SLOW_START: Duration = Duration::from_secs(10);
-/// How long an answer is good for.
+/// Validity of an answer.
 const VALIDITY: Duration = Duration::from_secs(10);
-/// How long an answer of a cut-off instance is good for: it can't see what it leaves out.
+/// Validity of an answer while the instance does not reach the control group and may not see all
+/// other instances.
 const DISCONNECTED_VALIDITY: Duration = Duration::from_secs(3);
 
-/// An entry instance as the answering one sees it.
+/// An entry instance, as seen by the instance that answers.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Candidate {
-    /// Name.
+    /// Name of the instance.
     pub instance: id::Instance,
     /// Where it runs.
     pub place: Place,
-    /// Address that callers use.
+    /// Address on which it serves callers.
     pub caller_address: String,
-    /// Requests in progress over what it can take, in thousandths.
+    /// Requests in flight divided by its capacity, in thousandths.
     pub load: u32,
-    /// How long it has been up.
+    /// Time since it started.
     pub uptime: Duration,
-    /// Whether it takes no new requests.
+    /// Whether it accepts no new requests.
     pub draining: bool,
 }
 
 /// An instance in an answer.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Instance {
-    /// Name.
+    /// Name of the instance.
     pub instance: id::Instance,
     /// Where it runs.
     pub place: Place,
-    /// Address that callers use.
+    /// Address on which it serves callers.
     pub caller_address: String,
-    /// Share of a caller's requests that should go there, relative to the others of its place.
+    /// Share of a caller's requests that should go there, relative to the others in its place.
     pub weight: u32,
 }
 
-/// An answer.
+/// Answer to a caller.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Answer {
     /// Instances in the order in which to try them.
     pub instances: Vec<Instance>,
-    /// How long the caller may go by this answer.
+    /// How long the caller may use this answer.
     pub valid: Duration,
-    /// Whether the answering instance reaches the control group; when it doesn't, it names what it
-    /// can see.
+    /// Whether the answering instance reaches the control group; if it does not, the answer names
+    /// the instances that it sees.
     pub connected: bool,
 }
 
 /// Orders the instances for a caller in a place.
 ///
-/// Those of the caller's zone come first, then those of its region, then the others: a border costs
-/// time, and the other side may be cut off next.
+/// Instances in the caller's zone come first, then those in its region, then the others: crossing a
+/// boundary takes time, and a partition may cut off the other side.
 ///
 /// # Example
 ///
@@ -130,15 +130,15 @@
     }
 }
 
-/// Returns the weight of an instance: what it has free, less while it is new.
+/// Returns the weight of an instance: its free capacity, reduced during its slow start.
 pub fn weight(candidate: &Candidate) -> u32 {
     let free = MAX_WEIGHT.saturating_sub(candidate.load);
-    let uptime = candidate.uptime.min(SLOW_START).as_secs_f64() / SLOW_START.as_secs_f64();
-    let ramped = (f64::from(free) * uptime).round();
+    let ramp = candidate.uptime.min(SLOW_START).as_secs_f64() / SLOW_START.as_secs_f64();
+    let ramped = (f64::from(free) * ramp).round();
     #[expect(
         clippy::cast_possible_truncation,
         clippy::cast_sign_loss,
-        reason = "a share of FULL is within 0 and FULL"
+        reason = "a share of MAX_WEIGHT is within 0 and MAX_WEIGHT"
     )]
     let ramped = ramped as u32;
     ramped.max(MIN_WEIGHT)
@@ -158,8 +158,8 @@
     }
 }
 
-/// Draws a key; ordering by it is weighted sampling without replacement (Efraimidis and Spirakis,
-/// 2006, in the exponential form).
+/// Returns a random key; sorting by it is weighted sampling without replacement (Efraimidis and
+/// Spirakis, 2006, in the exponential form).
 fn sampling_key(weight: u32, random: &mut impl Rng) -> f64 {
     let uniform: f64 = random.random_range(f64::MIN_POSITIVE..1.0);
     -uniform.ln() / f64::from(weight)
--- a/crates/zinniastall-route/src/outcome.rs
+++ b/crates/zinniastall-route/src/outcome.rs
@@ -1,23 +1,23 @@
-//! How requests end, and what a caller is told.
+//! Outcomes of requests, and how they are reported to the caller.
 
 use std::time::Duration;
 
 use zinniastall_model::id;
 
-/// How a request ended. Every request has exactly one.
+/// How a request ended. Every request has exactly one outcome.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Outcome {
-    /// The whole answer arrived.
+    /// The complete response arrived.
     Answered,
-    /// No byte of it was written towards a target, or whoever had it refused it definitely before
-    /// running it.
+    /// It certainly did not run: no byte of it was written to a target, or the process that
+    /// received it definitely refused it before running it.
     NotRun,
-    /// Everything else: it may have run.
+    /// It may have run; covers all other cases.
     Unknown,
 }
 
 impl Outcome {
-    /// Returns the word that headers, error bodies and logs use.
+    /// Returns the word used in headers, error bodies and logs.
     pub const fn as_str(self) -> &'static str {
         match self {
             Self::Answered => "answered",
@@ -27,13 +27,13 @@
     }
 }
 
-/// Why a request got no whole answer.
+/// Why a request got no complete response.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum Reason {
-    /// The request carries no key.
+    /// The request carries no API key.
     #[error("the request carries no key; send 'Authorization: Bearer <key>'")]
     NoKey,
-    /// No client has this key.
+    /// No client has this API key.
     #[error("no client has this key")]
     UnknownKey,
     /// The client is withdrawn.
@@ -42,67 +42,67 @@
     /// No route serves this path and model.
     #[error("no route serves {0}")]
     NoRoute(String),
-    /// A header has no valid value.
+    /// A header has an invalid value.
     #[error("header {0} is malformed")]
     MalformedHeader(&'static str),
-    /// The query of a path is malformed.
+    /// The query string is malformed.
     #[error("query: {0}")]
     MalformedQuery(String),
-    /// The body is not what the path asks for.
+    /// The body is not valid for the path.
     #[error("body: {0}")]
     MalformedBody(String),
     /// The body is longer than permitted.
     #[error("the body is longer than {0} bytes")]
     BodyTooLarge(usize),
-    /// The request did not arrive within the permitted time.
+    /// The request did not arrive completely within the permitted time.
     #[error("the request took too long to arrive")]
     ArrivalTimeout,
-    /// The instance has no configuration that lists it yet.
+    /// The instance has not received a configuration that lists it yet.
     #[error("the instance has no configuration yet")]
     NotConfigured,
-    /// The instance takes no new requests.
+    /// The instance accepts no new requests.
     #[error("the instance is shutting down")]
     Draining,
-    /// The rules permit no region that can serve it.
+    /// The residency rules permit no region that can be reached.
     #[error("residency rules permit none of the regions that can be reached")]
     Residency,
-    /// A forwarded request has crossed as many borders as it may.
+    /// A forwarded request has crossed as many boundaries as it may.
     #[error("the request may not cross a further border")]
     TooManyHops,
-    /// A request that may not be repeated carries no ticket.
+    /// A request that is not idempotent carries no ticket.
     #[error("a request that may not be repeated needs a ticket; send the one given here")]
     TicketRequired,
-    /// The ticket is malformed or was not made by this system.
+    /// The ticket is malformed or was not issued by this system.
     #[error("the ticket is not valid")]
     TicketInvalid,
-    /// The ticket has expired; whether it ran is no longer known.
+    /// The ticket has expired; whether its request ran is no longer known.
     #[error("the ticket has expired; whether its request ran is not known any more")]
     TicketExpired,
-    /// The ticket was used with another body or by another client.
+    /// The ticket was already used with another body or by another client.
     #[error("the ticket was used with another request")]
     TicketReused,
-    /// The ticket's request ran, but its answer is not kept any more.
+    /// The ticket's request ran, but its response is no longer kept.
     #[error("the request ran; its answer is not kept any more")]
     AnswerNotKept,
-    /// The instance that issued the ticket cannot be asked.
+    /// The instance that issued the ticket cannot be reached.
     #[error("the instance that issued the ticket cannot be reached")]
     IssuerGone,
     /// The table of used tickets is full.
     #[error("too many tickets are in use")]
     TooManyTickets,
-    /// No target serves the subject at present.
+    /// No target currently serves the subject.
     #[error("no target serves {0} at present")]
     NoTarget(String),
     /// The deadline cannot be met.
     #[error("the deadline cannot be met")]
     DeadlineNotFeasible,
-    /// The client has its full share and more work waits.
+    /// The client holds its full share of a crowded queue.
     #[error("the client's share is used up")]
     ShareUsedUp,
     /// The queue is full.
     #[error("the queue is full")]
     QueueFull,
-    /// Targets refused the request before running it.
+    /// The target refused the request before running it.
     #[error("the target refused the request before running it")]
     TargetRefused,
     /// No connection to a target could be established.
@@ -111,13 +111,13 @@
     /// The connection broke after the request was sent.
     #[error("the connection to the target broke before the whole answer arrived")]
     TargetLost,
-    /// The deadline passed after the request was sent.
+    /// The deadline passed before the complete response arrived.
     #[error("the deadline passed before the whole answer arrived")]
     DeadlinePassed,
-    /// Another instance reported the end of a forwarded request.
+    /// Another instance reported that a forwarded request failed.
     #[error("{0}")]
     ForwardedFailed(String),
-    /// What arrived is not the head of an HTTP request.
+    /// The received bytes are not the head of an HTTP request.
     #[error("this is not the head of an HTTP request")]
     MalformedHead,
     /// The head of the request is too long or has too many fields.
@@ -126,7 +126,7 @@
 }
 
 impl Reason {
-    /// Returns the type that error bodies carry.
+    /// Returns the `type` of the error body.
     pub const fn kind(&self) -> &'static str {
         match self {
             Self::NoKey => "no-key",
@@ -167,7 +167,7 @@
     pub const fn status(&self, outcome: Outcome) -> u16 {
         match self {
             Self::DeadlinePassed => 504,
-            // Whatever the reason: a status that callers take for a refusal would promise "not run".
+            // Whatever the reason: a status that callers take for a refusal promises "not run".
             _ if matches!(outcome, Outcome::Unknown) => 502,
             Self::NoKey | Self::UnknownKey => 401,
             Self::Withdrawn(_) | Self::Residency => 403,
@@ -188,17 +188,17 @@
     }
 }
 
-/// The end of a request without a whole answer.
+/// End of a request without a complete response.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("{} ({reason})", outcome.as_str())]
 pub struct Refusal {
-    /// Whether it certainly did not run.
+    /// Whether the request certainly did not run or may have run.
     pub outcome: Outcome,
-    /// Why.
+    /// Why it ended.
     pub reason: Reason,
-    /// When to come back; `None` where coming back with the same request is of no use.
+    /// Time after which to retry; `None` if retrying the same request is of no use.
     pub retry_after: Option<Duration>,
-    /// A ticket for the next try of a request that may not be repeated.
+    /// Ticket for the next attempt of a request that is not idempotent.
     pub ticket: Option<String>,
 }
 
@@ -223,14 +223,14 @@
         }
     }
 
-    /// Says when to come back.
+    /// Sets the time after which to retry.
     #[must_use]
     pub const fn retry_after(mut self, after: Duration) -> Self {
         self.retry_after = Some(after);
         self
     }
 
-    /// Adds a ticket for the next try.
+    /// Adds a ticket for the next attempt.
     #[must_use]
     pub fn ticket(mut self, ticket: String) -> Self {
         self.ticket = Some(ticket);
--- a/crates/zinniastall-route/src/policy.rs
+++ b/crates/zinniastall-route/src/policy.rs
@@ -1,29 +1,29 @@
-//! The policy of a deployment: how targets are chosen, and what its measures weigh.
+//! Routing policy of a deployment: how targets are selected, and the weights of the cost function.
 
 use std::time::Duration;
 
 use zinniastall_model::id;
 
-/// How a target is chosen. All but [`Choice::Cost`] serve as baselines of measurements.
+/// How a target is selected. All but [`Choice::Cost`] are baselines for benchmarks.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Choice {
-    /// Any target.
+    /// A random target.
     Random,
-    /// One after the other.
+    /// Each target in turn.
     RoundRobin,
-    /// The target with the fewest requests of this instance in progress.
+    /// The target with the fewest requests of this instance in flight.
     LeastInFlight,
-    /// The target that the prompt's first block hashes to.
+    /// The target that the prompt's first block hashes to; a random one if it has no whole block.
     PrefixHash,
-    /// The target of least cost by [`Weights`], out of a few.
+    /// The cheapest of a few targets, with costs weighted by [`Weights`].
     Cost,
 }
 
 impl Choice {
-    /// Words that settings use, in the order of the variants.
+    /// Words used in the settings, in the order of the variants.
     pub const WORDS: &'static str = "random, round-robin, least-in-flight, prefix-hash, cost";
 
-    /// Reads the word that settings use.
+    /// Parses the word used in the settings.
     pub fn parse(word: &str) -> Option<Self> {
         Some(match word {
             "random" => Self::Random,
@@ -36,17 +36,17 @@
     }
 }
 
-/// What one unit of each measure weighs. Costs are compared in milliseconds.
+/// Weights of the terms of a cost, which is in milliseconds.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Weights {
-    /// A millisecond of expected wait.
+    /// Weight of a millisecond of expected wait.
     pub wait: f64,
-    /// A millisecond of prefill for blocks that the target has not cached. They also take the place
-    /// of others in its cache, whose next request pays for that.
+    /// Weight of a millisecond of prefill for blocks that the target has not cached. These blocks
+    /// also evict others from its cache, which a later request has to prefill again.
     pub cache: f64,
-    /// A millisecond of the cost of crossing a border.
+    /// Weight of a millisecond spent on crossing a zone or region boundary.
     pub border: f64,
-    /// A millisecond of a target's time at price 1.
+    /// Weight of a millisecond of a target's time at price 1.
     pub price: f64,
 }
 
@@ -61,7 +61,7 @@
     }
 }
 
-/// The policy of a deployment.
+/// Routing policy of a deployment.
 ///
 /// # Example
 ///
@@ -103,57 +103,57 @@
 }
 
 impl Policy {
-    /// Chooses how targets are chosen.
+    /// Sets how targets are selected.
     #[must_use]
     pub const fn choice(mut self, choice: Choice) -> Self {
         self.choice = choice;
         self
     }
 
-    /// Weighs the measures.
+    /// Sets the weights of the cost function.
     #[must_use]
     pub const fn weights(mut self, weights: Weights) -> Self {
         self.weights = weights;
         self
     }
 
-    /// Sets the time that prefilling one block takes.
+    /// Sets the time to prefill one block.
     #[must_use]
     pub const fn block_prefill(mut self, block_prefill: Duration) -> Self {
         self.block_prefill = block_prefill;
         self
     }
 
-    /// Names the classes, those that go first at the front. Others go last.
+    /// Sets the classes in order of priority, highest first. Unlisted classes come last.
     #[must_use]
     pub fn classes(mut self, classes: Vec<id::Class>) -> Self {
         self.classes = classes;
         self
     }
 
-    /// Sets the most requests that wait for one model or service.
+    /// Sets the maximum number of requests that wait for one model or service.
     #[must_use]
     pub const fn queue(mut self, queue: usize) -> Self {
         self.queue = queue;
         self
     }
 
-    /// Sets the retries permitted for each request of the recent past.
+    /// Sets the number of retries that each request earns.
     #[must_use]
-    pub const fn retry_ratio(mut self, share: f64) -> Self {
-        self.retry_ratio = share;
+    pub const fn retry_ratio(mut self, ratio: f64) -> Self {
+        self.retry_ratio = ratio;
         self
     }
 
-    /// Sets the share of targets that is never ejected.
+    /// Sets the minimum share of targets that stays usable.
     #[must_use]
     pub const fn eject_floor(mut self, floor: f64) -> Self {
         self.eject_floor = floor;
         self
     }
 
-    /// Sets the cost of crossing a border between zones and between regions, which is the time that
-    /// a request loses there.
+    /// Sets the costs of crossing a zone and a region boundary, which are the time that a request
+    /// loses there.
     #[must_use]
     pub const fn border_costs(mut self, zone: Duration, region: Duration) -> Self {
         self.zone_border = zone;
@@ -161,18 +161,19 @@
         self
     }
 
-    /// Permits or forbids sending requests to other zones and regions.
+    /// Sets whether requests may be forwarded to other zones and regions.
     #[must_use]
     pub const fn spill(mut self, spill: bool) -> Self {
         self.spill = spill;
         self
     }
 
-    /// Returns how many waiting requests are looked at when a target has room.
+    /// Returns how many waiting requests are considered when a target has a free slot.
     ///
-    /// While all targets are full, whichever ends a request first would get the next one in turn,
-    /// and prefixes would end up everywhere: full targets would make cold caches, and cold caches
-    /// full targets. The baselines keep strictly to turns.
+    /// If the first request in order always started while all targets are full, it would go to
+    /// whichever target frees a slot first, and prefixes would spread over all targets: full
+    /// targets would cause cold caches, and cold caches full targets. The baselines keep strictly
+    /// to the order of the queue.
     pub const fn window(&self) -> usize {
         match self.choice {
             Choice::Cost => 16,
@@ -180,38 +181,38 @@
         }
     }
 
-    /// Returns the retries permitted for each request.
+    /// Returns the number of retries that each request earns.
     pub const fn earned_retries(&self) -> f64 {
         self.retry_ratio
     }
 
-    /// Returns the most requests that wait for one model or service.
+    /// Returns the maximum number of requests that wait for one model or service.
     pub const fn max_queue_length(&self) -> usize {
         self.queue
     }
 
-    /// Returns whether requests may be sent to other zones and regions.
+    /// Returns whether requests may be forwarded to other zones and regions.
     pub const fn spill_enabled(&self) -> bool {
         self.spill
     }
 
-    /// Returns the share of targets that is never ejected.
+    /// Returns the minimum share of targets that stays usable.
     pub const fn usable_floor(&self) -> f64 {
         self.eject_floor
     }
 
-    /// Returns the time of a prefill of this many blocks without any cache.
+    /// Returns the time to prefill this many blocks without any cached one.
     pub fn prefill(&self, blocks: usize) -> Duration {
         let blocks = u32::try_from(blocks).unwrap_or(u32::MAX);
         self.block_prefill.saturating_mul(blocks)
     }
 
-    /// Returns the cost of a wait, in milliseconds.
+    /// Returns the weighted cost of a wait, in milliseconds.
     pub fn wait_cost(&self, wait: Duration) -> f64 {
         self.weights.wait * wait.as_secs_f64() * 1000.0
     }
 
-    /// Returns a class's place in the order of priority, 0 first.
+    /// Returns the position of a class in the order of priority, from 0.
     pub fn rank(&self, class: &str) -> usize {
         let named = self.classes.iter().position(|name| name == class);
         named.unwrap_or(self.classes.len())
--- a/crates/zinniastall-route/src/prefix.rs
+++ b/crates/zinniastall-route/src/prefix.rs
@@ -1,15 +1,15 @@
-//! Digests of prompt prefixes, by which caches are told apart.
+//! Digests of prompt prefixes, by which cached prompts are identified.
 //!
-//! Engines cache prompts in blocks; a block is only of use when all blocks before it are cached
-//! too. Each digest therefore covers its block and, through the digest before it, everything
-//! earlier: two prompts share a digest only if they share the whole text up to there.
+//! Engines cache prompts in blocks, and a cached block is only useful if all blocks before it are
+//! cached too. Each digest therefore covers its block and, through the previous digest, all earlier
+//! blocks: two prompts share a digest only if their text is equal up to the end of that block.
 
-/// Bytes of text that one digest covers.
+/// Size of a block of text, in bytes.
 pub const BLOCK_BYTES: usize = 256;
-/// Most digests that are made of one text; longer prompts share what they share within these.
+/// Maximum number of digests of one text; later blocks of longer prompts are ignored.
 pub const MAX_BLOCKS: usize = 512;
 
-/// Returns the digests of all whole blocks of a text, first block first.
+/// Returns the digests of the whole blocks of a text in order, at most [`MAX_BLOCKS`].
 ///
 /// A digest is the first 8 bytes, little endian, of BLAKE3 over the previous digest and the block.
 ///
--- a/crates/zinniastall-route/src/relay.rs
+++ b/crates/zinniastall-route/src/relay.rs
@@ -1,31 +1,31 @@
-//! Seventh filter: keeps count of an answer while it is relayed.
+//! Seventh filter: checks whether a relayed response is complete.
 //!
-//! A connection that closes early looks like the end of an answer to some libraries and to some
-//! callers. An answer counts as whole only when its length agrees, or when its stream of events
+//! Some libraries and callers mistake a connection that closes early for the end of a response. A
+//! response counts as complete only if its length matches the announced one, or if its event stream
 //! ended with the closing event.
 
 use std::mem;
 
-/// Event that closes a stream of chat completions.
+/// Event that ends a stream of chat completions.
 const CLOSING_EVENT: &[u8] = b"data: [DONE]";
-/// Longest event that is kept while its end has not arrived, in bytes.
+/// Maximum size of a partial event that is buffered until its end arrives, in bytes.
 pub const MAX_EVENT_BYTES: usize = 256 * 1024;
 
-/// Why an answer is not whole.
+/// Why a response is not complete.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum Error {
-    /// The answer is shorter or longer than announced.
-    #[error("the answer's length differs from the announced one")]
-    Length,
-    /// The stream of events ended without its closing event.
+    /// The response is shorter or longer than announced.
+    #[error("the response length differs from the announced one")]
+    LengthMismatch,
+    /// The event stream ended without its closing event.
     #[error("the stream ended without its closing event")]
-    Unclosed,
-    /// One event is longer than [`EVENT_LIMIT`].
-    #[error("an event is too long")]
-    Long,
+    NoClosingEvent,
+    /// An event is longer than [`MAX_EVENT_BYTES`].
+    #[error("an event exceeds the maximum size")]
+    EventTooLong,
 }
 
-/// Counts the bytes of an answer against its announced length.
+/// Compares the length of a response with the announced one.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Length {
     announced: Option<u64>,
@@ -33,7 +33,7 @@
 }
 
 impl Length {
-    /// Starts at zero.
+    /// Creates a counter at zero; `announced` is the announced length, if any.
     pub const fn new(announced: Option<u64>) -> Self {
         Self {
             announced,
@@ -45,32 +45,32 @@
     ///
     /// # Errors
     ///
-    /// [`Cut::Length`] when the answer passes its announced length.
+    /// Returns [`Error::LengthMismatch`] if the response exceeds its announced length.
     pub const fn push(&mut self, bytes: &[u8]) -> Result<(), Error> {
         self.received += bytes.len() as u64;
         match self.announced {
-            Some(announced) if self.received > announced => Err(Error::Length),
+            Some(announced) if self.received > announced => Err(Error::LengthMismatch),
             _ => Ok(()),
         }
     }
 
-    /// Checks the end.
+    /// Checks the length at the end of the response and returns it.
     ///
     /// # Errors
     ///
-    /// [`Cut::Length`] when the answer stayed short of its announced length.
+    /// Returns [`Error::LengthMismatch`] if it differs from the announced length.
     pub const fn end(&self) -> Result<u64, Error> {
         match self.announced {
-            Some(announced) if self.received != announced => Err(Error::Length),
+            Some(announced) if self.received != announced => Err(Error::LengthMismatch),
             _ => Ok(self.received),
         }
     }
 }
 
-/// Splits a stream into whole events and counts them.
+/// Splits a stream into complete events and counts them.
 ///
-/// Only whole events are passed on. A stream that breaks inside an event can then resume at the
-/// number of events passed on, and the caller never gets half of an event twice.
+/// Only complete events are relayed. A stream that breaks inside an event can therefore resume
+/// after the relayed events, and the caller never receives part of an event twice.
 #[derive(Debug, Default)]
 pub struct Events {
     partial: Vec<u8>,
@@ -79,11 +79,11 @@
 }
 
 impl Events {
-    /// Takes a part in and returns the whole events that are complete by now.
+    /// Adds a part of the stream and returns the events that it completes.
     ///
     /// # Errors
     ///
-    /// [`Cut::Long`] when an event does not end within [`EVENT_LIMIT`].
+    /// Returns [`Error::EventTooLong`] if an event does not end within [`MAX_EVENT_BYTES`].
     pub fn push(&mut self, bytes: &[u8]) -> Result<Vec<u8>, Error> {
         let scanned = self.partial.len().saturating_sub(1);
         self.partial.extend_from_slice(bytes);
@@ -97,36 +97,36 @@
         }
         let rest = self.partial.split_off(start);
         if rest.len() > MAX_EVENT_BYTES {
-            return Err(Error::Long);
+            return Err(Error::EventTooLong);
         }
         Ok(mem::replace(&mut self.partial, rest))
     }
 
-    /// Returns how many events were passed on, the closing one not counted.
+    /// Returns the number of relayed events, without the closing one.
     pub const fn count(&self) -> u64 {
         self.count
     }
 
-    /// Returns whether the closing event was passed on.
+    /// Returns whether the closing event was relayed.
     pub const fn is_done(&self) -> bool {
         self.done
     }
 
-    /// Forgets the part of an event that a broken connection left behind, before a resumption.
+    /// Discards the partial event that a broken connection left, before the stream is resumed.
     pub fn resume(&mut self) {
         self.partial.clear();
     }
 
-    /// Checks the end.
+    /// Checks the end of the stream and returns the number of events.
     ///
     /// # Errors
     ///
-    /// [`Cut::Unclosed`] when the closing event is missing.
+    /// Returns [`Error::NoClosingEvent`] if the closing event is missing.
     pub const fn end(&self) -> Result<u64, Error> {
         if self.done && self.partial.is_empty() {
             return Ok(self.count);
         }
-        Err(Error::Unclosed)
+        Err(Error::NoClosingEvent)
     }
 
     fn count_event(&mut self, start: usize, end: usize) {
--- a/crates/zinniastall-route/src/request.rs
+++ b/crates/zinniastall-route/src/request.rs
@@ -1,38 +1,38 @@
-//! What the filters know of a request.
+//! Request as seen by the filters.
 
 use std::time::Instant;
 
 use zinniastall_model::{id, object::Subject, place::Place};
 
-/// What the filters know of a request; its payload stays outside.
+/// Properties of a request that the filters use, without its payload.
 #[derive(Debug, Clone)]
 pub struct Request {
-    /// Id for logs.
+    /// Id used in logs.
     pub id: String,
-    /// Client.
+    /// Client that the request belongs to.
     pub client: id::Client,
     /// Weight of the client's share.
     pub weight: u32,
-    /// Class.
+    /// Priority class.
     pub class: id::Class,
-    /// What is to serve it.
+    /// Model or service that is to serve it.
     pub subject: Subject,
     /// Configured version of the model; targets that hold it are preferred.
     pub version: Option<String>,
-    /// Whether it may be repeated.
+    /// Whether it may run more than once.
     pub idempotent: bool,
-    /// Ticket of a request that may not be repeated, as the caller sent it.
+    /// Ticket sent by the caller for a request that is not idempotent.
     pub ticket: Option<String>,
-    /// When its answer is due.
+    /// When its response is due.
     pub deadline: Instant,
-    /// Whether the answer is a stream of events that ends with a mark of its own.
+    /// Whether the response is an event stream that ends with a closing event.
     pub events: bool,
     /// Digests of its prompt's prefixes.
     pub prefixes: Vec<u64>,
     /// Regions that may serve it.
     pub regions: Vec<id::Region>,
-    /// Places that it has passed, the receiving entry instance's first.
+    /// Places that it has passed, starting with that of the entry instance that received it.
     pub hops: Vec<Place>,
-    /// Configuration revision under which it was judged.
+    /// Revision of the configuration under which it was admitted.
     pub revision: id::Revision,
 }
--- a/crates/zinniastall-route/src/residency.rs
+++ b/crates/zinniastall-route/src/residency.rs
@@ -1,16 +1,18 @@
-//! Second filter: the regions that may serve a request.
+//! Second filter: determines the regions that may serve a request.
 //!
-//! It is applied three times: at the entry instance, at the sender before a border, and at the
-//! receiver against its own configuration. Two instances may hold different revisions; the receiver
-//! takes what both permit, so that the stricter of the two wins whichever is newer.
+//! It applies three times: at the entry instance, at the sender before a boundary is crossed, and
+//! at the receiver against its own configuration. The two instances may hold different revisions;
+//! the receiver uses the regions that both permit, so that the stricter rule wins whichever is
+//! newer.
 
 use zinniastall_model::{id, object::Residency, object::Subject, place::Place};
 
 use crate::{identify::Index, outcome::Reason, request::Request};
 
-/// Returns the regions that a client's rules permit, seen from the region that received the request.
+/// Returns the regions permitted by a client's rules for a request received in a place.
 ///
-/// Without a matching rule only the receiving region may serve. All matching rules must permit.
+/// All matching rules must permit a region. Without a matching rule, only the region that received
+/// the request may serve it.
 pub fn permitted(rules: &[Residency], subject: &Subject, received: &Place) -> Vec<id::Region> {
     let covers = |rule: &&Residency| {
         let name = rule.subject.as_deref();
@@ -27,17 +29,17 @@
     regions
 }
 
-/// Returns the regions that both a sender and this instance permit.
+/// Returns the regions that both the sender and this instance permit.
 pub fn stricter(sender: &[id::Region], own: &[id::Region]) -> Vec<id::Region> {
     let both = sender.iter().filter(|region| own.contains(region));
     both.cloned().collect()
 }
 
-/// Refuses a request that no region may serve.
+/// Checks that some region may serve a request.
 ///
 /// # Errors
 ///
-/// [`Reason::Residency`].
+/// Returns [`Reason::Residency`] if there is none.
 pub const fn check(regions: &[id::Region]) -> Result<(), Reason> {
     if regions.is_empty() {
         return Err(Reason::Residency);
@@ -45,11 +47,11 @@
     Ok(())
 }
 
-/// Refuses a request that may not be served in a place.
+/// Checks that a request may be served in a place.
 ///
 /// # Errors
 ///
-/// [`Reason::Residency`].
+/// Returns [`Reason::Residency`] if its region is not permitted.
 pub fn check_place(regions: &[id::Region], place: &Place) -> Result<(), Reason> {
     if regions.contains(&place.region) {
         return Ok(());
@@ -57,15 +59,17 @@
     Err(Reason::Residency)
 }
 
-/// Judges a request again that is about to be sent, by the configuration in force by then.
+/// Checks a request against the current configuration just before it is sent to a place.
 ///
-/// A request may have waited for a target while a rule was narrowed or its client was withdrawn.
-/// Sent on by what it was admitted under, it would run where it may not, after the operator was
-/// told that the new rule holds everywhere. What it was admitted under still bounds it as well.
+/// While a request waits for a target, a rule may be narrowed or its client withdrawn. If it were
+/// sent under the configuration that admitted it, it would run where it no longer may, after the
+/// operator was told that the new rule is in force everywhere. The regions permitted at admission
+/// remain a bound as well.
 ///
 /// # Errors
 ///
-/// [`Reason::Residency`], [`Reason::Withdrawn`] and [`Reason::UnknownKey`].
+/// Returns [`Reason::Residency`], [`Reason::Withdrawn`] or [`Reason::UnknownKey`], and
+/// [`Reason::TooManyHops`] if the request lists no place that received it.
 pub fn check_again(index: &Index, request: &Request, place: &Place) -> Result<(), Reason> {
     let client = index.client(&request.client)?;
     let received = request.hops.first().ok_or(Reason::TooManyHops)?;
--- a/crates/zinniastall-route/src/spill.rs
+++ b/crates/zinniastall-route/src/spill.rs
@@ -1,12 +1,13 @@
-//! Whether a request goes to another zone or region.
+//! Decides whether a request is forwarded to another zone or region.
 //!
-//! Work that is sent away crosses a border and starts on a cold cache, so it goes only when waiting
-//! here costs more than all of that. Every instance sees about the same numbers; if each sent
-//! everything away the moment the balance tips, the other side would be flooded, the balance would
-//! tip back, and the traffic would return to caches that have gone cold meanwhile. A [`Gate`]
-//! therefore opens and closes step by step, and closes only once this side is cheaper by a margin.
-//! After a time without any target here it is wide open: what comes back is cold, looks idle and
-//! cheap, and would else get everything at once.
+//! A forwarded request crosses a boundary and starts on a cold cache, so requests are forwarded
+//! only if serving them locally costs more than that. All instances see about the same costs. If
+//! each forwarded everything as soon as the other side became cheaper, that side would be
+//! overloaded, the costs would reverse, and the traffic would return to caches that have become
+//! cold in the meantime. A [`Gate`] therefore changes the forwarded share step by step, and lowers
+//! it only once the local cost is below the remote cost by a margin. After a time without local
+//! targets the share is 1: targets that come back have cold caches but look idle and cheap, and
+//! would otherwise receive all traffic at once.
 
 use std::time::{Duration, Instant};
 
@@ -15,56 +16,57 @@
 
 use crate::{choose::millis, policy::Policy, residency};
 
-/// Share of requests by which the gate moves in one step.
+/// Change of the forwarded share in one step.
 const SHARE_STEP: f64 = 0.1;
-/// Shortest time between two steps.
+/// Minimum time between two steps.
 const STEP_INTERVAL: Duration = Duration::from_millis(100);
-/// Part of the remote cost below which the local cost must fall before the gate closes.
+/// Ratio of the local to the remote cost below which the forwarded share is lowered.
 const RETURN_COST_RATIO: f64 = 0.8;
 
-/// Another zone, as its digest tells.
+/// Another zone, according to its digest.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Remote {
     /// Where it is.
     pub place: Place,
-    /// Slots free, less what this instance keeps there.
+    /// Free slots, less the requests that this instance has in flight there.
     pub free_slots: u32,
-    /// Expected wait for a slot.
+    /// Expected wait for a free slot.
     pub wait: Duration,
     /// Mean price of one busy second.
     pub price: f64,
 }
 
-/// Time without any usable place after which the gate is shut. A place is full for a moment again and
-/// again; were the gate shut each time, it would never open as far as the balance of costs asks.
+/// Time without any usable other place after which the forwarded share is reset to 0. Places are
+/// often full for a moment; if that reset the share, it would never reach the level that the costs
+/// call for.
 const RESET_AFTER: Duration = Duration::from_secs(1);
 
-/// What serving a request here would cost.
+/// Cost of serving a request locally.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Local {
-    /// Nothing here serves.
+    /// No local target serves the subject.
     None,
-    /// What serves here has failed this request already, which says nothing of others.
+    /// All local targets have failed this request already, which says nothing about other requests.
     Tried,
-    /// This much, in milliseconds.
+    /// The lowest cost of a local target, in milliseconds.
     Cost(f64),
 }
 
-/// The share of requests for one model or service that is sent away.
+/// Controls the share of requests for one model or service that is forwarded.
 #[derive(Debug, Default)]
 pub struct Gate {
     share: f64,
     last_step: Option<Instant>,
-    /// Last time that there was a usable place.
+    /// Last time that another place was usable.
     last_usable: Option<Instant>,
-    /// Whether targets here are back after a time without any.
+    /// Whether traffic still returns to local targets after a time without any.
     recovering: bool,
 }
 
 impl Gate {
-    /// Decides on one request; `cold` is the time of a prefill without any cache.
+    /// Decides on one request, given the cheapest other place and its cost in milliseconds.
     ///
-    /// Returns the place to send it to, or `None` to serve it here.
+    /// Returns the place to forward it to, or `None` to serve it locally.
     pub fn decide<'a>(
         &mut self,
         local: Local,
@@ -105,7 +107,8 @@
         if !self.last_step.is_none_or(is_due) {
             return;
         }
-        // Between the two costs a gate of targets that are back would stay open for no reason.
+        // While traffic returns to recovered targets, no margin applies: between the two costs, the
+        // share would stay up without reason.
         let ratio = if self.recovering {
             1.0
         } else {
@@ -120,15 +123,16 @@
         };
         self.last_step = Some(now);
         self.share = (self.share + step).clamp(0.0, 1.0);
-        // Ten steps of a tenth leave a rest of rounding.
+        // Ten steps of 0.1 leave a rounding error.
         self.recovering &= self.share >= SHARE_STEP / 2.0;
     }
 }
 
-/// Returns the cheapest place that has room and that the rules permit, with its cost in
+/// Returns the cheapest place that has free slots and is in a permitted region, with its cost in
 /// milliseconds.
 ///
-/// `service` is the time of a request and `cold` that of a prefill without any cache.
+/// `service` is the mean service time of a request, and `cold` the time to prefill its prompt
+/// without any cached block.
 pub fn cheapest<'a>(
     policy: &Policy,
     here: &Place,
--- a/crates/zinniastall-route/tests/filters/admission.rs
+++ b/crates/zinniastall-route/tests/filters/admission.rs
@@ -1,4 +1,4 @@
-//! Who waits, who is refused, and who goes next.
+//! Admission control: queueing, refusals, retry budget, ejection and concurrency limits.
 
 use std::{
     collections::HashMap,
@@ -16,6 +16,7 @@
 
 use super::config;
 
+/// Mean time between starts.
 const INTERVAL: Duration = Duration::from_millis(100);
 
 fn waiter(id: u64, client: &str, rank: usize, deadline: Instant) -> Waiter {
@@ -33,8 +34,8 @@
     now + Duration::from_hours(1)
 }
 
-// One client's script sends a thousand requests. Those of another client that come later must not
-// wait behind all of them.
+// One client sends a burst of a thousand requests. Later requests of another client must not wait
+// behind all of them.
 #[test]
 fn burst_of_one_client_does_not_starve_another() {
     let now = Instant::now();
@@ -76,8 +77,8 @@
     assert_eq!(low, 10);
 }
 
-// A request is due in a second, and ten seconds of work wait. It must hear "not now, come back
-// in ten seconds" at once; hearing it after a second would leave no time to go elsewhere.
+// A request is due in one second while ten seconds of work wait. It must be refused at once, with a
+// retry after ten seconds: a refusal at the deadline would leave no time to try elsewhere.
 #[test]
 fn infeasible_deadlines_are_refused_on_arrival() {
     let now = Instant::now();
@@ -113,8 +114,8 @@
 proptest! {
     #![proptest_config(config())]
 
-    /// Whatever arrives, goes and gives up: each waiting request is started once or removed once,
-    /// and the queue stays within its limit.
+    /// In any sequence of arrivals, starts and removals, each waiting request is started or removed
+    /// exactly once, and the queue stays within its limit.
     #[test]
     fn requests_leave_the_queue_exactly_once(
         steps in prop::collection::vec((0_u8..4, 0_usize..3, 0_u64..40), 0..200),
@@ -154,7 +155,7 @@
         prop_assert!(waiting.is_empty());
     }
 
-    /// Over any sequence, retries stay within the share of requests and what may be saved up.
+    /// In any sequence, retries stay within the share of the requests plus the maximum balance.
     #[test]
     fn retries_stay_within_budget(steps in prop::collection::vec(any::<bool>(), 0..500)) {
         let mut budget = Budget::new(0.1);
@@ -170,8 +171,8 @@
         prop_assert!(f64::from(retries) <= 10.0 + f64::from(requests) * 0.1 + 1e-6);
     }
 
-    /// Ejection never takes more targets than the floor permits, and never one that works while a
-    /// failing one is kept.
+    /// Ejection leaves at least the minimum share of targets usable, and never ejects a working
+    /// target.
     #[test]
     fn ejection_has_a_floor(failing in prop::collection::vec(any::<bool>(), 0..20)) {
         let now = Instant::now();
@@ -189,7 +190,7 @@
         }
     }
 
-    /// A limit stays between one request and one batch of the target's slots.
+    /// A limit stays between one request and the number of the target's slots.
     #[test]
     fn limits_have_bounds(slots in 0_u32..64, steps in prop::collection::vec(0_u8..3, 0..200)) {
         let mut limit = Limit::new(slots);
@@ -219,8 +220,8 @@
     assert_eq!(detector.ejected_until(now), None);
 }
 
-// An instance may keep a few requests at each target and never more, however many wait: callers wait
-// at the instance while half of every target's slots stand idle.
+// If a limit did not grow, callers would wait at the instance while half of each target's slots
+// were idle.
 #[test]
 fn used_limit_grows_to_all_slots() {
     for slots in [1, 2, 4, 16] {
--- a/crates/zinniastall-route/tests/filters/choice.rs
+++ b/crates/zinniastall-route/tests/filters/choice.rs
@@ -1,4 +1,4 @@
-//! Which target serves a request, and when it goes elsewhere.
+//! Selection of targets, and forwarding to other zones and regions.
 
 use std::time::{Duration, Instant};
 
@@ -36,7 +36,7 @@
     table
 }
 
-/// Chooses many times and counts.
+/// Returns how often each target is selected in 200 selections.
 fn counts(
     policy: &Policy,
     table: &Table,
@@ -61,7 +61,7 @@
     counts
 }
 
-/// Names a policy: it spreads requests without a prompt over idle targets.
+/// Defines a test per strategy: requests without a prompt are spread over idle targets.
 macro_rules! spreads {
     ($($name:ident: $choice:expr;)+) => {$(
         #[test]
@@ -93,8 +93,8 @@
     assert_eq!(counts.get("b"), Some(&200), "{counts:?}");
 }
 
-// A style guide is cached on one engine, and everybody's briefs carry it. Sending them all there
-// would make the designers wait for a warm cache longer than a cold one takes.
+// A prefix that all prompts share is cached on one target. If all requests went there, they would
+// wait longer for the cached prefix than a prefill on another target takes.
 #[test]
 fn overloaded_targets_lose_prefix_affinity() {
     let now = Instant::now();
@@ -108,7 +108,8 @@
     assert_eq!(counts.get("b"), None, "{counts:?}");
 }
 
-// A target that was slow once, while it started, is never asked again if its mean stays as it was.
+// A target that responded slowly once, while it started, would never be selected again if its mean
+// service time stayed the same.
 #[test]
 fn slow_response_does_not_exclude_target_for_ever() {
     let now = Instant::now();
@@ -133,8 +134,8 @@
     );
 }
 
-// Every prompt has once been sent to every target. If that counted as cached for ever, all caches
-// would look alike, and prompts would go where they are long forgotten.
+// Over time, every prompt is sent to every target. If it counted as cached there for ever, all
+// caches would look the same, and prompts would go to targets that have evicted them.
 #[test]
 fn sent_prompts_count_as_cached_for_a_while_only() {
     let now = Instant::now();
@@ -157,7 +158,7 @@
     table.start("a", &[], now);
     table.end("a", incarnation, End::Failed, now);
     assert_eq!(table.get("a").unwrap().in_flight(), 1);
-    // A late report of the earlier run changes nothing.
+    // A late report of the earlier incarnation is ignored.
     table.observe("a", &report(9, 8, vec![], now), now);
     assert_eq!(table.get("a").unwrap().in_flight(), 1);
 }
@@ -193,8 +194,9 @@
     assert_eq!(cheapest(&[]), None);
 }
 
-// A region recovers. If all traffic came back at the moment when its wait falls below the other
-// side's, it would find cold caches, its wait would rise and everything would leave again.
+// A region recovers from overload. If all traffic returned as soon as its wait is shorter than that
+// of the other region, it would find cold caches, the wait would rise, and all traffic would leave
+// again.
 #[test]
 fn spilled_share_changes_step_by_step() {
     let mut random = StdRng::seed_from_u64(SEED);
@@ -217,7 +219,8 @@
         now += Duration::from_millis(100);
     }
     assert!(last > 360, "{last}");
-    // Just cheaper here: nothing is sent away, but the gate stays open until the margin is passed.
+    // Slightly cheaper locally: nothing is forwarded, but the share stays until the margin is
+    // passed.
     assert_eq!(share(95.0, now), 0);
     now += Duration::from_millis(100);
     assert!(share(101.0, now) > 360);
@@ -229,8 +232,9 @@
     assert!(share(101.0, now) < 100);
 }
 
-// A zone's targets were killed and come back. They are idle and look cheaper than any other place,
-// and their caches are empty: with all requests at once every prompt would be prefilled in full.
+// A zone's targets were killed and have come back. They are idle, so they look cheaper than any
+// other place, but their caches are empty: if all requests returned at once, every prompt would
+// need a full prefill.
 #[test]
 fn traffic_returns_step_by_step_to_recovered_targets() {
     let mut random = StdRng::seed_from_u64(SEED);
@@ -250,14 +254,15 @@
             "{gone} with {left} steps left"
         );
     }
-    // One request that has failed at what is here does not open the gate for others.
+    // A request that all local targets have failed does not raise the share for others.
     gate.decide(Local::Tried, Some((&away, 100.0)), now, &mut random);
     let next = gate.decide(Local::Cost(10.0), Some((&away, 100.0)), now, &mut random);
     assert_eq!(next, None);
 }
 
-// The other region is nearly full, so that its last free slot is taken again and again. Callers are
-// refused for lack of time although half of what is sent there would have been served.
+// The other region is nearly full, so that its last free slot is often taken. If that reset the
+// forwarded share, callers would be refused for lack of time although the other region could have
+// served half of the requests.
 #[test]
 fn briefly_full_place_keeps_the_spilled_share() {
     let mut random = StdRng::seed_from_u64(SEED);
@@ -280,7 +285,7 @@
     now += Duration::from_millis(100);
     let again = gone(true, now);
     assert!(again > 360, "{again} of 400 after a moment");
-    // Without any place for long it opens anew, step by step.
+    // After a long time without any usable place, the share rises again step by step.
     now += Duration::from_secs(2);
     assert_eq!(gone(false, now), 0);
     let anew = gone(true, now);
--- a/crates/zinniastall-route/tests/filters/main.rs
+++ b/crates/zinniastall-route/tests/filters/main.rs
@@ -1,4 +1,4 @@
-//! The filters of the request path, driven without processes.
+//! Filters of the request path, tested without processes.
 
 #![expect(clippy::unwrap_used, reason = "a helper of a test fails its test")]
 
@@ -9,7 +9,7 @@
 
 use proptest::test_runner::{Config, RngSeed};
 
-/// Seed of all property tests here.
+/// Seed of all property tests in this target.
 const SEED: u64 = 0x7a69_6e6e_6961;
 
 fn config() -> Config {
--- a/crates/zinniastall-route/tests/filters/relaying.rs
+++ b/crates/zinniastall-route/tests/filters/relaying.rs
@@ -1,4 +1,4 @@
-//! Answers are whole or they say that they are not.
+//! Responses are complete or reported as incomplete.
 
 use proptest::prelude::*;
 use zinniastall_route::relay::{Events, Length};
@@ -7,7 +7,7 @@
 
 const STREAM: &[u8] = b"data: {\"a\":1}\n\nevent: x\ndata: y\n\ndata: z\n\ndata: [DONE]\n\n";
 
-/// Feeds a stream cut into parts at these places; returns the events state and what was passed on.
+/// Feeds a stream split at the given offsets; returns the final state and the relayed bytes.
 fn feed(bytes: &[u8], mut cuts: Vec<usize>) -> (Events, Vec<u8>) {
     cuts.extend([0, bytes.len()]);
     cuts.retain(|cut| *cut <= bytes.len());
@@ -22,17 +22,19 @@
 proptest! {
     #![proptest_config(config())]
 
-    /// However the network cuts a stream into parts, the same events come out.
+    /// The relayed events do not depend on how the network splits a stream.
     #[test]
-    fn events_do_not_depend_on_chunk_boundaries(cuts in prop::collection::vec(0..STREAM.len(), 0..20)) {
+    fn events_do_not_depend_on_chunk_boundaries(
+        cuts in prop::collection::vec(0..STREAM.len(), 0..20),
+    ) {
         let (events, passed) = feed(STREAM, cuts);
         prop_assert_eq!(passed, STREAM);
         prop_assert_eq!(events.count(), 3);
         prop_assert!(events.end().is_ok());
     }
 
-    /// A stream that stops anywhere before its end never looks whole, and only whole events were
-    /// passed on.
+    /// A stream that stops anywhere before its end is incomplete, and only complete events are
+    /// relayed.
     #[test]
     fn truncated_streams_are_incomplete(
         length in 0..STREAM.len(), cuts in prop::collection::vec(0..STREAM.len(), 0..20),
@@ -45,7 +47,9 @@
     }
 
     #[test]
-    fn length_must_match_announcement(announced in 0_u64..100, parts in prop::collection::vec(0_usize..30, 0..6)) {
+    fn length_must_match_announcement(
+        announced in 0_u64..100, parts in prop::collection::vec(0_usize..30, 0..6),
+    ) {
         let sent: usize = parts.iter().sum();
         let mut length = Length::new(Some(announced));
         let fits = parts.iter().all(|part| length.push(&vec![0; *part]).is_ok());
--- a/crates/zinniastall-route/tests/filters/rules.rs
+++ b/crates/zinniastall-route/tests/filters/rules.rs
@@ -1,4 +1,4 @@
-//! Residency, hops and what may follow a failed attempt.
+//! Residency, hops and retries.
 
 use std::time::{Duration, Instant};
 
@@ -8,7 +8,7 @@
     place::Place,
 };
 use zinniastall_route::{
-    dispatch::{self, MAX_ATTEMPTS, Next, Progress},
+    dispatch::{self, ATTEMPT_LIMIT, Next, Progress},
     hops,
     outcome::{Outcome, Reason, Refusal},
     request::Request,
@@ -49,9 +49,9 @@
     let there = hops::check_next(&here, &place("athens/a")).unwrap();
     assert!(hops::check_arrived(&there, &place("patras/a"), &place("athens/a")).is_ok());
     assert!(hops::check_next(&there, &place("athens/b")).is_err());
-    // A forged or misled list does not end where it arrived.
+    // A forged or misrouted list does not end with the receiving place.
     assert!(hops::check_arrived(&there, &place("patras/a"), &place("patras/a")).is_err());
-    // Its sender names another place than its own as the first.
+    // The sender claims that the request was received in another place than its own.
     assert!(hops::check_arrived(&there, &place("nantes/a"), &place("athens/a")).is_err());
     assert!(hops::check_arrived(&[], &place("patras/a"), &place("patras/a")).is_err());
 }
@@ -93,7 +93,7 @@
 proptest! {
     #![proptest_config(config())]
 
-    /// Whichever of two instances holds the newer rules, only regions that both permit are left.
+    /// Whichever of two instances holds the newer rules, only regions that both permit remain.
     #[test]
     fn regions_permitted_by_both_revisions_remain(old in regions(), new in regions()) {
         let subject = Subject::Model("names".into());
@@ -107,7 +107,7 @@
         prop_assert_eq!(both.len(), old.iter().filter(|region| new.contains(region)).count());
     }
 
-    /// All matching rules must permit; a rule for another model changes nothing.
+    /// All matching rules must permit a region; a rule for another model has no effect.
     #[test]
     fn all_matching_rules_must_permit(all in regions(), one in regions(), other in regions()) {
         let subject = Subject::Model("names".into());
@@ -119,10 +119,13 @@
         }
     }
 
-    /// A retry never risks a second run of work that may not be repeated, and ends in time.
+    /// A request that is not idempotent is retried only if it did not run. No retry starts after
+    /// the deadline, beyond the budget or the maximum number of attempts, or after part of a
+    /// response was relayed.
     #[test]
     fn retries_respect_idempotency_budget_and_deadline(
-        idempotent: bool, not_run: bool, relayed: bool, has_budget: bool, attempts in 0_u32..6, late: bool,
+        idempotent: bool, not_run: bool, relayed: bool, has_budget: bool, attempts in 0_u32..6,
+        late: bool,
     ) {
         let now = Instant::now();
         let deadline = if late { now } else { now + Duration::from_secs(1) };
@@ -135,13 +138,15 @@
         let next = dispatch::next(&request(idempotent, deadline), &failure, progress, now);
         if next == Next::Retry {
             prop_assert!(not_run || idempotent);
-            prop_assert!(has_budget && !relayed && !late && attempts < MAX_ATTEMPTS);
+            prop_assert!(has_budget && !relayed && !late && attempts < ATTEMPT_LIMIT);
         }
     }
 
-    /// Once an attempt may have run, the request is never said not to have run.
+    /// Once an attempt may have run, the request is never reported as not run.
     #[test]
-    fn unknown_outcome_is_never_merged_to_not_run(outcomes in prop::collection::vec(any::<bool>(), 1..6)) {
+    fn unknown_outcome_is_never_merged_to_not_run(
+        outcomes in prop::collection::vec(any::<bool>(), 1..6),
+    ) {
         let refusal = |unknown: &bool| match unknown {
             true => Refusal::unknown(Reason::TargetLost),
             false => Refusal::not_run(Reason::TargetRefused),
--- a/crates/zinniastall-route/tests/locate.rs
+++ b/crates/zinniastall-route/tests/locate.rs
@@ -1,4 +1,4 @@
-//! Locate: order, exclusion, spread and ramp.
+//! Service discovery: order, exclusion, spread and slow start.
 
 use std::time::Duration;
 
