--- a/crates/zinniastall-entry/src/daemon.rs
+++ b/crates/zinniastall-entry/src/daemon.rs
@@ -1,4 +1,4 @@
-//! Starts the parts of an entry instance and waits for its end.
+//! Starts the components of an entry instance and shuts them down.
 
 use std::{process::ExitCode, time::Duration};
 
@@ -30,7 +30,7 @@
     view::{Shared, View},
 };
 
-/// Runs an entry instance until it is told to stop.
+/// Runs an entry instance until it receives a termination signal.
 pub fn run(settings: Entry) -> ExitCode {
     let _log = log::start(&settings.log);
     match actix::System::new().block_on(serve(settings)) {
@@ -99,7 +99,7 @@
     Ok(())
 }
 
-/// Serves targets on a thread of their own.
+/// Creates the targets' HTTP server, which runs on its own thread.
 fn serve_targets(
     settings: &Entry,
     registry: Registry,
@@ -115,10 +115,10 @@
     Ok(server.run())
 }
 
-/// Waits until nothing is in progress, up to a limit.
+/// Waits until no request is in progress, or until the limit is reached.
 ///
-/// The listeners stay open until then: a caller who comes meanwhile is told where to go instead of
-/// finding a closed port.
+/// The listeners stay open meanwhile, so that new callers are redirected instead of finding a
+/// closed port.
 async fn drain(service: &callers::Service, limit: Duration) {
     if timeout(limit, service.drained()).await.is_err() {
         tracing::warn!(event = "drain-cut", requests = service.progress.count());
@@ -131,7 +131,7 @@
     targets: Server,
 }
 
-/// HTTP servers that run, callers' first.
+/// Running HTTP servers, the callers' server first.
 struct Running(Vec<(ServerHandle, JoinHandle<std::io::Result<()>>)>);
 
 impl Servers {
@@ -143,7 +143,7 @@
 }
 
 impl Running {
-    /// Stops the servers one after the other; each ends its requests first.
+    /// Stops the servers one after the other; each completes its requests first.
     async fn stop(self) -> eyre::Result<()> {
         for (handle, task) in self.0 {
             handle.stop(true).await;
@@ -153,7 +153,8 @@
     }
 }
 
-/// Sockets of an instance, bound before anything is started: each part says its addresses to others.
+/// Sockets of an instance. They are bound before anything is started, because the other components
+/// advertise their addresses.
 struct Sockets {
     callers: TcpListener,
     targets: TcpListener,
--- a/crates/zinniastall-entry/src/follow/activation.rs
+++ b/crates/zinniastall-entry/src/follow/activation.rs
@@ -1,4 +1,4 @@
-//! Puts the configuration in force, once that is safe.
+//! Activation: puts the held configuration in force once that is safe.
 
 use std::{sync::Arc, time::Instant};
 
@@ -14,7 +14,7 @@
     publish::{Configured, Unlisted},
 };
 
-/// What has been done about the configuration that is held.
+/// Activation state of the held configuration.
 #[derive(Debug, Default)]
 pub(super) struct Activation {
     published: Option<(id::Revision, bool)>,
@@ -22,12 +22,13 @@
     confirmed: id::Revision,
     /// Whether a configuration has been in force, confirmed or not.
     has_served: bool,
-    /// When the last request that was judged before the last narrower revision has left or failed.
+    /// When the last request that was checked before the latest narrowing revision has reached its
+    /// target or failed.
     in_flight_until: Option<Instant>,
 }
 
 impl Activation {
-    /// Starts with what is on disk already.
+    /// Creates the state of an instance that has stored a revision.
     pub(super) fn new(stored: id::Revision) -> Self {
         Self {
             stored,
@@ -35,31 +36,33 @@
         }
     }
 
-    /// Lets a revision be confirmed; later ones may have been already.
+    /// Marks a revision as confirmed, unless a later one is confirmed already.
     fn set_confirmed(&mut self, revision: id::Revision) {
         self.confirmed = self.confirmed.max(revision);
     }
 
-    /// Returns the revision that may be confirmed.
+    /// Returns the latest revision that may be confirmed.
     pub(super) const fn confirmed(&self) -> id::Revision {
         self.confirmed
     }
 }
 
 impl Follower {
-    /// Tells whether a source that reaches the control group has nothing that is not held here.
+    /// Returns whether the source reaches the control group and holds nothing later than this
+    /// instance.
     fn is_connected(&self) -> bool {
         let current =
             |source: &SourceStatus| source.connected && source.revision <= self.held.revision;
         self.source.as_ref().is_some_and(current)
     }
 
-    /// Tells whether this instance may serve under what it holds.
+    /// Returns whether this instance may serve under the held configuration.
     ///
-    /// A restarted instance may hold less than its last run had in force. It waits until it is
-    /// connected and holds what the control group vouches for, or until it counts as cut off and
-    /// everyone has been asked; otherwise what was accepted would revert here. Being connected is
-    /// not enough: a replica that was cut off a moment ago doesn't know it yet.
+    /// A restarted instance may hold an earlier revision than it had in force before. It waits
+    /// until it is connected and holds the revision that the control group confirmed, or until it
+    /// counts as cut off and has asked all instances. Otherwise an accepted change would be
+    /// reverted here. A connection alone is not enough, because a replica that has just been cut
+    /// off doesn't know it yet.
     fn can_settle(&self, connected: bool) -> bool {
         let group_confirmed = self
             .group_revision
@@ -68,14 +71,14 @@
         (connected && group_confirmed) || (cut_off && self.held.revision > 0)
     }
 
-    /// Puts the configuration in force, once it is safe to do so.
+    /// Activates the held configuration if that is safe.
     pub(super) fn try_activate(&mut self, context: &mut Context<Self>) {
         let connected = self.is_connected();
         let direct = self.source.is_some_and(|source| source.control);
         self.feed.send_if_modified(|feed| {
             let changed = feed.is_connected() != (connected && direct);
-            // Only who hears control itself vouches for it: two relays that follow each other
-            // could otherwise keep telling one another that control is there.
+            // An instance reports a connection only if it follows control directly. Two relays that
+            // follow each other could otherwise keep reporting a connection that no longer exists.
             feed.connect(connected && direct);
             changed
         });
@@ -108,7 +111,8 @@
             let in_view = publisher.send(configured).await.is_ok();
             (stored, in_view)
         };
-        // Nothing else is taken meanwhile: a confirmation must not pass by what it confirms.
+        // No message is handled in the meantime, so that a confirmation can't overtake the
+        // activation that it confirms.
         context.wait(activated.into_actor(self).map(
             move |(stored, in_view), follower, context| {
                 let has_served = std::mem::replace(&mut follower.activation.has_served, true);
@@ -123,11 +127,12 @@
         ));
     }
 
-    /// Confirms a revision, a narrower one once what was judged before it is on its way or lost.
+    /// Confirms a revision. If the revision narrows what is permitted, requests that were checked
+    /// before must have reached their targets or failed first.
     ///
-    /// A request is judged right before it connects to its target. Confirmed at once, a change that
-    /// forbids this region could be accepted while such a request still waits for its connection, and
-    /// the target would run it after the operator was told that none does.
+    /// Requests are checked just before they connect to a target. If a change that forbids this
+    /// region were confirmed at once, it could be accepted while such a request still waits for its
+    /// connection. The target would then run it after the operator was told that none does.
     fn confirm(&mut self, revision: id::Revision, has_served: bool, context: &mut Context<Self>) {
         let now = Instant::now();
         if std::mem::take(&mut self.narrowed) && has_served {
@@ -142,7 +147,8 @@
         }
     }
 
-    /// Returns what keeps the configuration on disk, unless that is done or not wanted.
+    /// Returns a task that stores the configuration, unless it is stored already or storage is
+    /// disabled.
     fn save_task(&self) -> Option<impl FnOnce() -> bool + Send + 'static> {
         let folder = self.data_dir.clone()?;
         let cluster = self.identity.cluster()?.to_owned();
@@ -154,8 +160,8 @@
             move || match storage::save(&folder, &Snapshot { cluster, state }) {
                 Ok(()) => true,
                 Err(error) => {
-                    // It is in force, but a restart while cut off would lose it, so it is not
-                    // confirmed: an accepted change must not revert.
+                    // The configuration is in force, but a restart while cut off would lose it. It
+                    // is therefore not confirmed, since an accepted change must not be reverted.
                     tracing::error!(event = "configuration-not-kept", error = %error);
                     false
                 }
--- a/crates/zinniastall-entry/src/follow/actor.rs
+++ b/crates/zinniastall-entry/src/follow/actor.rs
@@ -1,4 +1,4 @@
-//! Takes configuration in, never stepping back, and puts it in force.
+//! Applies configuration changes, never going back to an earlier revision, and activates them.
 
 use std::{
     path::PathBuf,
@@ -24,10 +24,10 @@
 };
 use crate::{links::Identity, publish::Publisher, settings::Entry, view::Shared};
 
-/// Time between two looks at whether this instance counts as cut off.
+/// How often the actor checks whether this instance counts as cut off.
 const CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Holds the configuration of an entry instance.
+/// Actor that holds the configuration of an entry instance.
 #[derive(Debug)]
 pub struct Follower {
     pub(super) identity: Identity,
@@ -41,16 +41,16 @@
     pub(super) started: Instant,
     pub(super) cut_off_after: Duration,
     pub(super) surveyed: bool,
-    /// Revision that the control group had reached at some time since the start.
+    /// Revision that the control group had reached at some time after this instance started.
     pub(super) group_revision: Option<id::Revision>,
-    /// Whether what is held may permit less than what was in force before.
+    /// Whether the held configuration may permit less than the one in force.
     pub(super) narrowed: bool,
     pub(super) activation: Activation,
     pub(super) confirmations: Collector,
     pub(super) pending_members: Vec<Member>,
 }
 
-/// The source's last sign of life.
+/// Last status reported by the source.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct SourceStatus {
     pub(super) control: bool,
@@ -59,7 +59,7 @@
 }
 
 impl Follower {
-    /// Creates a follower with the configuration that was kept, if any.
+    /// Creates a follower that holds the stored configuration, if there is one.
     pub fn new(
         settings: &Entry,
         identity: Identity,
@@ -94,7 +94,7 @@
         }
     }
 
-    /// Returns what this instance passes on.
+    /// Returns the feed that this instance relays.
     pub fn feed(&self) -> watch::Receiver<Feed> {
         self.feed.subscribe()
     }
@@ -104,7 +104,8 @@
             follow::Message::Snapshot(state) => {
                 if state.revision > self.held.revision {
                     self.held = Arc::new(*state);
-                    // What lies between is not known.
+                    // The changes in between are unknown, and any of them may have narrowed what is
+                    // permitted.
                     self.narrowed = true;
                     let state = Arc::clone(&self.held);
                     self.feed.send_modify(|feed| feed.restore(state));
@@ -127,7 +128,7 @@
         }
     }
 
-    /// Applies changes that continue what is held; doubled and late ones change nothing.
+    /// Applies changes that follow the held revision; duplicate and late ones have no effect.
     fn apply_changes(&mut self, changes: Vec<(id::Revision, Change)>) -> Outcome {
         let mut next = State::clone(&self.held);
         let mut outcome = Outcome::Applied;
@@ -141,7 +142,7 @@
             }
             let answer = next.apply(&change);
             let Some(narrows) = narrowing(&answer, revision) else {
-                // The states have parted, by a fault of this program; a whole one repairs it.
+                // The states have diverged because of a bug. Only a full snapshot repairs this.
                 tracing::error!(event = "change-misfit", revision);
                 return Outcome::Mismatch;
             };
@@ -160,7 +161,8 @@
     }
 }
 
-/// Tells whether a change that made a revision narrows; `None` when it made another one.
+/// Returns whether a change that led to the wanted revision narrows what is permitted; `None` if it
+/// led to another revision.
 const fn narrowing(answer: &Answer, wanted: id::Revision) -> Option<bool> {
     match answer {
         Answer::Done { revision, narrows } if *revision == wanted => Some(*narrows),
@@ -186,24 +188,25 @@
     }
 }
 
-/// A message arrived from the source.
+/// A message arrived from a source.
 #[derive(Debug, Message)]
 #[rtype(result = "Outcome")]
 pub struct Incoming {
     /// The message.
     pub message: follow::Message,
-    /// Whom this instance follows and who sent it; `None` for an answer to a survey.
+    /// Source that this instance follows and that sent the message; `None` for an answer to a
+    /// survey.
     pub source: Option<Source>,
 }
 
-/// What came of a message.
+/// Result of applying a message.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Outcome {
-    /// It was taken, or was known.
+    /// The message was applied or already known.
     Applied,
     /// Changes before it are missing.
     Gap,
-    /// A change does not fit what is held; only a whole configuration helps.
+    /// A change doesn't fit the held state; only a full snapshot helps.
     Mismatch,
 }
 
@@ -220,7 +223,7 @@
     }
 }
 
-/// Asks for the revision that is held.
+/// Requests the held revision.
 #[derive(Debug, Message)]
 #[rtype(result = "id::Revision")]
 pub struct GetRevision;
@@ -233,7 +236,8 @@
     }
 }
 
-/// Everyone who was known to be alive has been asked; the answer tells whether that is enough.
+/// A survey of all instances that were known to be alive has ended. Returns whether the follower
+/// has settled.
 #[derive(Debug, Message)]
 #[rtype(result = "bool")]
 pub struct SurveyDone {
@@ -245,19 +249,19 @@
     type Result = bool;
 
     fn handle(&mut self, survey: SurveyDone, context: &mut Context<Self>) -> bool {
-        // Membership needs some heartbeats to find the neighbours; a survey from before that has
-        // asked nobody.
+        // Membership needs a few heartbeats to find other instances; an earlier survey would have
+        // asked none.
         self.surveyed |= survey.began >= self.started + self.cut_off_after / 2;
         self.try_activate(context);
         self.settled
     }
 }
 
-/// The control group has confirmed, since this instance started, what it had reached.
+/// The control group has confirmed, since this instance started, which revision it had reached.
 #[derive(Debug, Message)]
 #[rtype(result = "()")]
 pub struct GroupReached {
-    /// Revision reached.
+    /// Revision that was reached.
     pub revision: id::Revision,
 }
 
@@ -270,7 +274,7 @@
     }
 }
 
-/// The link to the source is gone.
+/// The link to the source was lost.
 #[derive(Debug, Message)]
 #[rtype(result = "()")]
 pub struct SourceLost;
--- a/crates/zinniastall-entry/src/follow/choice.rs
+++ b/crates/zinniastall-entry/src/follow/choice.rs
@@ -1,23 +1,23 @@
-//! Which sources an instance follows, in which order.
+//! Chooses the sources that an instance follows, in order of preference.
 //!
-//! Two instances of each zone, its relays, follow control; the zone's others follow the relays.
-//! Every instance computes the same relays from the same set of live peers, so there is nothing to
-//! agree on, and when a relay is lost the next in rank takes its place. While views differ there
-//! may be a few relays more or fewer, which costs a link and nothing else.
+//! Two instances of each zone act as relays and follow control; the other instances of the zone
+//! follow the relays. Every instance computes the same relays from the same set of live peers, so
+//! no agreement is needed, and when a relay is lost the next one in rank replaces it. While the
+//! sets differ, there may be a few relays more or fewer, which costs no more than a link.
 
 use indexmap::IndexMap;
 use zinniastall_model::{id, place::Place};
 use zinniastall_wire::gossip::Peer;
 
-/// Relays of a zone.
+/// Relays per zone.
 const RELAYS_PER_ZONE: usize = 2;
 
-/// Somewhere to get configuration from.
+/// A source of configuration.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub enum Source {
-    /// A control instance's links.
+    /// Link address of a control instance.
     Control(String),
-    /// An entry instance's links.
+    /// Link address of an entry instance.
     Entry(String),
 }
 
@@ -29,36 +29,36 @@
         }
     }
 
-    /// Tells whether it is a control instance.
+    /// Returns whether the source is a control instance.
     pub const fn is_control(&self) -> bool {
         matches!(self, Self::Control(_))
     }
 }
 
-/// What the choice depends on.
+/// Inputs of the choice.
 #[derive(Debug, Clone, Copy)]
 pub struct Choice<'a> {
     /// This instance.
     pub instance: &'a id::Instance,
-    /// Where it runs.
+    /// Place of this instance.
     pub place: &'a Place,
     /// Entry instances that are alive.
     pub peers: &'a IndexMap<id::Instance, Peer>,
-    /// Links of control instances.
+    /// Link addresses of control instances.
     pub control: &'a [String],
 }
 
 impl Choice<'_> {
-    /// Tells whether this instance is one of its zone's relays.
+    /// Returns whether this instance is a relay of its zone.
     pub fn is_relay(&self) -> bool {
         self.relays(self.place).contains(&self.instance.as_str())
     }
 
     /// Returns the sources to try, best first.
     ///
-    /// Whoever can't reach its best sources goes on to all others: relays of its own zone first,
-    /// then of other zones, so that a zone which is cut off from control still hears what a
-    /// neighbour has heard.
+    /// If the best sources can't be reached, all others follow: relays of the own zone, then those
+    /// of other zones. A zone that is cut off from control thus still receives what its neighbors
+    /// have received.
     pub fn sources(&self) -> Vec<Source> {
         let near = self.entries(|place| place == self.place);
         let far = self.entries(|place| place != self.place);
@@ -82,7 +82,8 @@
 
     fn control(&self) -> Vec<Source> {
         let mut control = self.control.to_vec();
-        // Each instance begins elsewhere, so that control instances share the links.
+        // Each instance starts with a different control instance, so that the links are spread
+        // evenly.
         control.sort_by_key(|address| rank(&[self.instance, address]));
         control.into_iter().map(Source::Control).collect()
     }
@@ -118,7 +119,7 @@
     }
 }
 
-/// Ranks by highest random weight, which moves as little as possible when the set changes.
+/// Ranks by rendezvous hashing, which changes as little as possible when the set changes.
 fn rank(parts: &[&str]) -> [u8; blake3::OUT_LEN] {
     let mut hasher = blake3::Hasher::new();
     for part in parts {
--- a/crates/zinniastall-entry/src/follow/confirmations.rs
+++ b/crates/zinniastall-entry/src/follow/confirmations.rs
@@ -1,4 +1,4 @@
-//! Gathers confirmations, its own and its followers', for the way back to control.
+//! Collects the confirmations of this instance and its followers, to be sent to control.
 
 use std::time::{Duration, Instant};
 
@@ -6,9 +6,9 @@
 use zinniastall_model::id;
 use zinniastall_wire::follow::Confirmation;
 
-/// Time between two repetitions of everything that is known.
+/// Interval at which all confirmations are sent again.
 const REPEAT_INTERVAL: Duration = Duration::from_secs(10);
-/// Time after which a follower that was not heard is no longer spoken for.
+/// Silence after which a follower is no longer reported.
 const FOLLOWER_TIMEOUT: Duration = Duration::from_secs(15);
 
 #[derive(Debug)]
@@ -18,7 +18,7 @@
     is_unsent: bool,
 }
 
-/// Confirmations on their way back.
+/// Confirmations to be sent to control.
 #[derive(Debug, Default)]
 pub struct Collector {
     entries: IndexMap<id::Instance, Entry>,
@@ -26,7 +26,7 @@
 }
 
 impl Collector {
-    /// Notes a follower's confirmation; what an earlier run of it says late is dropped.
+    /// Records a confirmation, unless it is outdated, such as a late one from an earlier run.
     pub fn record(&mut self, confirmation: Confirmation, now: Instant) {
         let held = self.entries.get(&confirmation.instance);
         let order = |entry: &Confirmation| (entry.incarnation, entry.revision);
@@ -44,7 +44,8 @@
             .insert(entry.confirmation.instance.clone(), entry);
     }
 
-    /// Takes what is new, or from time to time everything; a new link is told everything at once.
+    /// Returns the confirmations to send: the new ones, or all of them if the link is new or a
+    /// repetition is due.
     pub fn take(&mut self, now: Instant, new_link: bool) -> Vec<Confirmation> {
         self.entries
             .retain(|_, entry| now < entry.last_heard + FOLLOWER_TIMEOUT);
--- a/crates/zinniastall-entry/src/follow/drift.rs
+++ b/crates/zinniastall-entry/src/follow/drift.rs
@@ -1,4 +1,4 @@
-//! Targets of the zone that do not hold what the configuration says.
+//! Configuration drift: targets of the zone that don't hold what the configuration says.
 
 use zinniastall_model::{
     object::Subject,
@@ -9,10 +9,10 @@
 
 use crate::view::View;
 
-/// Most targets of one report; the others follow once these agree.
+/// Maximum number of targets per report; the others are reported once these are corrected.
 const MAX_REPORTED: usize = 64;
 
-/// Compares what the zone's targets announce with what they should hold.
+/// Returns the targets that announce something else than the configuration says.
 pub(super) fn find(state: &State, view: &View) -> Vec<Astray> {
     let drifted = view.targets.values().filter_map(|target| {
         let report = &target.report;
@@ -33,7 +33,7 @@
     drifted.take(MAX_REPORTED).collect()
 }
 
-/// Plain services take no orders.
+/// Returns whether a target is a model engine; plain services take no orders.
 fn is_engine(report: &gossip::Target) -> bool {
     let is_service = |serving: &gossip::Serving| matches!(serving.subject, Subject::Service(_));
     report.serves.is_empty() || !report.serves.iter().all(is_service)
--- a/crates/zinniastall-entry/src/follow/mod.rs
+++ b/crates/zinniastall-entry/src/follow/mod.rs
@@ -1,10 +1,12 @@
-//! Follows the control log: takes configuration in, confirms it, passes it on as a relay.
+//! Follows the control log: receives the configuration, confirms it and relays it.
 //!
-//! [`upstream`] keeps one link to a source open: a control instance, a relay of the zone, or
-//! whoever else can be reached when these can't. [`choice`] decides the order. At the start
-//! [`survey`] asks everyone, so that nothing older is put in force than what can be found.
-//! [`actor`] takes in what arrives, never stepping back, and puts it in force; [`kept`] holds the last configuration
-//! on disk for a restart while cut off; [`confirm`] gathers confirmations for the way back.
+//! `upstream` keeps a link to one source open: a control instance, a relay of the zone, or any
+//! other instance if none of these can be reached. [`choice`] defines their order. At startup,
+//! `survey` asks all of them, so that no configuration is activated that is older than one that can
+//! be found. [`actor`] applies what arrives, never to an earlier revision, and `activation` puts it
+//! in force once that is safe. [`storage`] keeps the last configuration on disk for a restart while
+//! cut off from control. [`confirmations`] and [`report`] tell control what is in force, and
+//! `drift` which targets deviate from the configuration.
 
 mod activation;
 pub mod actor;
@@ -34,7 +36,7 @@
     view::Shared,
 };
 
-/// Starts to follow, and returns what takes followers' links in.
+/// Starts to follow and returns the acceptor of followers' links.
 pub fn start(
     settings: &Entry,
     identity: Identity,
@@ -67,7 +69,8 @@
     }
 }
 
-/// Takes the links of instances that follow this one, and of control asking for figures.
+/// Accepts links from instances that follow this one, and from control instances that request
+/// metrics.
 #[derive(Debug)]
 pub struct Follow {
     follower: Addr<Follower>,
@@ -90,8 +93,9 @@
                 follower.do_send(FollowerEvent::Confirmed(list));
                 None
             }
-            // A relay's follower reports to the relay; only relays report to control.
-            // Only control can vouch, since only it can ask a majority.
+            // A relay's followers report to the relay, and only relays report to control. Only
+            // control can answer what the group has reached, because only control can ask a
+            // majority.
             Event::Astray(_) | Event::Vouch(_) => None,
             Event::Asked => Some(feed::at_once(Message::Figures(summarize(&metrics)))),
         };
--- a/crates/zinniastall-entry/src/follow/report.rs
+++ b/crates/zinniastall-entry/src/follow/report.rs
@@ -1,4 +1,4 @@
-//! What the source is told: who is there and what is in force.
+//! Reports to the source: who follows this instance and what is in force.
 
 use std::time::Instant;
 
@@ -8,7 +8,7 @@
 
 use super::{actor::Follower, drift};
 
-/// Followers that may wait to be presented to control.
+/// Maximum number of followers that wait to be introduced to control.
 const MAX_PENDING_MEMBERS: usize = 256;
 
 impl Follower {
@@ -32,11 +32,11 @@
     }
 }
 
-/// A follower of this instance was heard.
+/// Something that a follower of this instance reported.
 #[derive(Debug, Message)]
 #[rtype(result = "()")]
 pub enum FollowerEvent {
-    /// It presented itself.
+    /// The follower introduced itself.
     Member(Member),
     /// Revisions are in force.
     Confirmed(Vec<Confirmation>),
@@ -65,13 +65,13 @@
     }
 }
 
-/// Asks what the source is to be told.
+/// Requests the messages to send to the source.
 #[derive(Debug, Message)]
 #[rtype(result = "Vec<follow::Message>")]
 pub struct Report {
     /// Whether the link is new, so that the source knows nothing yet.
     pub new_link: bool,
-    /// Whether a sign of life is due even when there is nothing new.
+    /// Whether a keepalive is due even if there is nothing new.
     pub due: bool,
 }
 
--- a/crates/zinniastall-entry/src/follow/storage.rs
+++ b/crates/zinniastall-entry/src/follow/storage.rs
@@ -1,6 +1,6 @@
-//! Keeps the last configuration in a folder, for a restart while cut off.
+//! Stores the last configuration on disk, for a restart while cut off from control.
 //!
-//! Without it, a zone whose instances all restart during a partition would hold no configuration
+//! Without it, a zone whose instances all restart during a partition would have no configuration
 //! and could not serve until the partition heals.
 
 use std::{
@@ -15,33 +15,33 @@
 
 /// Name of the file.
 const FILE_NAME: &str = "configuration";
-/// Name under which the file is written before it takes the place of the last one.
+/// Name of the file while it is written, before it replaces the previous one.
 const DRAFT_NAME: &str = "configuration.draft";
 
 /// A configuration and the cluster that it belongs to.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Snapshot {
-    /// Cluster, as hex.
+    /// Cluster, in hexadecimal.
     pub cluster: String,
     /// Configuration.
     pub state: Arc<State>,
 }
 
-/// Why a configuration can't be kept or found again.
+/// Why a configuration can't be stored or loaded.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// The system refused.
-    #[error("{} cannot be used: {error}", path.display())]
+    /// A file operation failed.
+    #[error("cannot access {}: {error}", path.display())]
     Io {
-        /// On which file.
+        /// File or folder.
         path: PathBuf,
-        /// Why.
+        /// Cause.
         error: io::Error,
     },
-    /// The file does not hold what was written.
+    /// The checksum or the format of the file is wrong.
     #[error("{} is damaged", path.display())]
     Damaged {
-        /// Which file.
+        /// File.
         path: PathBuf,
     },
     /// The configuration can't be encoded.
@@ -49,11 +49,12 @@
     Encode(#[from] ciborium::ser::Error<io::Error>),
 }
 
-/// Keeps a configuration; when this returns, it survives a power cut.
+/// Stores a configuration durably: once this returns, it survives a power failure.
 ///
 /// # Errors
 ///
-/// [`Fault::Io`] when the system refuses; the configuration kept before is still there then.
+/// Returns [`Error::Io`] if a file operation fails. The previous configuration is then still
+/// stored, or the new one if only the last sync failed.
 pub fn save(folder: &Path, snapshot: &Snapshot) -> Result<(), Error> {
     let mut body = Vec::new();
     ciborium::into_writer(snapshot, &mut body)?;
@@ -70,17 +71,17 @@
         .map_err(at(&draft))?;
     let target = folder.join(FILE_NAME);
     fs::rename(&draft, &target).map_err(at(&target))?;
-    // The new name itself is only on disk once the folder has been synced.
+    // The rename is durable only after the folder has been synced.
     let opened = File::open(folder).and_then(|folder| folder.sync_all());
     opened.map_err(at(folder))
 }
 
-/// Finds the configuration that was kept, if any.
+/// Loads the stored configuration, if there is one.
 ///
 /// # Errors
 ///
-/// [`Fault::Damaged`] when the checksum does not fit: a configuration that is half another one
-/// could permit what none ever permitted.
+/// Returns [`Error::Damaged`] if the checksum doesn't match. A mixture of two configurations could
+/// permit what none of them ever permitted.
 pub fn load(folder: &Path) -> Result<Option<Snapshot>, Error> {
     let path = folder.join(FILE_NAME);
     let bytes = match fs::read(&path) {
--- a/crates/zinniastall-entry/src/follow/survey.rs
+++ b/crates/zinniastall-entry/src/follow/survey.rs
@@ -1,9 +1,10 @@
-//! Asks everyone for configuration, while a starting instance does not know what is in force.
+//! Asks all instances for their configuration while a starting instance doesn't know which one is
+//! in force.
 //!
-//! An instance that starts while control cannot be reached could find a lagging control replica, or
-//! its own old file, and serve under it although a neighbour holds later changes: what was accepted
-//! would revert here. So everyone who is alive is asked, all at once, since those behind a silent
-//! partition take long to be given up.
+//! An instance that starts while control can't be reached might find a lagging control replica or
+//! its own outdated file, and serve under it although a neighbor holds later changes. Accepted
+//! changes would then be reverted here. All live instances are therefore asked, concurrently, since
+//! those behind a silent partition take long to time out.
 
 use std::time::Duration;
 
@@ -23,14 +24,14 @@
 };
 use crate::{links::Identity, view::Shared};
 
-/// Longest time that one instance is given to answer.
+/// Maximum time that an instance may take to answer.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(2);
-/// Number of the one question on a link.
+/// Number of the only question asked on a link.
 const QUESTION_ID: u64 = 1;
-/// Time between two surveys.
+/// Pause between two surveys.
 const SURVEY_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Asks everyone until the instance has settled.
+/// Surveys all instances until the follower has settled.
 #[derive(Debug)]
 pub(super) struct Survey {
     pub(super) identity: Identity,
@@ -64,7 +65,7 @@
     }
 
     async fn ask(&self, source: &Source) {
-        // Who does not answer in time has been asked as well as can be.
+        // An instance that doesn't answer in time counts as asked.
         let asked = time::timeout(ANSWER_TIMEOUT, self.fetch(source)).await;
         if let Ok(Err(error)) = asked {
             let address = source.address();
@@ -129,7 +130,8 @@
     }
 }
 
-/// Takes note of the cluster, or refuses a link into another one.
+/// Joins the cluster of the other end if this instance has none yet, and drops links to other
+/// clusters.
 pub(super) fn same_cluster(identity: &Identity, link: Link) -> Option<Link> {
     let cluster = link.peer().cluster.clone();
     match (identity.cluster(), cluster) {
--- a/crates/zinniastall-entry/src/follow/upstream.rs
+++ b/crates/zinniastall-entry/src/follow/upstream.rs
@@ -1,4 +1,4 @@
-//! Keeps one link to a source open.
+//! Keeps a link to one source open.
 
 use std::time::Duration;
 
@@ -20,20 +20,20 @@
 };
 use crate::{links::Identity, view::Shared};
 
-/// Time between two reports to the source.
+/// Interval between reports to the source.
 const REPORT_INTERVAL: Duration = Duration::from_secs(1);
-/// Time between two reports of an instance that is not listed yet.
+/// Interval between reports while the configuration doesn't list this instance yet.
 const JOIN_INTERVAL: Duration = Duration::from_millis(200);
-/// Longest time between a change in force and its report.
+/// How often new confirmations are sent to the source.
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
-/// First wait after no source could be reached.
+/// First delay between rounds.
 const INITIAL_BACKOFF: Duration = Duration::from_millis(50);
-/// Longest wait between rounds.
+/// Maximum delay between rounds.
 const MAX_BACKOFF: Duration = Duration::from_secs(2);
-/// Time after which a source is left that is not the best one or does not reach control.
+/// Time after which a source is left if it doesn't reach control or isn't one of the best.
 const SOURCE_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Dials sources, best first, for as long as the instance runs.
+/// Dials sources, best first, as long as the instance runs.
 #[derive(Debug)]
 pub(super) struct Upstream {
     pub(super) identity: Identity,
@@ -42,12 +42,12 @@
     pub(super) follower: Addr<Follower>,
 }
 
-/// How a link went.
+/// How a link ended.
 #[derive(Debug)]
 enum Ended {
-    /// It broke.
+    /// The link broke.
     Broken(Error),
-    /// Its source did not reach control, or a better one came up.
+    /// The source doesn't reach control, or a better one is available.
     Left,
 }
 
@@ -65,7 +65,7 @@
         }
     }
 
-    /// Tries every source once; tells whether one was followed for a while.
+    /// Tries each source once. Returns whether one of them was followed for a while.
     async fn round(&self) -> bool {
         let mut served = false;
         for source in self.sources() {
@@ -179,10 +179,11 @@
         Ok(())
     }
 
-    /// Leaves a source that does not reach control, or is not among the best, after some time.
+    /// Returns whether to leave a source that has not reached control, or not been one of the best,
+    /// for some time.
     ///
-    /// A source that has been cut off would otherwise hold its followers for as long as the
-    /// partition lasts, although another one may reach control.
+    /// A source that is cut off would otherwise keep its followers as long as the partition lasts,
+    /// although another source may reach control.
     fn should_leave(&self, source: &Source, session: &mut Session) -> bool {
         let view = self.shared_view.view();
         let choice = self.choice(&view);
@@ -196,11 +197,11 @@
             sources.iter().take(2).collect()
         };
         session.mark_preferred(best.contains(&source));
-        session.should_leave()
+        session.is_expired()
     }
 }
 
-/// Times on one link.
+/// State of a link to a source.
 #[derive(Debug)]
 struct Session {
     new_link: bool,
@@ -237,7 +238,7 @@
         }
     }
 
-    fn should_leave(&self) -> bool {
+    fn is_expired(&self) -> bool {
         let connected = self.last_connected.unwrap_or(self.opened);
         connected.elapsed() >= SOURCE_TIMEOUT || self.last_preferred.elapsed() >= SOURCE_TIMEOUT
     }
--- a/crates/zinniastall-entry/src/lib.rs
+++ b/crates/zinniastall-entry/src/lib.rs
@@ -1,9 +1,9 @@
-//! Entry instance: serves callers and targets, routes and forwards.
+//! Entry instance: serves callers and targets, routes requests and forwards them.
 //!
-//! One thread, the control arbiter, owns what the instance knows: the configuration
-//! ([`follow`]), the other instances and the zone's targets ([`spread`]). It publishes that as an
-//! immutable [`view::View`]; traffic threads read the view through one atomic swap and never take a
-//! lock that control work holds.
+//! One thread, the control arbiter, owns the state of the instance: the configuration ([`follow`]),
+//! other instances and the zone's targets ([`spread`]). It publishes an immutable [`view::View`],
+//! which traffic threads read through an atomic pointer. They never wait for a lock that is held by
+//! control work.
 
 pub mod callers;
 pub mod daemon;
--- a/crates/zinniastall-entry/src/links.rs
+++ b/crates/zinniastall-entry/src/links.rs
@@ -1,7 +1,7 @@
-//! Accepts the system's own links and hands each to the owner of its purpose.
+//! Accepts links from other instances and passes each one to the owner of its purpose.
 //!
-//! One listener serves all purposes. It runs on the control arbiter; an owner that works on another
-//! thread takes the link there with [`zinniastall_wire::link::Link::detach`].
+//! One listener serves all purposes. It runs on the control arbiter. An owner that works on another
+//! thread moves the link there with [`zinniastall_wire::link::Link::detach`].
 
 use std::{
     rc::Rc,
@@ -22,16 +22,16 @@
     meter::Meter,
 };
 
-/// Longest time that a handshake may take; an end that is silent must not hold a place forever.
+/// Maximum duration of a handshake. A silent peer must not occupy a permit forever.
 const HANDSHAKE_TIMEOUT: Duration = Duration::from_secs(5);
-/// Most handshakes at once; further connections wait in the listener's backlog.
+/// Maximum number of concurrent handshakes; further connections wait in the listener's backlog.
 const MAX_HANDSHAKES: usize = 256;
-/// Pause after the listener failed, as it does when the process has no free file descriptor.
+/// Pause after the listener has failed, for example because no file descriptor is free.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// What this instance says of itself when it opens or takes a link.
+/// What this instance says about itself when it opens or accepts a link.
 ///
-/// Clones share one identity, so that what one owner learns, such as the cluster, holds for all.
+/// Clones share their state, so that what one owner learns, such as the cluster, applies to all.
 #[derive(Debug, Clone)]
 pub struct Identity {
     fixed: Arc<Fixed>,
@@ -40,7 +40,7 @@
     meters: Arc<Mutex<IndexMap<Purpose, Arc<Meter>>>>,
 }
 
-/// The part of an identity that never changes.
+/// The immutable part of an identity.
 #[derive(Debug)]
 struct Fixed {
     instance: id::Instance,
@@ -48,7 +48,7 @@
     addresses: Addresses,
 }
 
-/// Addresses under which others reach this instance.
+/// Addresses at which others reach this instance.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Addresses {
     /// For callers.
@@ -60,7 +60,7 @@
 }
 
 impl Identity {
-    /// Creates the identity of a run.
+    /// Creates the identity of one incarnation of an instance.
     pub fn new(
         instance: id::Instance,
         incarnation: id::Incarnation,
@@ -79,17 +79,17 @@
         }
     }
 
-    /// Returns the meter of all links of a purpose.
+    /// Returns the traffic meter shared by all links of a purpose.
     pub fn meter(&self, purpose: Purpose) -> Arc<Meter> {
         let mut meters = self.meters.lock().unwrap_or_else(PoisonError::into_inner);
         Arc::clone(meters.entry(purpose).or_default())
     }
 
-    /// Dials an address, shakes hands and counts the link's frames.
+    /// Opens a link to an address and counts its traffic.
     ///
     /// # Errors
     ///
-    /// Fails when the address cannot be reached in time or the other end refuses.
+    /// Returns an error if the address cannot be reached in time or the other end refuses the link.
     pub async fn dial(&self, address: &str, purpose: Purpose) -> Result<Link, link::Error> {
         let dial = Link::dial(address, self.hello(purpose));
         let link = timeout(HANDSHAKE_TIMEOUT, dial)
@@ -98,22 +98,22 @@
         Ok(link.meter(self.meter(purpose)))
     }
 
-    /// Returns the instance's name.
+    /// Returns the name of the instance.
     pub fn instance(&self) -> &str {
         &self.fixed.instance
     }
 
-    /// Returns where it runs.
+    /// Returns the place of the instance.
     pub fn place(&self) -> &Place {
         &self.fixed.place
     }
 
-    /// Returns the addresses under which others reach it.
+    /// Returns the addresses at which others reach the instance.
     pub fn addresses(&self) -> &Addresses {
         &self.fixed.addresses
     }
 
-    /// Returns its run.
+    /// Returns the incarnation.
     pub fn incarnation(&self) -> id::Incarnation {
         *self
             .incarnation
@@ -121,7 +121,7 @@
             .unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Raises its run, when others remember a later one; never lowers it.
+    /// Raises the incarnation if others remember a later one; never lowers it.
     pub fn raise_incarnation(&self, incarnation: id::Incarnation) {
         let mut held = self
             .incarnation
@@ -135,13 +135,13 @@
         self.cluster.get().map(String::as_str)
     }
 
-    /// Takes note of the cluster; the first one holds for the life of the process.
+    /// Sets the cluster. The first one is kept for the lifetime of the process.
     pub fn set_cluster(&self, cluster: String) {
-        // A second cluster is refused at the handshake, so a lost race here changes nothing.
+        // Another cluster is refused in the handshake, so a lost race has no effect.
         drop(self.cluster.set(cluster));
     }
 
-    /// Makes the first frame of a link.
+    /// Creates the first frame of a link.
     pub fn hello(&self, purpose: Purpose) -> Hello {
         Hello {
             version: VERSION,
@@ -158,11 +158,12 @@
 
 /// Owner of the links of one purpose.
 pub trait Acceptor: std::fmt::Debug {
-    /// Takes a link whose handshake is done. Called on the control arbiter; must not block.
+    /// Takes over a link after its handshake. It is called on the control arbiter and must not
+    /// block.
     fn accept(&self, link: Link);
 }
 
-/// Owners by purpose.
+/// Link owners by purpose.
 #[derive(Debug)]
 pub struct Acceptors {
     identity: Identity,
@@ -170,7 +171,7 @@
 }
 
 impl Acceptors {
-    /// Creates an empty table.
+    /// Creates a set without owners.
     pub fn new(identity: Identity) -> Self {
         Self {
             identity,
--- a/crates/zinniastall-entry/src/publish.rs
+++ b/crates/zinniastall-entry/src/publish.rs
@@ -1,4 +1,4 @@
-//! Publishes the view: the one place where parts of the instance's knowledge come together.
+//! Publishes the view, combining the state of all components of the instance.
 
 use std::sync::Arc;
 
@@ -9,7 +9,7 @@
 
 use crate::view::{Digest, Shared, Target, View};
 
-/// Actor of the control arbiter that replaces the view when a part of it changes.
+/// Actor on the control arbiter that replaces the view when a part of it changes.
 #[derive(Debug)]
 pub struct Publisher {
     view: View,
@@ -17,7 +17,7 @@
 }
 
 impl Publisher {
-    /// Creates the publisher of a board.
+    /// Creates the publisher of a shared view.
     pub fn new(shared_view: Shared) -> Self {
         Self {
             view: (*shared_view.view()).clone(),
@@ -34,42 +34,42 @@
     type Context = Context<Self>;
 }
 
-/// The configuration in force changed, or whether control is reachable.
+/// The configuration in force has changed, or whether control is reachable.
 #[derive(Debug, Message)]
 #[rtype(result = "()")]
 pub struct Configured {
-    /// Configuration; must list this instance.
+    /// Configuration; it must list this instance.
     pub state: Arc<State>,
     /// Whether the control group is reachable.
     pub connected: bool,
 }
 
-/// The configuration no longer lists this instance, which therefore must not serve.
+/// The configuration no longer lists this instance, which must therefore not serve.
 #[derive(Debug, Message)]
 #[rtype(result = "()")]
 pub struct Unlisted;
 
-/// The set of live entry instances changed.
+/// The set of live entry instances has changed.
 #[derive(Debug, Message)]
 #[rtype(result = "()")]
 pub struct Peers(pub Arc<IndexMap<id::Instance, gossip::Peer>>);
 
-/// The zone's targets changed.
+/// The targets of the zone have changed.
 #[derive(Debug, Message)]
 #[rtype(result = "()")]
 pub struct Targets(pub Arc<IndexMap<id::Target, Target>>);
 
-/// Digests of other zones changed.
+/// Digests of other zones have changed.
 #[derive(Debug, Message)]
 #[rtype(result = "()")]
 pub struct Digests(pub Arc<Vec<Digest>>);
 
-/// This run was given a higher number, because others remember a later one.
+/// The incarnation of this run was raised, because other instances remember a later one.
 #[derive(Debug, Message)]
 #[rtype(result = "()")]
 pub struct Raised(pub id::Incarnation);
 
-/// The instance stops taking new requests.
+/// The instance stops accepting new requests.
 #[derive(Debug, Message)]
 #[rtype(result = "()")]
 pub struct Draining;
@@ -79,7 +79,8 @@
 
     fn handle(&mut self, message: Configured, _: &mut Context<Self>) {
         let held = self.view.revision();
-        // A late message must not take the configuration back: an accepted change never reverts.
+        // A late message must not take the configuration back, since an accepted change is never
+        // reverted.
         if message.state.revision >= held {
             self.view.state = Some(message.state);
         }
--- a/crates/zinniastall-entry/src/settings.rs
+++ b/crates/zinniastall-entry/src/settings.rs
@@ -10,50 +10,50 @@
 /// Settings of an entry instance.
 #[derive(Debug, Clone)]
 pub struct Entry {
-    /// Name of the instance; it survives restarts.
+    /// Name of the instance; it stays the same across restarts.
     pub instance: id::Instance,
-    /// Where it runs.
+    /// Place of the instance.
     pub place: Place,
-    /// Addresses that it binds; port 0 takes any free port.
+    /// Addresses to bind; port 0 selects any free port.
     pub listen: Listen,
-    /// Addresses under which others reach it; the bound ones where absent.
+    /// Addresses at which others reach the instance. The bound addresses are used if absent.
     pub advertise: Advertise,
-    /// Links of the control replicas.
+    /// Link addresses of the control replicas.
     pub control: Vec<SocketAddr>,
-    /// Links of some entry instances, of its own zone first.
+    /// Link addresses of some entry instances, those of the own zone first.
     pub seeds: Vec<SocketAddr>,
-    /// Folder in which the last configuration is kept, for a restart while cut off.
+    /// Folder in which the last configuration is stored, for a restart while cut off from control.
     pub data: Option<PathBuf>,
-    /// Where metrics are sent.
+    /// Address to which metrics are sent.
     pub statsd: Option<SocketAddr>,
     /// Log level.
     pub log: String,
-    /// Threads that serve requests.
+    /// Number of threads that serve requests.
     pub threads: usize,
-    /// Bounds on what callers may send.
+    /// Limits on what callers may send.
     pub limits: Limits,
     /// Following of the control log.
     pub follow: follow::settings::Follow,
-    /// Membership, targets' leases and digests.
+    /// Membership, target leases and digests.
     pub spread: spread::settings::Spread,
-    /// The deployment's policy, and tickets.
+    /// Settings of the callers' interface: routing policy and tickets.
     pub callers: callers::settings::Callers,
-    /// Longest time that a shutdown waits for requests in progress and for tickets.
+    /// Maximum time that a shutdown waits for requests in progress and for tickets.
     pub drain: Duration,
 }
 
 /// Addresses that an entry instance binds.
 #[derive(Debug, Clone)]
 pub struct Listen {
-    /// For callers, HTTP.
+    /// For callers, over HTTP.
     pub callers: SocketAddr,
-    /// For targets, HTTP.
+    /// For targets, over HTTP.
     pub targets: SocketAddr,
-    /// For the system's own links.
+    /// For links to other instances.
     pub links: SocketAddr,
 }
 
-/// Addresses under which others reach an entry instance.
+/// Addresses at which others reach an entry instance.
 #[derive(Debug, Clone)]
 pub struct Advertise {
     /// For callers.
@@ -64,16 +64,16 @@
     pub links: Option<SocketAddr>,
 }
 
-/// Bounds on what callers may send.
+/// Limits on what callers may send.
 #[derive(Debug, Clone)]
 pub struct Limits {
-    /// Longest body, in bytes.
+    /// Maximum length of a body, in bytes.
     pub body_bytes: usize,
-    /// Most connections at once, over all threads.
+    /// Maximum number of connections, over all threads.
     pub connections: usize,
-    /// Longest time a request's head or body may take to arrive.
+    /// Maximum time for the head or body of a request to arrive.
     pub arrival: Duration,
-    /// Deadline of a request that names none.
+    /// Deadline of requests that state none.
     pub deadline: Duration,
 }
 
@@ -118,7 +118,7 @@
     }
 }
 
-/// Converts a checked number; its range keeps it within `usize`.
+/// Converts a number whose permitted range fits into `usize`.
 fn count(number: u64) -> usize {
     usize::try_from(number).unwrap_or(usize::MAX)
 }
--- a/crates/zinniastall-entry/src/spread/actor.rs
+++ b/crates/zinniastall-entry/src/spread/actor.rs
@@ -1,4 +1,4 @@
-//! The actor that owns membership, the zone's targets and digests.
+//! The actor that owns membership, the targets of the zone, and digests.
 
 use std::{
     sync::Arc,
@@ -37,23 +37,23 @@
     view::Shared,
 };
 
-/// Changes that come in quick succession are published or passed on together after this pause.
+/// Delay during which changes are collected, to be published or forwarded together.
 const COALESCE_DELAY: Duration = Duration::from_millis(50);
 
-/// What the actor is connected to.
+/// What the actor needs from the rest of the instance.
 #[derive(Debug)]
 pub struct Dependencies {
-    /// What this instance says of itself.
+    /// Identity of this instance on links.
     pub identity: Identity,
-    /// Where the view is read.
+    /// Source of the current view.
     pub shared_view: Shared,
-    /// Where changes of the view go.
+    /// Receiver of changes to the view.
     pub publisher: Addr<Publisher>,
-    /// Where figures are recorded.
+    /// Receiver of metrics.
     pub recorder: Recorder,
 }
 
-/// Actor of the control arbiter that owns membership, the zone's targets and digests.
+/// Actor on the control arbiter that owns membership, the targets of the zone, and digests.
 #[derive(Debug)]
 pub struct Spread {
     pub(super) settings: settings::Spread,
@@ -66,18 +66,18 @@
     pub(super) renewals: Renewals,
     pub(super) digests: Digests,
     pub(super) bucket: Bucket,
-    /// Bytes of facts since the last charge. Without them each turn of a period would find the whole
-    /// budget again.
+    /// Bytes of facts sent since the last charge. Without this, each batch within a period would be
+    /// granted the whole budget again.
     pub(super) reserved_bytes: u64,
     pub(super) published_peers: Arc<IndexMap<id::Instance, Peer>>,
-    /// Targets that were published last, with their runs.
+    /// Targets published last, with their incarnations.
     pub(super) published_targets: IndexMap<id::Target, id::Incarnation>,
     pub(super) publish_pending: bool,
     pub(super) forward_pending: bool,
     pub(super) raise_count: u32,
     pub(super) started: Instant,
     last_sweep: Instant,
-    /// Periods so far.
+    /// Number of periods since the start.
     period_count: u64,
     traffic: Traffic,
 }
@@ -128,8 +128,10 @@
         self.dial(context, now);
     }
 
-    /// Starts a period. After a freeze all links are dropped: what waits in their sockets was sent
-    /// during the freeze, and a lease in it would count from now instead of from then.
+    /// Starts a heartbeat period.
+    ///
+    /// After a freeze, all links are dropped. The messages that wait in their sockets were sent
+    /// during the freeze, so leases in them would be counted from now instead of from then.
     fn begin_period(&mut self, now: Instant) {
         self.charge_sent();
         if !self.roster.tick(now) {
@@ -143,8 +145,8 @@
         self.publish_peers(now);
     }
 
-    /// Notices a freeze before the next period does: the messages that waited for its end may be
-    /// handled before the timer.
+    /// Detects a freeze before the next period starts, since messages that queued up during the
+    /// freeze may be handled before the timer fires.
     fn detect_freeze(&mut self, now: Instant) {
         if now.saturating_duration_since(self.last_sweep)
             > self.settings.membership().freeze_threshold
@@ -153,7 +155,7 @@
         }
     }
 
-    /// Charges what was sent since the last period to the budget and records it.
+    /// Charges the bytes sent since the last period to the budget, and records them.
     fn charge_sent(&mut self) {
         let dependencies = &self.dependencies;
         let sent = self
@@ -191,8 +193,8 @@
         }
     }
 
-    /// Tells whether a peer gets no heartbeat this period. One of another region gets fewer, once it
-    /// is known to be alive.
+    /// Returns whether a peer gets no heartbeat in this period. Peers in other regions get fewer
+    /// heartbeats once they are known to be alive.
     fn skips_heartbeat(
         &self,
         link: Handle,
--- a/crates/zinniastall-entry/src/spread/address_book.rs
+++ b/crates/zinniastall-entry/src/spread/address_book.rs
@@ -1,4 +1,4 @@
-//! Address book: who may be dialled where, and when next.
+//! Address book: peers and seeds that may be dialed, and when.
 
 use std::time::{Duration, Instant};
 
@@ -7,28 +7,28 @@
 use zinniastall_model::{id, place::Place};
 use zinniastall_wire::gossip::Peer;
 
-/// First pause after a failed attempt.
+/// Delay after the first failed attempt.
 const INITIAL_BACKOFF: Duration = Duration::from_millis(200);
-/// Longest pause between attempts.
+/// Maximum delay between attempts.
 const MAX_BACKOFF: Duration = Duration::from_secs(3);
-/// How long a peer is kept that nobody who is alive has named and that isn't linked.
+/// How long a peer is kept that is neither linked nor mentioned by any live peer.
 const RETENTION: Duration = Duration::from_secs(30);
-/// Most peers kept.
+/// Maximum number of peers.
 const MAX_PEERS: usize = 4096;
-/// How long the higher name waits for the lower one's attempt.
+/// How long the instance with the higher name waits for the one with the lower name to dial first.
 const TIE_BREAK_DELAY: Duration = Duration::from_millis(1_200);
 
-/// A peer and what is known of it.
+/// A known peer.
 #[derive(Debug)]
 struct Entry {
     peer: Peer,
-    /// Whether the peer itself said so; hearsay serves for dialling only.
+    /// Whether the peer itself sent this. Data from other peers may only be used to dial it.
     confirmed: bool,
     last_mentioned: Instant,
     retry: Retry,
 }
 
-/// When an address is tried next.
+/// When an address is dialed next.
 #[derive(Debug, Clone, Copy)]
 struct Retry {
     at: Instant,
@@ -43,8 +43,8 @@
         }
     }
 
-    /// Takes note of an attempt. The pause is jittered, since after a partition heals everybody
-    /// would otherwise dial at the same moment.
+    /// Schedules the next attempt. The delay is jittered because all instances would otherwise dial
+    /// at the same moment after a partition heals.
     fn record_attempt(&mut self, now: Instant) {
         let jitter = rand::rng().random_range(0.5..1.5);
         self.at = now + self.backoff.mul_f64(jitter);
@@ -61,7 +61,7 @@
     }
 }
 
-/// Peers and seeds of one instance.
+/// Peers and seeds known to an instance.
 #[derive(Debug)]
 pub struct Book {
     own: id::Instance,
@@ -73,12 +73,12 @@
 #[derive(Debug)]
 struct Seed {
     retry: Retry,
-    /// Place of the instance that answered there last.
+    /// Place of the instance that last answered at the address.
     place: Option<Place>,
 }
 
 impl Book {
-    /// Creates a book with the seeds of the settings.
+    /// Creates an address book that contains only the configured seeds.
     pub fn new(own: id::Instance, seeds: impl Iterator<Item = String>, now: Instant) -> Self {
         Self {
             own,
@@ -87,7 +87,8 @@
         }
     }
 
-    /// Takes in what a peer says of itself. Returns a peer whose address it has taken over.
+    /// Records what a peer says about itself. Returns the former owner of its address, if another
+    /// peer was known there.
     pub fn confirm(&mut self, peer: Peer, now: Instant) -> Option<id::Instance> {
         let former = self.address_holder(&peer);
         if let Some(former) = &former {
@@ -103,7 +104,7 @@
         former
     }
 
-    /// Takes in what one peer says of another: good for an attempt to dial it, no more.
+    /// Records what one peer says about another. This is good enough to dial it, and nothing else.
     pub fn report(&mut self, peer: Peer, now: Instant) {
         if peer.instance == self.own {
             return;
@@ -127,7 +128,7 @@
         self.entries.insert(entry.peer.instance.clone(), entry);
     }
 
-    /// Returns what a peer has said of itself, to be brought up to date by its heartbeats.
+    /// Returns what a peer has said about itself, so that its heartbeats can update it.
     pub fn confirmed(&mut self, instance: &str) -> Option<&mut Peer> {
         let entry = self
             .entries
@@ -136,7 +137,7 @@
         Some(&mut entry.peer)
     }
 
-    /// Notes that a peer is linked, so that it stays and is dialled at once when the link breaks.
+    /// Records that a peer is linked. It is then kept, and dialed at once if the link breaks.
     pub fn mark_linked(&mut self, instance: &str, now: Instant) {
         let retry = Retry::new(self.first_attempt(instance, now));
         if let Some(entry) = self.entries.get_mut(instance) {
@@ -145,39 +146,39 @@
         }
     }
 
-    /// Forgets a peer, such as one whose address answers under another name.
+    /// Removes a peer, such as one whose address now belongs to another instance.
     pub fn remove(&mut self, instance: &str) {
         self.entries.swap_remove(instance);
     }
 
-    /// Returns the peer that was last known at an address.
+    /// Returns the peer last known at an address.
     pub fn find_by_address(&self, address: &str) -> Option<&id::Instance> {
         let mut entries = self.entries.values();
         let entry = entries.find(|entry| entry.peer.links == address)?;
         Some(&entry.peer.instance)
     }
 
-    /// Stops dialling an address that turned out to be this instance's own.
+    /// Removes a seed, because its address is this instance's own.
     pub fn remove_seed(&mut self, address: &str) {
         self.seeds.shift_remove(address);
     }
 
-    /// Notes where the instance runs that answers at a seed's address.
+    /// Records the place of the instance that answers at a seed's address.
     pub fn set_seed_place(&mut self, address: &str, place: &Place) {
         if let Some(seed) = self.seeds.get_mut(address) {
             seed.place = Some(place.clone());
         }
     }
 
-    /// Drops the peers that are neither linked nor named by anybody any more.
+    /// Removes peers that are neither linked nor still mentioned by others.
     pub fn sweep(&mut self, linked: impl Fn(&str) -> bool, now: Instant) {
         self.entries.retain(|instance, entry| {
             linked(instance) || now.saturating_duration_since(entry.last_mentioned) <= RETENTION
         });
     }
 
-    /// Returns the addresses of peers to dial now and notes the attempts; `wanted` tells who is to
-    /// be linked and isn't.
+    /// Returns the addresses of peers to dial now and records the attempts. `wanted` selects the
+    /// peers that need a link and have none.
     pub fn due(&mut self, wanted: impl Fn(&Peer) -> bool, now: Instant) -> Vec<String> {
         let mut due = Vec::new();
         for entry in self.entries.values_mut() {
@@ -189,8 +190,8 @@
         due
     }
 
-    /// Returns the seeds to dial now and notes the attempts; `heard` tells of which zones enough is
-    /// known.
+    /// Returns the seeds to dial now and records the attempts. `is_known` selects the zones whose
+    /// seeds need not be dialed, because enough is known about them.
     pub fn due_seeds(&mut self, is_known: impl Fn(&Place) -> bool, now: Instant) -> Vec<String> {
         let mut due = Vec::new();
         for (address, seed) in &mut self.seeds {
@@ -215,7 +216,7 @@
         }
     }
 
-    /// Returns another peer that is known under the links' address of this one.
+    /// Returns another peer that is known under the same link address.
     fn address_holder(&self, peer: &Peer) -> Option<id::Instance> {
         let holds =
             |entry: &&Entry| entry.peer.links == peer.links && entry.peer.instance != peer.instance;
--- a/crates/zinniastall-entry/src/spread/capacity.rs
+++ b/crates/zinniastall-entry/src/spread/capacity.rs
@@ -1,4 +1,4 @@
-//! Sums the zone's targets up into what other zones are told.
+//! Aggregates the targets of the zone into the capacities that are published to other zones.
 
 use std::cmp::Reverse;
 
@@ -8,10 +8,10 @@
 
 use crate::view::Target;
 
-/// Expected service time of one request in a queue, in milliseconds. A zone doesn't know what is
-/// asked of its targets; the figure only orders zones whose slots are all taken.
+/// Expected service time of a queued request. The actual work is unknown; the value only serves to
+/// order zones that have no free slot.
 const SERVICE_TIME_MS: u64 = 1_000;
-/// A change of free slots by less than this share of all isn't worth telling everybody.
+/// Changes in free slots of less than this fraction (1/n) of all slots are not published.
 const MIN_CHANGE_DIVISOR: u32 = 8;
 
 /// Capacity by subject and role.
@@ -20,7 +20,7 @@
 /// Capacities of a region's zones by subject and role.
 pub type Zones = IndexMap<(Subject, String), Vec<(id::Zone, Capacity)>>;
 
-/// Sums targets up.
+/// Sums the capacities of targets.
 pub fn sum_targets(targets: &IndexMap<id::Target, Target>) -> Totals {
     let mut totals = Totals::new();
     let mut queued: IndexMap<(Subject, String), u32> = IndexMap::new();
@@ -53,10 +53,12 @@
     totals
 }
 
-/// Chooses the zone that a region names: the one with most slots free, or the shortest wait.
+/// Chooses the zone that a region advertises: the one with the most free slots or, if there are
+/// none, the shortest wait.
 ///
-/// The one named before stays while it has a free slot and, once `settled`, isn't behind by a step.
-/// The name would otherwise change with every request, and each change is told to all regions.
+/// The currently advertised zone is kept while it has a free slot. Once `settled`, it is also
+/// replaced if the best zone has more free slots by at least the smallest change that is published.
+/// Otherwise the choice would change with every request, and each change is sent to all regions.
 pub fn choose_zone(
     advertised: Option<&id::Zone>,
     settled: bool,
@@ -78,7 +80,7 @@
     if step == 0 { 1 } else { step }
 }
 
-/// Tells whether a capacity is close enough to what was told last.
+/// Returns whether a capacity is close enough to the one last published.
 pub fn is_similar(last: &Capacity, now: &Capacity) -> bool {
     let same_slots = last.slots == now.slots;
     let same_free =
--- a/crates/zinniastall-entry/src/spread/digests.rs
+++ b/crates/zinniastall-entry/src/spread/digests.rs
@@ -1,4 +1,4 @@
-//! What zones and regions say of themselves: taken in, passed on, read.
+//! Facts about zones and regions: received, forwarded and read.
 
 use std::time::{Duration, Instant};
 
@@ -15,7 +15,7 @@
 };
 use crate::view;
 
-/// Facts about zones.
+/// Facts about zones and regions.
 #[derive(Debug)]
 pub struct Digests {
     place: Place,
@@ -26,7 +26,8 @@
 }
 
 impl Digests {
-    /// Creates an empty collection; a leader vouches for its zone's facts once an interval.
+    /// Creates an empty collection. If this instance is a speaker, it renews its facts once per
+    /// interval.
     pub fn new(
         own: &id::Instance,
         incarnation: id::Incarnation,
@@ -44,7 +45,7 @@
         }
     }
 
-    /// Says what there is to say, if this instance speaks for anybody.
+    /// Creates the facts that are due if this instance is a speaker.
     pub fn speak(
         &mut self,
         scope: Scope,
@@ -66,8 +67,10 @@
         }
     }
 
-    /// Returns the capacities of the region's other zones. What is summed up gets a new maker who
-    /// vouches for it, so it has to be younger here than what is only passed on.
+    /// Returns the capacities of the region's other zones.
+    ///
+    /// A summary of the region has a maker of its own, whose renewals extend the lifetime of what
+    /// was summed up. Facts must therefore be younger here than facts that are only forwarded.
     fn region_capacities(&self, now: Instant) -> Zones {
         let mut zones = Zones::new();
         for entry in self.table.fresh(now) {
@@ -86,26 +89,26 @@
         zones
     }
 
-    /// Sets the links on which facts are passed on, with the places of their other ends.
+    /// Sets the links on which facts are forwarded, with the places of their other ends.
     pub fn set_links(&mut self, links: &IndexMap<Handle, Place>) {
         self.forwarder.set_links(&self.table, links);
     }
 
-    /// Returns what fits into a number of bytes, by link, and the bytes that it takes.
+    /// Returns the facts to send per link within a byte budget, and the bytes that they need.
     pub fn flush(&mut self, bytes: u64, now: Instant) -> (Vec<(Handle, News)>, u64) {
         self.forwarder.flush(&self.table, bytes, now)
     }
 
-    /// Returns how many facts wait to be sent, over all links.
+    /// Returns the number of facts that are waiting to be sent, over all links.
     pub fn pending_count(&self) -> usize {
         self.forwarder.pending_count()
     }
 
-    /// Takes facts in that came on a link. Returns whether there was news.
+    /// Applies facts that arrived on a link. Returns whether any of them is new.
     pub fn apply(&mut self, link: Handle, from: &Place, news: News, now: Instant) -> bool {
         let mut changed = false;
         for item in news.items {
-            // A zone's own facts don't come back from outside.
+            // Facts of the own zone are not accepted from other zones.
             if *item.key.place() != self.place || *from == self.place {
                 changed |= self.apply_item(Some((link, from)), item, now);
             }
@@ -116,7 +119,7 @@
         changed
     }
 
-    /// Returns the doors of other zones that are known.
+    /// Returns the known contact points of other zones.
     pub fn contacts(&self, now: Instant) -> Vec<(Place, Vec<Peer>)> {
         let entries = self.table.fresh(now);
         let contacts = entries.filter_map(|entry| match (entry.key, entry.value) {
@@ -128,8 +131,8 @@
         contacts.collect()
     }
 
-    /// Returns the capacities of other zones that are known, of those that can be reached: without
-    /// a door a zone is worth nothing, and the doors are vouched for by the zone itself.
+    /// Returns the known capacities of other zones that can be reached. A zone without contact
+    /// points is unusable, and only the zone itself renews its contact points.
     pub fn capacities(&self, now: Instant) -> Vec<view::Digest> {
         let contacts: IndexSet<Place> = self
             .contacts(now)
@@ -137,7 +140,7 @@
             .map(|(place, _)| place)
             .collect();
         let mut digests: IndexMap<(Place, Subject, String), view::Digest> = IndexMap::new();
-        // The own region's zones are known one by one.
+        // Zones of the own region are known individually, so regional summaries are skipped.
         let is_own_region = |entry: &Entry<'_, Topic, Maker, Fact>| matches!(entry.key, Topic::Region(by, ..) if by.region == self.place.region);
         let facts = self.table.fresh(now).filter(|entry| !is_own_region(entry));
         for digest in facts.filter_map(|entry| read_capacity(&entry)) {
@@ -147,7 +150,7 @@
                 report.subject.clone(),
                 report.role.clone(),
             );
-            // While one zone takes over from another, both have spoken for the region.
+            // While one zone takes over from another, facts from both may describe the region.
             let known = digests.get(&key);
             let is_newer = known.is_none_or(|known| known.made < digest.made);
             if is_newer && contacts.contains(&report.place) {
@@ -157,7 +160,7 @@
         digests.into_values().collect()
     }
 
-    /// Drops what has been unknown for long.
+    /// Removes facts that expired long ago.
     pub fn sweep(&mut self, now: Instant) {
         self.table.sweep(now);
         self.forwarder.sweep(&self.table);
@@ -165,7 +168,7 @@
 
     fn apply_item(&mut self, from: Option<(Handle, &Place)>, item: Item, now: Instant) -> bool {
         let topic = item.key.clone();
-        // While this instance leads its zone, nobody else speaks for it.
+        // While this instance is the zone's speaker, no other instance speaks for the zone.
         let speaks = self.speaker.scope() > Scope::None;
         if from.is_some() && *topic.place() == self.place && speaks {
             return false;
@@ -193,7 +196,7 @@
     }
 }
 
-/// Reads a capacity.
+/// Converts a fact to a digest if it describes a capacity.
 fn read_capacity(entry: &Entry<'_, Topic, Maker, Fact>) -> Option<view::Digest> {
     let (place, subject, role, capacity) = match (entry.key, entry.value) {
         (Topic::Capacity(place, subject, role), Fact::Capacity(capacity)) => {
--- a/crates/zinniastall-entry/src/spread/dissemination.rs
+++ b/crates/zinniastall-entry/src/spread/dissemination.rs
@@ -1,4 +1,5 @@
-//! Digests: who speaks for the zone, on which links facts are passed on, whom to dial.
+//! Digest dissemination: whether this instance is a speaker, which links it forwards facts on, and
+//! which peers it dials.
 
 use std::{sync::Arc, time::Instant};
 
@@ -15,7 +16,8 @@
 use crate::publish::Digests;
 
 impl Spread {
-    /// Speaks for the zone if it is this instance's turn, passes facts on, publishes them.
+    /// Creates facts if this instance is the zone's speaker, then forwards and publishes all known
+    /// facts.
     pub(super) fn publish_digests(&mut self, now: Instant) {
         let zone = self.zone_members();
         let scope = match self.speaker_rank(&zone) {
@@ -33,7 +35,7 @@
         self.dependencies.publisher.do_send(Digests(digests));
     }
 
-    /// Passes on what waits, as far as the budget goes.
+    /// Forwards pending facts as far as the byte budget allows.
     pub(super) fn forward_facts(&mut self, now: Instant) {
         self.forward_pending = false;
         let bytes = self
@@ -47,7 +49,7 @@
         }
     }
 
-    /// Dials the peers that are wanted and not linked, and closes links that aren't wanted.
+    /// Dials wanted peers that are not linked, and closes unwanted links.
     pub(super) fn dial(&mut self, context: &Context<Self>, now: Instant) {
         let rank = self.speaker_rank(&self.zone_members());
         let wanted = rank.map_or_else(Vec::new, |rank| self.topology.wanted(rank, now));
@@ -63,7 +65,7 @@
         let missing =
             |peer: &Peer| wanted(&peer.instance, &peer.place) && open.get(&peer.instance).is_none();
         let mut due = self.address_book.due(missing, now);
-        // A zone's speakers look for other zones; the others look for their own zone only.
+        // Speakers look for other zones; all other instances look only for their own zone.
         let alone = !open.peers().iter().any(|(_, _, place)| *place == own);
         if rank.is_some() || alone {
             let topology = &self.topology;
@@ -85,7 +87,7 @@
         });
     }
 
-    /// Returns the zone's instances that take requests, sorted by name.
+    /// Returns the instances of the zone that accept requests, sorted by name.
     fn zone_members(&self) -> IndexMap<id::Instance, Peer> {
         let place = self.dependencies.identity.place();
         let serves = |peer: &&Peer| peer.place == *place && !peer.draining;
@@ -102,9 +104,11 @@
         overlay::speaker_rank(&self.dependencies.identity.instance(), &members)
     }
 
-    /// Returns the links on which facts are passed on: to two of the zone, and to all peers of other
-    /// zones. A peer that doesn't hear this instance is left out, since what it has to offer can't
-    /// be asked for.
+    /// Returns the links on which facts are forwarded: those to two peers of the zone, and all
+    /// links to other zones.
+    ///
+    /// A peer that doesn't receive from this instance is excluded, because it can't be asked for
+    /// what it offers.
     fn forwarding_links(&self, now: Instant) -> IndexMap<Handle, Place> {
         let identity = &self.dependencies.identity;
         let peers = self.links.peers();
--- a/crates/zinniastall-entry/src/spread/forwarder.rs
+++ b/crates/zinniastall-entry/src/spread/forwarder.rs
@@ -1,4 +1,4 @@
-//! Which facts go out on which links.
+//! Decides on which links each fact is sent, and tracks what is pending.
 
 use std::time::Instant;
 
@@ -9,44 +9,44 @@
 
 use super::links::Handle;
 
-/// Most bytes of facts on one link in a turn; more than the longest fact has.
+/// Maximum bytes of facts sent on one link per turn; more than the longest fact needs.
 const MAX_BATCH_BYTES: u64 = 2_000;
 
-/// All facts that are held.
+/// All facts that an instance holds.
 pub type Facts = Table<Topic, Maker, Fact>;
 
-/// Link and place that something came from; `None` when it was made here.
+/// Link on which something arrived, and the place at its other end; `None` if it was created here.
 pub type Origin<'a> = Option<(Handle, &'a Place)>;
 
-/// A link on which facts are passed on.
+/// The other end of a link on which facts are forwarded.
 #[derive(Debug)]
 struct Peer {
     to: Place,
     outbox: Outbox<Topic, Maker>,
 }
 
-/// Where a maker is, and whether its facts come over a border between regions, and not by the own
-/// region.
+/// The zone that a maker's facts are about, and whether they arrive directly from another region
+/// instead of through the own region.
 #[derive(Debug, Clone, PartialEq, Eq)]
 struct Source {
     about: Place,
     cross_region: bool,
 }
 
-/// Links on which facts are passed on, and what they still have to carry.
+/// Links on which facts are forwarded, and what is pending on them.
 #[derive(Debug)]
 pub struct Forwarder {
     place: Place,
     peers: IndexMap<Handle, Peer>,
-    /// Link whose next fact did not fit into what was left of the budget.
+    /// Link whose next fact did not fit into the rest of the budget.
     deferred: Option<Handle>,
-    /// Where each maker is and how its word comes: its facts and renewals go the same ways, or a
-    /// renewal would vouch for a fact that has been replaced on another way.
+    /// Source of each maker's facts. Facts and renewals must take the same path. Otherwise a
+    /// renewal could confirm a fact that has been replaced on another path.
     sources: IndexMap<Maker, Source>,
 }
 
 impl Forwarder {
-    /// Creates the ways of an instance at a place; no link is open yet.
+    /// Creates the forwarder of an instance at a place, without links.
     pub fn new(place: Place) -> Self {
         Self {
             place,
@@ -56,8 +56,8 @@
         }
     }
 
-    /// Sets the links on which facts are passed on, with the places of their other ends; one that is
-    /// new gets all facts that go there.
+    /// Sets the links on which facts are forwarded, with the places of their other ends. A new link
+    /// gets all facts that are forwarded to its place.
     pub fn set_links(&mut self, table: &Facts, links: &IndexMap<Handle, Place>) {
         self.peers.retain(|link, _| links.contains_key(link));
         for (link, to) in links {
@@ -77,13 +77,13 @@
         }
     }
 
-    /// Tells whether a fact goes to a place.
+    /// Returns whether a fact is forwarded to a place.
     fn forwards_fact(&self, table: &Facts, topic: &Topic, to: &Place) -> bool {
         let maker = table.maker(topic);
         maker.is_some_and(|maker| self.forwards(scope(topic), maker, to))
     }
 
-    /// Tells whether a maker's renewals go to a place.
+    /// Returns whether a maker's renewals are forwarded to a place.
     fn forwards_renewal(&self, maker: &Maker, to: &Place) -> bool {
         let scope = if maker.region {
             overlay::Scope::OtherRegions
@@ -103,12 +103,12 @@
         scope.admits(own, about, to) && overlay::forwards(own, about, from, to)
     }
 
-    /// Tells whether a fact of a maker has come.
+    /// Returns whether a fact of a maker has arrived.
     pub fn knows_maker(&self, maker: &Maker) -> bool {
         self.sources.contains_key(maker)
     }
 
-    /// Passes on a fact that the table has taken in.
+    /// Forwards a fact that has been applied to the table.
     pub fn forward_fact(&mut self, table: &Facts, from: Origin<'_>, topic: &Topic) {
         if let Some(maker) = table.maker(topic) {
             self.update_source(table, from, maker, topic.place());
@@ -116,7 +116,7 @@
         }
     }
 
-    /// Passes on a renewal that the table has taken in.
+    /// Forwards a renewal that has been applied to the table.
     pub fn forward_renewal(&mut self, table: &Facts, from: Origin<'_>, maker: &Maker) {
         let known = self.sources.get(maker);
         let Some(about) = known.map(|known| known.about.clone()) else {
@@ -127,11 +127,11 @@
         self.enqueue(from, filter, |outbox| outbox.renew(maker.clone()));
     }
 
-    /// Returns what fits into a number of bytes, by link, and the bytes that it takes.
+    /// Returns the facts to send per link within a byte budget, and the bytes that they need.
     ///
-    /// Links take turns. The first one whose next fact is longer than what is left of the budget comes
-    /// first the next time, and until then no other gets more: with an equal share for each link, short facts
-    /// on the others would use up every budget, and a long one would never go out.
+    /// Links take turns. The first link whose next fact exceeds the rest of the budget goes first
+    /// the next time, and until then no other link sends facts. If each link got an equal share,
+    /// short facts on other links would use up every budget and a long fact would never be sent.
     pub fn flush(&mut self, table: &Facts, bytes: u64, now: Instant) -> (Vec<(Handle, News)>, u64) {
         let first = self.deferred.take();
         let first = first.and_then(|link| self.peers.get_index_of(&link));
@@ -164,20 +164,23 @@
         (out, bytes - left)
     }
 
-    /// Returns how many facts wait to be sent, over all links.
+    /// Returns the number of facts that are waiting to be sent, over all links.
     pub fn pending_count(&self) -> usize {
         self.peers.values().map(|peer| peer.outbox.len()).sum()
     }
 
-    /// Forgets the makers of whom nothing is held any more.
+    /// Removes makers that have no facts left in the table.
     pub fn sweep(&mut self, table: &Facts) {
         let (keys, _) = table.contents();
         let makers: IndexSet<&Maker> = keys.iter().filter_map(|key| table.maker(key)).collect();
         self.sources.retain(|maker, _| makers.contains(maker));
     }
 
-    /// Notes how a maker's word came. A speaker gets most of it twice, over the border and by its
-    /// zone; while it has a link over the border that counts, or the ways would change all the time.
+    /// Records how a maker's facts arrived.
+    ///
+    /// A speaker receives most of them twice: directly from the other region and through its own
+    /// region. The direct path is used while such a link is open, since the paths would otherwise
+    /// change all the time.
     fn update_source(&mut self, table: &Facts, from: Origin<'_>, maker: &Maker, about: &Place) {
         let is_other_region = |place: &Place| place.region != self.place.region;
         let open = || {
@@ -197,7 +200,7 @@
         }
     }
 
-    /// Passes a maker's facts on once more, since they now go other ways than before.
+    /// Forwards all facts of a maker again, because they now take another path.
     fn forward_all(&mut self, table: &Facts, from: Origin<'_>, maker: &Maker) {
         let (keys, _) = table.contents();
         for topic in keys {
@@ -212,8 +215,8 @@
         self.enqueue(from, filter, |outbox| outbox.push(topic.clone()));
     }
 
-    /// Puts something into the outboxes of the links where it goes, other than the one that it came
-    /// on.
+    /// Adds something to the outboxes of all links that match the filter, except the link that it
+    /// arrived on.
     fn enqueue(
         &mut self,
         from: Origin<'_>,
@@ -238,7 +241,7 @@
     }
 }
 
-/// Returns where facts of a topic matter.
+/// Returns where facts of a topic are needed.
 const fn scope(topic: &Topic) -> overlay::Scope {
     match topic {
         Topic::Doors(_) => overlay::Scope::Everywhere,
@@ -247,10 +250,10 @@
     }
 }
 
-/// Estimates an item's bytes on the wire; the budget is charged with the real ones afterwards.
+/// Estimates the encoded size of an item. The budget is later charged with the actual size.
 fn estimate_bytes(item: &Item) -> u64 {
     match &item.value {
-        Some(Fact::Doors(doors)) => 60 + 180 * doors.len() as u64,
+        Some(Fact::Doors(contacts)) => 60 + 180 * contacts.len() as u64,
         Some(Fact::Capacity(_) | Fact::Region(..)) => 60,
         None => 40,
     }
--- a/crates/zinniastall-entry/src/spread/links.rs
+++ b/crates/zinniastall-entry/src/spread/links.rs
@@ -1,4 +1,4 @@
-//! The open gossip links, one a peer.
+//! The open gossip links, at most one per peer.
 
 use std::time::{Duration, Instant};
 
@@ -20,14 +20,15 @@
     settings,
 };
 
-/// Number of an open link within this process.
+/// Identifies an open link within this process.
 pub type Handle = u64;
 
-/// Frames that may wait for a slow peer. A peer that is slower gets a new link and whole reports
-/// instead of ever older news.
+/// Frames that may be queued for a slow peer. A peer that falls further behind gets a new link and
+/// full reports instead of outdated ones.
 const QUEUE_CAPACITY: usize = 64;
 
-/// How long a link stays that isn't wanted: a seed's answer has to arrive first.
+/// Minimum age at which an unwanted link is closed. The answer of a seed must be able to arrive
+/// first.
 const MIN_LINK_AGE: Duration = Duration::from_secs(5);
 
 /// An open link.
@@ -62,7 +63,7 @@
 }
 
 impl Links {
-    /// Creates an empty table for an instance of a region.
+    /// Creates an empty set of links for an instance of a region.
     pub fn new(own: id::Instance, region: id::Region, settings: settings::Spread) -> Self {
         Self {
             own,
@@ -73,7 +74,7 @@
         }
     }
 
-    /// Takes a link in, unless the open one to the same peer stays. Returns its number.
+    /// Adds a link and returns its handle, or `None` if the existing link to the same peer is kept.
     pub fn add(
         &mut self,
         link: Link,
@@ -115,7 +116,7 @@
         found.map(|(handle, _)| *handle)
     }
 
-    /// Returns the peer and place at the other end, and notes that it was heard.
+    /// Records that a message arrived on a link. Returns the peer and its place.
     pub fn record_received(
         &mut self,
         handle: Handle,
@@ -126,14 +127,14 @@
         Some((open.instance.clone(), open.place.clone()))
     }
 
-    /// Returns all links and their peers.
+    /// Returns all links with their peers and places.
     pub fn peers(&self) -> Vec<(Handle, id::Instance, Place)> {
         let peer =
             |(key, open): (&Handle, &Connection)| (*key, open.instance.clone(), open.place.clone());
         self.open.iter().map(peer).collect()
     }
 
-    /// Sends a message; a link whose queue is full is closed.
+    /// Sends a message. If the queue of the link is full, the link is closed.
     pub fn send(&mut self, handle: Handle, message: Message) {
         let Some(open) = self.open.get(&handle) else {
             return;
@@ -144,7 +145,7 @@
         }
     }
 
-    /// Sends a message to every peer of a place.
+    /// Sends a message to all peers at a place.
     pub fn send_within(&mut self, place: &Place, message: &Message) {
         for (handle, _, at) in self.peers() {
             if at == *place {
@@ -153,7 +154,7 @@
         }
     }
 
-    /// Returns how many links are open.
+    /// Returns the number of open links.
     pub fn count(&self) -> usize {
         self.open.len()
     }
@@ -163,17 +164,17 @@
         self.open.swap_remove(&handle);
     }
 
-    /// Returns the bounds on silence of an instance at a place.
+    /// Returns the bounds on the silence of an instance at a place.
     pub fn bounds(&self, place: &Place) -> Bounds {
         self.settings.bounds(self.is_cross_region(place))
     }
 
-    /// Tells whether a place is in another region.
+    /// Returns whether a place is in another region.
     pub fn is_cross_region(&self, place: &Place) -> bool {
         place.region != self.region
     }
 
-    /// Closes the links that have been silent for longer than anything can explain.
+    /// Closes links that have been silent for longer than their upper bound.
     pub fn close_silent(&mut self, now: Instant) {
         let silent = |open: &Connection| {
             let limit = self.bounds(&open.place).ceiling;
@@ -186,9 +187,9 @@
         }
     }
 
-    /// Closes the links that were dialled from here and aren't wanted any more.
+    /// Closes links that this instance dialed and no longer wants.
     ///
-    /// The other end may want an accepted one; it closes that itself.
+    /// Accepted links are left alone, because the other end may want them and closes them itself.
     pub fn close_unwanted(&mut self, wanted: impl Fn(&str, &Place) -> bool, now: Instant) {
         self.open.retain(|_, open| {
             let young = now.saturating_duration_since(open.opened) < MIN_LINK_AGE;
@@ -196,13 +197,15 @@
         });
     }
 
-    /// Closes every link.
+    /// Closes all links.
     pub fn clear(&mut self) {
         self.open.clear();
     }
 
-    /// Tells whether an open link gives way to a new one. Both ends come to the same verdict when
-    /// they dial each other at once: the link dialled by the lower name stays.
+    /// Returns whether a new link to the same peer replaces an open one.
+    ///
+    /// Both ends reach the same decision if they dial each other at the same time: the link dialed
+    /// by the instance with the lower name is kept.
     fn is_replaceable(
         &self,
         old: Handle,
@@ -238,7 +241,7 @@
 }
 
 async fn read(handle: Handle, mut receiver: Receiver, spread: Addr<Spread>) {
-    // Waiting for the actor bounds what a peer that sends without end can pile up here.
+    // Waiting for the actor limits how much a peer that never stops sending can queue here.
     while let Some(Ok(Frame::Gossip(message))) = receiver.next().await {
         if spread.send(Received(handle, message)).await.is_err() {
             return;
--- a/crates/zinniastall-entry/src/spread/messages.rs
+++ b/crates/zinniastall-entry/src/spread/messages.rs
@@ -1,4 +1,4 @@
-//! Messages of the actor.
+//! Messages handled by the gossip actor.
 
 use actix::Message;
 use zinniastall_wire::{
@@ -13,37 +13,37 @@
 #[rtype(result = "()")]
 pub struct Linked(pub Link);
 
-/// An attempt to dial ended.
+/// An attempt to dial an address ended.
 #[derive(Debug, Message)]
 #[rtype(result = "()")]
 pub struct Dialed {
-    /// Address that was dialled.
+    /// Address that was dialed.
     pub address: String,
-    /// Link, or why there is none.
+    /// The link, or why there is none.
     pub result: Result<Link, link::Error>,
 }
 
-/// A message arrived on a link.
+/// A gossip message arrived on a link.
 #[derive(Debug, Message)]
 #[rtype(result = "()")]
 pub struct Received(pub Handle, pub gossip::Message);
 
-/// A link broke.
+/// A link was closed.
 #[derive(Debug, Message)]
 #[rtype(result = "()")]
 pub struct Closed(pub Handle);
 
-/// Targets changed some time ago and are to be published.
+/// Publishes the targets, after changes were collected for a short time.
 #[derive(Debug, Message)]
 #[rtype(result = "()")]
 pub struct PublishTargets;
 
-/// Facts arrived some time ago and are to be passed on.
+/// Forwards facts, after they were collected for a short time.
 #[derive(Debug, Message)]
 #[rtype(result = "()")]
 pub struct ForwardFacts;
 
-/// The instance stops: it closes its links.
+/// Closes all links and stops the actor.
 #[derive(Debug, Message)]
 #[rtype(result = "()")]
 pub struct Stop;
--- a/crates/zinniastall-entry/src/spread/mod.rs
+++ b/crates/zinniastall-entry/src/spread/mod.rs
@@ -1,11 +1,13 @@
-//! Membership of entry instances, the zone's targets, and digests of other zones.
+//! Gossip between entry instances: membership, the targets of the zone, and digests of other zones.
 //!
-//! [`actor::Spread`] owns it all on the control arbiter. [`lines`] holds the open links, [`book`]
-//! the addresses to dial, [`atlas`] which instances of other zones to link to, [`renewals`] what
-//! waits to be sent about targets, [`digests`] the facts about zones, [`speaker`] makes those of this zone, [`ways`] knows
-//! where each goes. What the actor decides on
-//! comes from [`zinniastall_coord::membership`], [`zinniastall_coord::digest`] and
-//! [`crate::targets::table`].
+//! [`actor::Spread`] runs on the control arbiter and owns all of this state. [`links`] holds the
+//! open links, [`address_book`] the addresses to dial, and [`topology`] decides which instances of
+//! other zones to link to. [`renewals`] holds pending lease renewals of targets. [`digests`] holds
+//! the facts about zones, [`speaker`] creates those of the own zone, and [`forwarder`] decides on
+//! which links each fact is sent.
+//!
+//! The underlying algorithms are in [`zinniastall_coord::membership`],
+//! [`zinniastall_coord::digest`] and [`crate::targets::table`].
 
 pub mod actor;
 pub mod address_book;
@@ -32,13 +34,13 @@
 };
 use crate::{links::Acceptor, settings::Entry};
 
-/// Starts membership on the calling arbiter.
+/// Starts the actor on the current arbiter.
 pub fn start(settings: &Entry, dependencies: Dependencies) -> Addr<Spread> {
     let seeds = settings.seeds.iter().map(ToString::to_string);
     Spread::new(settings.spread, seeds, dependencies).start()
 }
 
-/// Takes gossip links for the actor.
+/// Passes accepted gossip links to the actor.
 #[derive(Debug)]
 pub struct Gossip(pub Addr<Spread>);
 
--- a/crates/zinniastall-entry/src/spread/peers.rs
+++ b/crates/zinniastall-entry/src/spread/peers.rs
@@ -1,4 +1,4 @@
-//! Membership: what peers say of themselves and which of them are published as alive.
+//! Membership: what peers say about themselves, and which of them are published as alive.
 
 use std::{sync::Arc, time::Instant};
 
@@ -16,12 +16,12 @@
     targets::table::millis,
 };
 
-/// Most times that this run takes a higher number; two processes under one name would otherwise
-/// outbid each other for ever.
+/// Maximum number of times that this process raises its incarnation. Two processes with the same
+/// name would otherwise outbid each other forever.
 const MAX_RAISES: u32 = 3;
 
 impl Spread {
-    /// Returns what this instance says of itself.
+    /// Returns what this instance says about itself.
     pub(super) fn own_peer(&self, now: Instant) -> Peer {
         let identity = &self.dependencies.identity;
         let addresses = identity.addresses();
@@ -39,9 +39,11 @@
         }
     }
 
-    /// Returns what a new link's other end is told: this instance's own word, the instances of both
-    /// zones, and one of each other zone if the end is in another one. A zone's facts don't reach a
-    /// second by a third, so that is how zones find each other.
+    /// Returns the peers to introduce to the other end of a new link: this instance, the instances
+    /// of both zones and, if the other end is in another zone, one instance of each further zone.
+    ///
+    /// Facts about a zone are not relayed to a second zone by a third, so this is how zones
+    /// discover each other.
     pub(super) fn introduction(&self, to: &Place, now: Instant) -> Vec<Peer> {
         let own = self.dependencies.identity.place();
         let is_other_zone = to != own;
@@ -59,8 +61,9 @@
         std::iter::once(self.own_peer(now)).chain(others).collect()
     }
 
-    /// Judges who answered at an address that was dialled. Whoever answers there owns it; a peer
-    /// that was known there is gone.
+    /// Checks which instance answered at a dialed address and returns whether to keep the link. The
+    /// address belongs to the instance that answered, so a peer known there under another name is
+    /// gone.
     pub(super) fn check_dialed(&mut self, address: &str, peer: &Hello, now: Instant) -> bool {
         if peer.instance == self.dependencies.identity.instance() {
             self.address_book.remove_seed(address);
@@ -148,8 +151,8 @@
         }
     }
 
-    /// Publishes this instance, the peers that are alive by their own evidence, and the doors of
-    /// zones that are heard of.
+    /// Publishes this instance, the peers that are alive by their own evidence, and the contact
+    /// points of zones that facts arrive from.
     pub(super) fn publish_peers(&mut self, now: Instant) {
         let own = self.own_peer(now);
         let mut peers = IndexMap::from([(own.instance.clone(), own)]);
@@ -173,8 +176,8 @@
         }
     }
 
-    /// Tells the zone of its instances that are newly alive, so that those that haven't met dial
-    /// each other.
+    /// Announces newly alive instances of the zone to the zone, so that those that don't know each
+    /// other yet can dial each other.
     fn announce_new_peers(&mut self, peers: &IndexMap<id::Instance, Peer>) {
         let new = |peer: &&Peer| !self.published_peers.contains_key(&peer.instance);
         for peer in peers.values().filter(new) {
@@ -200,7 +203,7 @@
         self.announce_zones(&place, &zones);
     }
 
-    /// Tells other zones of zones that are newly heard of, so that they look for each other.
+    /// Announces newly known zones to other zones, so that they can dial each other.
     fn announce_zones(&mut self, own: &Place, zones: &[Peer]) {
         for (link, _, place) in self.links.peers() {
             if place == *own || zones.is_empty() {
--- a/crates/zinniastall-entry/src/spread/renewals.rs
+++ b/crates/zinniastall-entry/src/spread/renewals.rs
@@ -1,4 +1,4 @@
-//! Renewals of targets that announced here, until the next period sends them on.
+//! Lease renewals of targets that announced to this instance, pending until the next heartbeat.
 
 use std::time::Instant;
 
@@ -8,10 +8,10 @@
 
 use crate::targets::{body::MAX_PREFIXES, table::Table};
 
-/// Bytes of one prefix on the wire.
+/// Encoded size of a prefix.
 const PREFIX_BYTES: u64 = 9;
 
-/// Renewals that wait to be sent; a later one of the same target takes the place of the earlier.
+/// Pending renewals, at most one per target; later ones replace earlier ones.
 #[derive(Debug, Default)]
 pub struct Renewals {
     pending: IndexMap<id::Target, Pending>,
@@ -33,13 +33,15 @@
         pending.added.drain(..excess);
     }
 
-    /// Drops a target's renewal, because its whole report goes out.
+    /// Removes a target's renewal, because its full report is sent instead.
     pub fn remove(&mut self, target: &str) {
         self.pending.swap_remove(target);
     }
 
-    /// Takes all renewals, with each lease's time left as of now. Prefixes go along as far as
-    /// `bytes` allows; the others wait, since a cache known late costs less than a lease.
+    /// Removes and returns all renewals, with the remaining time of each lease.
+    ///
+    /// New prefixes are included as far as `bytes` allows. The rest wait, since a late cache update
+    /// costs less than a lost lease.
     pub fn take(&mut self, table: &Table, bytes: u64, now: Instant) -> Vec<Load> {
         let mut left = bytes / PREFIX_BYTES;
         let mut loads = Vec::new();
@@ -60,9 +62,10 @@
     }
 }
 
-/// Returns the prefixes by which a target's list grew, or `None` when it changed in another way.
+/// Returns the prefixes that were appended to a target's list, or `None` if the list changed in
+/// another way.
 ///
-/// The list is bounded and has the newest last, so growth may push out the oldest.
+/// The list is bounded, with the newest prefix last, so appending may remove the oldest ones.
 pub fn appended_prefixes<'a>(
     before: &gossip::Target,
     after: &'a gossip::Target,
--- a/crates/zinniastall-entry/src/spread/settings.rs
+++ b/crates/zinniastall-entry/src/spread/settings.rs
@@ -1,36 +1,37 @@
-//! Settings of membership, targets' leases and digests.
+//! Settings of membership, target leases and digests.
 
 use std::time::Duration;
 
 use zinniastall_coord::membership;
 use zinniastall_settings::reader::Reader;
 
-/// Periods between two heartbeats to an instance of another region.
+/// Heartbeat periods between two heartbeats to an instance of another region.
 ///
-/// A link between regions is slow and few things hang on it: what is known of another region by its
-/// facts ages out after five intervals anyway.
+/// Links between regions are slow, and little depends on them: facts about another region expire
+/// after five digest intervals anyway.
 pub const CROSS_REGION_PERIODS: u32 = 3;
 
-/// Settings of membership, targets' leases and digests.
+/// Settings of membership, target leases and digests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Spread {
-    /// Time between two heartbeats.
+    /// Heartbeat period.
     pub period: Duration,
-    /// Shortest silence after which a peer is taken for lost.
+    /// Minimum silence after which a peer is considered lost.
     pub floor: Duration,
-    /// Longest silence after which a peer is taken for lost, on the slowest link.
+    /// Maximum silence after which a peer is considered lost, even on the slowest link.
     pub ceiling: Duration,
-    /// How long a target's announcement holds.
+    /// Lease of a target's announcement.
     pub lease: Duration,
-    /// Time between two words of a zone that its digests still hold; one that is late by five of
-    /// them counts as unknown.
+    /// Interval at which a zone renews its digests; they expire if no renewal arrives for five
+    /// intervals.
     pub digest_interval: Duration,
-    /// Bytes a second that gossip may send; what can wait gives way to what can't.
+    /// Gossip bytes that may be sent per second. Traffic that can wait yields to traffic that
+    /// can't.
     pub bytes_per_second: u32,
 }
 
 impl Spread {
-    /// Reads the section.
+    /// Reads the `spread` section.
     pub fn read(reader: &mut Reader<'_>) -> Self {
         Self {
             period: reader.millis("period_ms", 50..=10_000, 500),
@@ -46,12 +47,13 @@
         }
     }
 
-    /// Returns when a target is to announce again: in time for two lost attempts.
+    /// Returns the interval at which a target renews its lease; the lease outlasts two lost
+    /// attempts.
     pub fn renewal_interval(&self) -> Duration {
         self.lease / 3
     }
 
-    /// Returns the bounds on silence of an instance of the own region, or of another one.
+    /// Returns the bounds on the silence of an instance in the same region or in another one.
     pub fn bounds(&self, cross_region: bool) -> membership::Bounds {
         let local = self.membership();
         if !cross_region {
@@ -60,7 +62,8 @@
                 ceiling: local.ceiling,
             };
         }
-        // Facts are believed for five intervals; the peer that carries them needn't be lost sooner.
+        // Facts hold for five intervals, so the peer that delivers them needn't be considered lost
+        // sooner.
         let floor = local.floor.max(local.period * 3) * CROSS_REGION_PERIODS;
         membership::Bounds {
             floor,
@@ -68,7 +71,7 @@
         }
     }
 
-    /// Returns the times of the membership.
+    /// Returns the configuration of the failure detector.
     pub fn membership(&self) -> membership::Config {
         membership::Config {
             period: self.period,
@@ -80,7 +83,7 @@
     }
 }
 
-/// Converts a checked number; its range keeps it within 32 bits.
+/// Converts a number whose permitted range fits into 32 bits.
 fn saturate(number: u64) -> u32 {
     u32::try_from(number).unwrap_or(u32::MAX)
 }
--- a/crates/zinniastall-entry/src/spread/speaker.rs
+++ b/crates/zinniastall-entry/src/spread/speaker.rs
@@ -1,4 +1,5 @@
-//! Makes what an instance says for its zone and, in the first zone of a region, for the region.
+//! Creates the facts that a speaker publishes for its zone and, in the first zone of a region, for
+//! the region.
 
 use std::time::{Duration, Instant};
 
@@ -9,56 +10,56 @@
 
 use super::capacity::{Totals, Zones, choose_zone, is_similar};
 
-/// Most instances by which a zone says it is reached.
+/// Maximum number of contact points that a zone publishes.
 const MAX_CONTACTS: usize = 6;
-/// Steps in which a zone tells the load of its instances, in thousandths.
+/// Granularity of published instance loads, in thousandths.
 const LOAD_STEP_PERMILLE: u32 = 250;
-/// Steps in which a zone tells how long its instances have been up, in milliseconds.
+/// Granularity of published instance uptimes.
 const UPTIME_STEP_MS: u64 = 5_000;
-/// Intervals that a zone's capacity stays as told, unless its last free slot goes or its first
-/// comes.
+/// Intervals during which a published zone capacity is not updated, unless its last free slot is
+/// taken or a first slot becomes free.
 const ZONE_QUIET_INTERVALS: u32 = 2;
-/// The same for a region's: the further a fact goes, the more pay for it.
+/// The same for a regional capacity. It is longer because the fact is sent to more instances.
 const REGION_QUIET_INTERVALS: u32 = 5;
 
-/// For whom an instance speaks.
+/// What an instance speaks for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Scope {
-    /// For nobody.
+    /// Nothing; the instance is no speaker.
     None,
-    /// For its zone.
+    /// Its zone.
     Zone,
-    /// For its zone and its region.
+    /// Its zone and its region.
     Region,
 }
 
-/// What an instance knows to speak of.
+/// State from which facts are created.
 #[derive(Debug)]
 pub struct Snapshot {
-    /// The zone's instances, its speakers first.
+    /// Instances of the zone, its speakers first.
     pub contacts: Vec<Peer>,
-    /// The zone's capacity.
+    /// Capacity of the zone.
     pub own: Totals,
     /// Capacities of the region's other zones.
     pub others: Zones,
 }
 
-/// What is said at one time.
+/// Facts and renewals to publish.
 #[derive(Debug, Default, PartialEq)]
 pub struct Update {
-    /// Facts that are new.
+    /// New facts.
     pub items: Vec<Item>,
-    /// That the zone's or region's facts so far hold, once an interval.
+    /// Renewals of all earlier facts of the zone or region, once per interval.
     pub renewals: Vec<gossip::Renewal>,
 }
 
-/// Makes facts, seldom enough for those who pay for them.
+/// Creates facts, rate-limited because each of them is sent to many instances.
 #[derive(Debug)]
 pub struct Speaker {
     place: Place,
-    /// Makes the zone's facts, and the region's.
+    /// Authors of the zone's and the region's facts, in this order.
     authors: [Author<Topic, Maker, Fact>; 2],
-    /// When each capacity was told last.
+    /// When each capacity was last published.
     last_sent: IndexMap<Topic, Instant>,
     scope: Scope,
     interval: Duration,
@@ -66,7 +67,7 @@
 }
 
 impl Speaker {
-    /// Creates a speaker that is silent; it vouches for its facts once an interval.
+    /// Creates a speaker that speaks for nothing yet. It renews its facts once per interval.
     pub fn new(
         own: &id::Instance,
         incarnation: id::Incarnation,
@@ -88,12 +89,12 @@
         }
     }
 
-    /// Returns for whom this instance speaks.
+    /// Returns what this instance speaks for.
     pub const fn scope(&self) -> Scope {
         self.scope
     }
 
-    /// Says what there is to say.
+    /// Returns the facts and renewals that are due.
     pub fn speak(&mut self, scope: Scope, snapshot: &Snapshot, now: Instant) -> Update {
         self.set_scope(scope);
         if scope == Scope::None {
@@ -116,8 +117,10 @@
         }
     }
 
-    /// Starts or stops speaking. Whoever takes over finds the other's facts in every table, so that
-    /// its own old ones have to be made anew.
+    /// Sets what this instance speaks for.
+    ///
+    /// An instance that takes over finds the facts of its predecessor in every table, so it must
+    /// publish its own earlier facts again.
     fn set_scope(&mut self, scope: Scope) {
         let first = [Scope::Zone, Scope::Region];
         for (author, first) in self.authors.iter_mut().zip(first) {
@@ -159,8 +162,9 @@
         facts
     }
 
-    /// Returns what the region has, by subject and role: the zone that has most, by name. Whoever
-    /// is abroad sends its requests there, since no request goes on from where it arrived.
+    /// Returns the region's capacity by subject and role: the name and capacity of the zone with
+    /// the most free slots. Other regions send their requests directly to that zone, because a
+    /// request is not forwarded again after it has arrived.
     fn region_facts(&self, snapshot: &Snapshot, now: Instant) -> Vec<(Topic, Fact)> {
         let mut zones = snapshot.others.clone();
         for (key, capacity) in &snapshot.own {
@@ -201,9 +205,10 @@
         authors.map(Author::renewal).collect()
     }
 
-    /// Tells whether a fact is to be told: it differs enough from what was told last, and that is
-    /// not just now. What would lead requests astray is told at once: that the last free slot has
-    /// gone or the first has come, and that another zone has to be named.
+    /// Returns whether a fact must be published. Routine changes are published if they are large
+    /// enough and the last one is not recent. Changes that would misdirect requests are published
+    /// at once: the last free slot is taken, a first slot becomes free, or another zone must be
+    /// advertised.
     fn must_send(&self, topic: &Topic, fact: &Fact, now: Instant) -> bool {
         let last = self.last_fact(topic);
         let (Some((advertised, before)), Some((chosen, after))) =
@@ -225,7 +230,7 @@
     }
 }
 
-/// Returns which zone a fact names, if any, and the capacity that it tells.
+/// Returns the capacity in a fact and the zone that it advertises, if any.
 const fn read_capacity(fact: &Fact) -> Option<(Option<&id::Zone>, &Capacity)> {
     match fact {
         Fact::Doors(_) => None,
@@ -234,7 +239,7 @@
     }
 }
 
-/// Rounds what changes all the time, so that a zone's doors are told anew seldom.
+/// Rounds values that change all the time, so that contact points are rarely published again.
 fn quantize(peer: &Peer) -> Peer {
     Peer {
         load: peer.load / LOAD_STEP_PERMILLE * LOAD_STEP_PERMILLE,
--- a/crates/zinniastall-entry/src/spread/topology.rs
+++ b/crates/zinniastall-entry/src/spread/topology.rs
@@ -1,9 +1,9 @@
-//! Which instances of other zones this one links to.
+//! Decides which instances of other zones this instance links to.
 //!
-//! The speakers of a region's zones talk to each other. Between regions only the speakers of each
-//! region's first zone talk, which carries every fact once over each slow link. A region that
-//! nothing is heard of is tried by the speakers of all zones, since the first zone may be the one
-//! that is cut off.
+//! The speakers of all zones in a region link to each other. Between regions, only the speakers of
+//! each region's first zone link to each other, so each fact crosses each slow link once. If
+//! nothing is heard from a region, the speakers of all zones try to reach it, because the first
+//! zone may be the one that is cut off.
 
 use std::time::{Duration, Instant};
 
@@ -12,11 +12,11 @@
 use zinniastall_model::{id, place::Place};
 use zinniastall_wire::gossip::Peer;
 
-/// Most zones remembered.
+/// Maximum number of zones remembered.
 const MAX_ZONES: usize = 1_024;
-/// How long the doors of a zone that is cut off are remembered, for when it comes back.
+/// How long the contact points of a silent zone are remembered, in case it returns.
 const RETENTION: Duration = Duration::from_hours(2);
-/// How long one door of a silent zone is tried before the next.
+/// How long one contact point of a silent zone is tried before the next one.
 const ROTATION_SECS: u64 = 4;
 
 #[derive(Debug)]
@@ -26,7 +26,7 @@
     fresh: bool,
 }
 
-/// Doors of other zones, also of those that are silent.
+/// Contact points of other zones, including zones that are silent.
 #[derive(Debug)]
 pub struct Topology {
     own: Place,
@@ -35,7 +35,7 @@
 }
 
 impl Topology {
-    /// Creates an empty atlas.
+    /// Creates an empty topology.
     pub fn new(own: Place, now: Instant) -> Self {
         Self {
             own,
@@ -44,7 +44,8 @@
         }
     }
 
-    /// Takes in the doors that are known now; the others are remembered as silent.
+    /// Updates the contact points with those that are currently known. All other zones are
+    /// remembered as silent.
     pub fn update(&mut self, known: Vec<(Place, Vec<Peer>)>, now: Instant) {
         let known: IndexMap<Place, Vec<Peer>> = known.into_iter().collect();
         for (place, zone) in &mut self.zones {
@@ -70,7 +71,8 @@
         }
     }
 
-    /// Takes note of a zone that another one has named; it is tried as a silent one is.
+    /// Records a zone that another instance has mentioned. It is tried in the same way as a silent
+    /// zone.
     pub fn report(&mut self, peer: &Peer, now: Instant) {
         let known = self.zones.contains_key(&peer.place) || peer.place == self.own;
         if !known && self.zones.len() < MAX_ZONES {
@@ -83,12 +85,12 @@
         }
     }
 
-    /// Tells whether something is heard of a zone.
+    /// Returns whether unexpired facts about a zone are known.
     pub fn is_fresh(&self, place: &Place) -> bool {
         self.zones.get(place).is_some_and(|zone| zone.fresh)
     }
 
-    /// Returns the peers that a speaker of this rank links to.
+    /// Returns the peers that a speaker of the given rank links to.
     pub fn wanted(&self, rank: usize, now: Instant) -> Vec<Peer> {
         let places = self.wanted_places();
         let rotation = now.saturating_duration_since(self.started).as_secs() / ROTATION_SECS;
@@ -126,7 +128,7 @@
         places
     }
 
-    /// Tells whether the own zone is the first of its region's zones that are heard.
+    /// Returns whether the own zone is the first of its region's zones that are not silent.
     pub fn is_first(&self) -> bool {
         let heard = self.zones.iter().filter(|(_, zone)| zone.fresh);
         let mut near = heard.filter(|(place, _)| place.region == self.own.region);
--- a/crates/zinniastall-entry/src/spread/traffic.rs
+++ b/crates/zinniastall-entry/src/spread/traffic.rs
@@ -1,15 +1,15 @@
-//! Counts what the links of each purpose carry.
+//! Traffic metrics of links, by purpose.
 
 use zinniastall_settings::metrics::Recorder;
 use zinniastall_wire::{hello::Purpose, meter::Count};
 
 use crate::links::Identity;
 
-/// Bytes that the transport adds to a message: WebSocket, TCP and IP headers, and its share of an
-/// acknowledgement.
+/// Bytes that the transport adds per message: WebSocket, TCP and IP headers, and a share of an
+/// acknowledgment.
 const TRANSPORT_OVERHEAD_BYTES: u64 = 70;
 
-/// Names of one purpose's figures.
+/// Metric names of one purpose.
 #[derive(Debug)]
 struct Names {
     purpose: Purpose,
@@ -43,15 +43,16 @@
     },
 ];
 
-/// What had been counted when it was recorded last.
+/// Traffic counts at the time of the last recording.
 #[derive(Debug, Default)]
 pub struct Traffic {
     counted: [Count; NAMES.len()],
 }
 
 impl Traffic {
-    /// Records what the links of each purpose have carried since the last call. Returns the bytes
-    /// that gossip has sent, headers of the transport included.
+    /// Records the traffic of each purpose since the last call.
+    ///
+    /// Returns the bytes sent by gossip, including transport headers.
     pub fn record(&mut self, identity: &Identity, recorder: &Recorder) -> u64 {
         let mut gossip = 0;
         for (names, counted) in NAMES.iter().zip(&mut self.counted) {
--- a/crates/zinniastall-entry/src/spread/zone.rs
+++ b/crates/zinniastall-entry/src/spread/zone.rs
@@ -1,4 +1,4 @@
-//! The zone's targets: announced here or heard from the zone's other instances.
+//! Targets of the zone, announced to this instance or reported by other instances of the zone.
 
 use std::{sync::Arc, time::Instant};
 
@@ -18,7 +18,7 @@
 };
 
 impl Spread {
-    /// Takes an announcement of a target in and spreads what changed.
+    /// Applies a target's announcement and distributes what has changed.
     pub(super) fn announce(
         &mut self,
         mut report: gossip::Target,
@@ -43,7 +43,7 @@
         Ok(self.lease_response())
     }
 
-    /// Notes that a target leaves and spreads it at once.
+    /// Records that a target is leaving and distributes this at once.
     pub(super) fn leave(&mut self, leave: &Leave, now: Instant) -> Result<(), Problem> {
         let left = self.targets.leave(&leave.target, leave.incarnation)?;
         if left.is_some() {
@@ -52,7 +52,7 @@
         Ok(())
     }
 
-    /// Takes whole reports in from an instance of the zone.
+    /// Applies full reports from an instance of the zone.
     pub(super) fn apply_reports(
         &mut self,
         place: &Place,
@@ -67,7 +67,7 @@
         self.schedule_publish(change, now);
     }
 
-    /// Takes renewals in from an instance of the zone.
+    /// Applies renewals from an instance of the zone.
     pub(super) fn apply_renewals(&mut self, place: &Place, loads: &[Load], now: Instant) {
         if place != self.dependencies.identity.place() {
             return;
@@ -85,13 +85,13 @@
         }
     }
 
-    /// Takes the renewals of the last period, for all of the zone.
+    /// Returns the pending renewals of this period, to be sent to the whole zone.
     pub(super) fn take_renewals(&mut self, now: Instant) -> Vec<Load> {
         let bytes = self.bucket.available(now) / (self.links.count().max(1) as u64);
         self.renewals.take(&self.targets, bytes, now)
     }
 
-    /// Spreads a target's whole report at once and publishes it.
+    /// Sends a target's full report to the zone at once and publishes it.
     fn broadcast_report(&mut self, target: &str, now: Instant) {
         self.renewals.remove(target);
         if let Some(report) = self.targets.report(target, now) {
@@ -117,7 +117,7 @@
         }
     }
 
-    /// Publishes the targets that may get work.
+    /// Publishes the targets that may receive requests.
     pub(super) fn publish_targets(&mut self, now: Instant) {
         self.publish_pending = false;
         let targets = self.targets.serving(now);
--- a/crates/zinniastall-entry/src/targets/body.rs
+++ b/crates/zinniastall-entry/src/targets/body.rs
@@ -1,4 +1,4 @@
-//! Bodies of the targets' HTTP interface, and their bounds.
+//! Request and response bodies of the targets' HTTP interface, and their limits.
 
 use std::net::SocketAddr;
 
@@ -8,17 +8,17 @@
 
 use super::problem::Problem;
 
-/// Longest body, in bytes.
+/// Maximum length of a body.
 pub const MAX_BODY_BYTES: usize = 64 * 1024;
-/// Longest name, version, kind or role, in bytes.
+/// Maximum length of a name, version, kind or role.
 const MAX_NAME_BYTES: usize = 64;
-/// Most models and services of one target.
+/// Maximum number of models and services per target.
 const MAX_SERVED: usize = 64;
-/// Most adapters of one model.
+/// Maximum number of adapters per model.
 const MAX_ADAPTERS: usize = 64;
-/// Most slots of one target.
+/// Maximum number of slots per target.
 const MAX_SLOTS: u32 = 65_536;
-/// Most prefixes kept of one target; the newest stay.
+/// Maximum number of prefixes kept per target; the newest are kept.
 pub const MAX_PREFIXES: usize = 256;
 
 /// Body of an announcement.
@@ -40,7 +40,7 @@
     cache: Cache,
 }
 
-/// A model or a service; exactly one of the two names is given.
+/// A model or a service; exactly one of the two is given.
 #[derive(Debug, Deserialize)]
 struct Serves {
     model: Option<id::Model>,
@@ -58,32 +58,32 @@
     prefixes: Vec<String>,
 }
 
-/// Body of a leave.
+/// Body of a leave request.
 #[derive(Debug, Deserialize)]
 pub struct Leave {
-    /// Target.
+    /// Name of the target.
     pub target: id::Target,
-    /// Its run.
+    /// Incarnation of the target.
     pub incarnation: id::Incarnation,
 }
 
-/// Answer to an announcement.
+/// Response to an announcement.
 #[derive(Debug, Serialize)]
 pub struct Lease {
-    /// How long the announcement holds, in milliseconds.
+    /// Duration of the lease, in milliseconds.
     pub lease_ms: u64,
-    /// When to announce again, in milliseconds.
+    /// Time after which to announce again, in milliseconds.
     pub renew_ms: u64,
-    /// Addresses of the zone's instances for targets, this one's first.
+    /// Addresses at which the zone's instances accept announcements, this instance's first.
     pub instances: Vec<String>,
 }
 
 impl Announce {
-    /// Checks the announcement and makes a report of it, without a lease yet.
+    /// Validates the announcement and converts it to a report without a lease.
     ///
     /// # Errors
     ///
-    /// Names the first field that is out of bounds.
+    /// Returns the first field that is out of bounds.
     pub fn check(self, place: &Place) -> Result<gossip::Target, Problem> {
         check_name("target", &self.target)?;
         check_name("kind", &self.kind)?;
@@ -141,11 +141,11 @@
 }
 
 impl Leave {
-    /// Checks the name.
+    /// Validates the name of the target.
     ///
     /// # Errors
     ///
-    /// Fails when the target's name is out of bounds.
+    /// Returns an error if the name is out of bounds.
     pub fn check(self) -> Result<Self, Problem> {
         check_name("target", &self.target)?;
         Ok(self)
--- a/crates/zinniastall-entry/src/targets/mod.rs
+++ b/crates/zinniastall-entry/src/targets/mod.rs
@@ -1,8 +1,8 @@
-//! Targets' HTTP interface: announce, renew, leave.
+//! HTTP interface for targets: announce, renew and leave.
 //!
 //! A target announces itself and its load to any entry instance of its availability zone, and again
-//! before its lease runs out. The handlers check bodies and ask the owner of the zone's table, which
-//! lives on the control arbiter; see [`crate::spread`].
+//! before its lease expires. The handlers validate the bodies and pass them to the owner of the
+//! zone's table on the control arbiter; see [`crate::spread`].
 
 pub mod body;
 pub mod problem;
@@ -18,31 +18,31 @@
     problem::Problem,
 };
 
-/// Most connections of targets at once; a zone has a few hundred targets.
+/// Maximum number of connections from targets; a zone has a few hundred targets.
 pub const MAX_CONNECTIONS: usize = 4_096;
 
-/// A checked announcement on its way to the owner of the table.
+/// A validated announcement for the owner of the table.
 #[derive(Debug, Message)]
 #[rtype(result = "Result<Lease, Problem>")]
 pub struct Announced(pub gossip::Target);
 
-/// A checked leave on its way to the owner of the table.
+/// A validated leave request for the owner of the table.
 #[derive(Debug, Message)]
 #[rtype(result = "Result<(), Problem>")]
 pub struct Left(pub Leave);
 
-/// Where the handlers find the owner of the table.
+/// Handle to the owner of the table.
 #[derive(Debug, Clone)]
 pub struct Registry {
-    /// Place that announcements are for.
+    /// Place to which announcements apply.
     pub place: Place,
-    /// Takes announcements.
+    /// Receiver of announcements.
     pub announced: Recipient<Announced>,
-    /// Takes leaves.
+    /// Receiver of leave requests.
     pub left: Recipient<Left>,
 }
 
-/// Adds the targets' paths to an application.
+/// Registers the targets' routes with an application.
 pub fn configure(registry: Registry) -> impl FnOnce(&mut web::ServiceConfig) {
     move |config| {
         let json = web::JsonConfig::default()
--- a/crates/zinniastall-entry/src/targets/problem.rs
+++ b/crates/zinniastall-entry/src/targets/problem.rs
@@ -1,34 +1,34 @@
-//! What the targets' interface refuses, and how it says so.
+//! Errors of the targets' HTTP interface and their responses.
 
 use actix_web::{HttpResponse, ResponseError, http::StatusCode};
 use serde_json::json;
 use zinniastall_model::id;
 
-/// Why an announcement or a leave is refused.
+/// Why an announcement or a leave request is rejected.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum Problem {
-    /// The body is not JSON of the right form.
+    /// The body is not valid JSON of the expected form.
     #[error("body is malformed: {0}")]
     Body(String),
     /// A field is out of bounds.
     #[error("field {0} is out of bounds")]
     Field(&'static str),
-    /// A later run of the target is known.
+    /// A later incarnation of the target is known.
     #[error("incarnation {0} of this target is known; announce with a later one")]
     Stale(id::Incarnation),
-    /// The zone holds as many targets as it may.
+    /// The zone has the maximum number of targets.
     #[error("too many targets in this zone")]
     Full,
-    /// There is no such path.
+    /// The path does not exist.
     #[error("no such path; see /v1/targets/announce and /v1/targets/leave, both POST")]
     Path,
-    /// The instance can't take announcements now.
+    /// The instance can't accept announcements at the moment.
     #[error("not ready; announce to another instance")]
     Busy,
 }
 
 impl Problem {
-    /// Returns the type that the answer names.
+    /// Returns the error type stated in the response.
     pub const fn kind(&self) -> &'static str {
         match self {
             Self::Body(_) => "malformed",
--- a/crates/zinniastall-entry/src/targets/table.rs
+++ b/crates/zinniastall-entry/src/targets/table.rs
@@ -1,4 +1,4 @@
-//! The zone's targets: which run of each counts, and until when.
+//! Targets of the zone: the current incarnation of each and its lease.
 
 use std::time::{Duration, Instant};
 
@@ -9,37 +9,39 @@
 use super::{body::MAX_PREFIXES, problem::Problem};
 use crate::view;
 
-/// Most targets held; a target that invents names must not make the process grow.
+/// Maximum number of targets. A sender of announcements that invents names must not make the
+/// process grow without limit.
 const MAX_TARGETS: usize = 4096;
-/// How long the run of a target is remembered after its lease. A late report of it would otherwise
-/// bring it back.
+/// How long a target is remembered after its lease expired, so that a late report can't bring it
+/// back.
 const RETENTION: Duration = Duration::from_secs(30);
 
 /// What a report changed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Change {
-    /// Nothing: it is doubled or late.
+    /// Nothing; the report is a duplicate or late.
     Unchanged,
     /// Load, lease or cached prefixes.
     Load,
-    /// Which targets there are and what they serve.
+    /// The set of targets or what they serve.
     Targets,
 }
 
-/// A target's newest report.
+/// Latest report of a target.
 #[derive(Debug, Clone)]
 struct Entry {
     report: gossip::Target,
     tag: u64,
     heard: Instant,
     until: Instant,
-    /// Whether it left, or is leaving, in this run; holds until a later run.
+    /// Whether this incarnation has left or is leaving; only a later incarnation resets it.
     left: bool,
 }
 
-/// Targets of a zone, by their newest run and announcement.
+/// Targets of a zone, by their latest incarnation and announcement.
 ///
-/// Leases are judged by this process's monotonic clock alone; reports carry the time left.
+/// Lease expiry is determined only by this process's monotonic clock; reports carry the remaining
+/// time.
 #[derive(Debug)]
 pub struct Table {
     lease: Duration,
@@ -48,7 +50,7 @@
 }
 
 impl Table {
-    /// Creates an empty table; no lease in it is longer than `lease`.
+    /// Creates an empty table; `lease` is the maximum duration of a lease.
     pub fn new(lease: Duration) -> Self {
         Self {
             lease,
@@ -57,11 +59,12 @@
         }
     }
 
-    /// Takes a report in, announced here or heard from another instance.
+    /// Applies a report that was announced to this instance or received from another one.
     ///
     /// # Errors
     ///
-    /// [`Problem::Stale`] for an earlier run, [`Problem::Full`] for a new target beyond the bound.
+    /// Returns [`Problem::Stale`] for an earlier incarnation, and [`Problem::Full`] for a new
+    /// target if the table is full.
     pub fn apply(&mut self, report: gossip::Target, now: Instant) -> Result<Change, Problem> {
         let Some(held) = self.entries.get(&report.target) else {
             if self.entries.len() >= MAX_TARGETS {
@@ -78,13 +81,13 @@
         if same_run && late && !leaves {
             return Ok(Change::Unchanged);
         }
-        // Two instances may report one run out of order. Once it leaves it takes no new work, even
-        // if an announcement that was made before arrives by another way.
+        // Two instances may report one incarnation out of order. Once it is leaving, it gets no new
+        // requests, even if an earlier announcement arrives late from another instance.
         let left = same_run && held.left;
         Ok(self.insert(report, now, left))
     }
 
-    /// Takes a renewal in; `None` when the whole report it renews isn't held.
+    /// Applies a renewal; returns `None` if the report that it renews is unknown.
     pub fn renew(&mut self, load: &Load, now: Instant) -> Option<Change> {
         let target = self.tags.get(&load.tag)?;
         let held = self
@@ -111,11 +114,12 @@
         })
     }
 
-    /// Notes that a target leaves; `None` when this run of it isn't known or has left before.
+    /// Records that a target is leaving. Returns `None` if this incarnation is unknown or has
+    /// already left.
     ///
     /// # Errors
     ///
-    /// [`Problem::Stale`] for an earlier run.
+    /// Returns [`Problem::Stale`] for an earlier incarnation.
     pub fn leave(
         &mut self,
         target: &str,
@@ -136,7 +140,8 @@
         Ok(Some(held.report.clone()))
     }
 
-    /// Returns the targets that may get work: their lease runs and they aren't leaving.
+    /// Returns the targets that may receive requests: their lease is valid and they are not
+    /// leaving.
     pub fn serving(&self, now: Instant) -> IndexMap<id::Target, view::Target> {
         let serves = |held: &&Entry| !held.left && held.until > now;
         let entry = |held: &Entry| {
@@ -150,7 +155,7 @@
         self.entries.values().filter(serves).map(entry).collect()
     }
 
-    /// Returns every report with the time left of its lease, for an instance that has none.
+    /// Returns all reports with their remaining lease time, for an instance that has none of them.
     pub fn reports(&self, now: Instant) -> Vec<gossip::Target> {
         let left = |held: &Entry| held.until.saturating_duration_since(now);
         let report = |held: &Entry| gossip::Target {
@@ -166,7 +171,7 @@
             .collect()
     }
 
-    /// Returns one report with the time left of its lease.
+    /// Returns a report with its remaining lease time.
     pub fn report(&self, target: &str, now: Instant) -> Option<gossip::Target> {
         let held = self.entries.get(target)?;
         Some(gossip::Target {
@@ -188,7 +193,7 @@
         })
     }
 
-    /// Drops what has been out of lease for long. Returns whether a lease ran out since `last`.
+    /// Removes targets whose lease expired long ago. Returns whether a lease expired since `last`.
     pub fn sweep(&mut self, last: Instant, now: Instant) -> bool {
         self.entries.retain(|_, held| held.until + RETENTION > now);
         let entries = &self.entries;
@@ -198,12 +203,12 @@
         self.entries.values().any(expired)
     }
 
-    /// Returns how many targets are held, those remembered after their lease included.
+    /// Returns the number of targets, including those that are remembered after their lease.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Tells whether no target is held.
+    /// Returns whether the table is empty.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
@@ -226,14 +231,14 @@
     }
 }
 
-/// Appends prefixes and keeps the newest.
+/// Appends prefixes and keeps the newest ones.
 fn append(prefixes: &mut Vec<u64>, added: &[u64]) {
     prefixes.extend_from_slice(added);
     let excess = prefixes.len().saturating_sub(MAX_PREFIXES);
     prefixes.drain(..excess);
 }
 
-/// Converts a duration for the wire.
+/// Converts a duration to milliseconds.
 pub fn millis(duration: Duration) -> u64 {
     u64::try_from(duration.as_millis()).unwrap_or(u64::MAX)
 }
--- a/crates/zinniastall-entry/src/view.rs
+++ b/crates/zinniastall-entry/src/view.rs
@@ -1,4 +1,4 @@
-//! What traffic threads know: an immutable view, replaced as a whole.
+//! State that traffic threads read: an immutable view, replaced as a whole.
 
 use std::{
     sync::{
@@ -15,31 +15,31 @@
 use zinniastall_route::locate::Candidate;
 use zinniastall_wire::gossip;
 
-/// Everything that a request's path decides on.
+/// Everything on which the handling of a request depends.
 #[derive(Debug, Clone)]
 pub struct View {
     /// This instance.
     pub instance: id::Instance,
-    /// Its run.
+    /// Incarnation of this instance.
     pub incarnation: id::Incarnation,
-    /// Where it runs.
+    /// Place of this instance.
     pub place: Place,
     /// Configuration in force; `None` until one that lists this instance has been found.
     pub state: Option<Arc<State>>,
     /// Whether the control group is reachable.
     pub connected: bool,
-    /// Whether this instance takes no new requests.
+    /// Whether this instance accepts no new requests.
     pub draining: bool,
-    /// Entry instances that are alive, this one included, with what they say of themselves.
+    /// Live entry instances, including this one, with what they say about themselves.
     pub peers: Arc<IndexMap<id::Instance, gossip::Peer>>,
-    /// The zone's targets whose lease runs and that are not leaving.
+    /// Targets of the zone that have a valid lease and are not leaving.
     pub targets: Arc<IndexMap<id::Target, Target>>,
-    /// Capacity of other zones, newest per place, subject and role.
+    /// Capacities of other zones, the latest per place, subject and role.
     pub digests: Arc<Vec<Digest>>,
 }
 
 impl View {
-    /// Creates the view of a run that knows of nobody and has no configuration yet.
+    /// Creates a view without other instances and without a configuration.
     pub fn new(instance: id::Instance, incarnation: id::Incarnation, place: Place) -> Self {
         Self {
             instance,
@@ -54,12 +54,12 @@
         }
     }
 
-    /// Returns the revision of the configuration in force; 0 for none.
+    /// Returns the revision of the configuration in force, or 0 if there is none.
     pub fn revision(&self) -> id::Revision {
         self.state.as_ref().map_or(0, |state| state.revision)
     }
 
-    /// Returns the live instances as [`zinniastall_route::locate::locate`] wants them.
+    /// Returns the live instances as candidates for [`zinniastall_route::locate::locate`].
     pub fn candidates(&self) -> Vec<Candidate> {
         let candidate = |peer: &gossip::Peer| Candidate {
             instance: peer.instance.clone(),
@@ -73,27 +73,27 @@
     }
 }
 
-/// A target and when this instance learned of it.
+/// A target and when this instance heard of it.
 #[derive(Debug, Clone)]
 pub struct Target {
-    /// Its announcement.
+    /// Announcement of the target.
     pub report: gossip::Target,
-    /// When the announcement arrived at this instance; its load is as old as that at least.
+    /// When the announcement arrived at this instance. The load in it is at least that old.
     pub heard: Instant,
-    /// When its lease runs out.
+    /// When the lease expires.
     pub until: Instant,
 }
 
-/// A digest and when it was made, on this instance's clock.
+/// A digest and when it was created, on this instance's clock.
 #[derive(Debug, Clone)]
 pub struct Digest {
     /// The digest.
     pub report: gossip::Digest,
-    /// When it was made, as far as its age when sent tells.
+    /// When it was created, as derived from its age when it was sent.
     pub made: Instant,
 }
 
-/// Where the control arbiter publishes and traffic threads read.
+/// The current view, published by the control arbiter and read by traffic threads.
 #[derive(Debug, Clone)]
 pub struct Shared {
     current: Arc<ArcSwap<View>>,
@@ -102,7 +102,7 @@
 }
 
 impl Shared {
-    /// Creates a board with a first view.
+    /// Creates the shared view with its first value.
     pub fn new(view: View) -> Self {
         let revision = Arc::new(watch::Sender::new(view.revision()));
         Self {
@@ -131,16 +131,18 @@
     /// Waits until the view has a configuration of at least this revision.
     pub async fn reach(&self, revision: id::Revision) {
         let mut held = self.revision.subscribe();
-        // The sender lives as long as this board, so the wait cannot fail.
+        // The sender lives as long as `self`, so the wait cannot fail.
         let _ = held.wait_for(|held| *held >= revision).await;
     }
 
-    /// Returns this instance's requests in progress over what it can take, in thousandths.
+    /// Returns the load of this instance: requests in progress relative to its capacity, in
+    /// thousandths.
     pub fn load(&self) -> u32 {
         self.load.load(Ordering::Relaxed)
     }
 
-    /// Sets this instance's requests in progress over what it can take, in thousandths.
+    /// Sets the load of this instance: requests in progress relative to its capacity, in
+    /// thousandths.
     pub fn set_load(&self, load: u32) {
         self.load.store(load, Ordering::Relaxed);
     }
