--- a/crates/zinniastall-api/src/metadata.rs
+++ b/crates/zinniastall-api/src/metadata.rs
@@ -1,6 +1,6 @@
-//! Metadata of refusals.
+//! Names of metadata fields in error responses.
 
-/// Names the leader's operator interface, when the replica that was asked does not lead.
+/// Operator address of the leader, sent by a replica that is not the leader.
 pub const LEADER: &str = "x-zinniastall-leader";
-/// Names the revision against which the creation of an absent object is checked.
+/// Revision to expect when creating the absent object that was asked for.
 pub const CURRENT_REVISION: &str = "x-zinniastall-current";
--- a/crates/zinniastall-api/src/names.rs
+++ b/crates/zinniastall-api/src/names.rs
@@ -1,25 +1,25 @@
-//! Names of enumerations in JSON: `accepted` instead of `OUTCOME_ACCEPTED` or a number.
+//! Names of enum values in JSON: `accepted` instead of `OUTCOME_ACCEPTED` or a number.
 
 use crate::operator::{Kind, Outcome, Step};
 
-/// An enumeration of the schema.
+/// An enum of the schema whose values have names in JSON.
 pub trait Named: Copy + TryFrom<i32> + Into<i32> {
-    /// What the schema puts before each name.
+    /// Prefix of all value names in the schema.
     const PREFIX: &str;
 
-    /// Returns the name in the schema.
+    /// Returns the value's name in the schema.
     fn schema_name(self) -> &'static str;
-    /// Finds the value of a name in the schema.
+    /// Returns the value with a name in the schema.
     fn from_schema_name(name: &str) -> Option<Self>;
 
-    /// Returns the name for JSON and the command line.
+    /// Returns the value's name in JSON and on the command line.
     fn name(self) -> String {
         let name = self.schema_name();
         let short = name.strip_prefix(Self::PREFIX).unwrap_or(name);
         short.to_lowercase().replace('_', "-")
     }
 
-    /// Finds the value of a name for JSON and the command line.
+    /// Returns the value with a name in JSON or on the command line.
     fn parse(name: &str) -> Option<Self> {
         let long = name.to_uppercase().replace('-', "_");
         Self::from_schema_name(&format!("{}{long}", Self::PREFIX))
--- a/crates/zinniastall-ctl/src/arguments.rs
+++ b/crates/zinniastall-ctl/src/arguments.rs
@@ -65,15 +65,15 @@
 Exit codes: 0 done or accepted, 1 failed or unreachable, 2 usage, 3 conflict, 4 pending,
 5 command id reused, 6 invalid, 7 unknown outcome (resend under the same command id).";
 
-/// Time after which a run gives up by default.
+/// Time after which an invocation gives up unless `--timeout` is given.
 const DEFAULT_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// What the command line asks for.
+/// Action that the command line selects.
 #[derive(Debug)]
 pub enum Action {
-    /// Runs one call.
+    /// Performs one call.
     Run(Box<Invocation>),
-    /// Tells the story of a request from logs.
+    /// Explains a request from logs.
     Explain(Query),
     /// Prints the help text.
     Help,
@@ -81,16 +81,16 @@
     Version,
 }
 
-/// Why a command line is wrong.
+/// Why a command line is rejected.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// An option or value is not known.
+    /// An option is unknown, or its value is malformed.
     #[error(transparent)]
     Arguments(#[from] lexopt::Error),
     /// No address is given.
     #[error("--address is required")]
     MissingAddress,
-    /// No call is given, or there is no such call.
+    /// There is no such call.
     #[error("no such call: {0}")]
     UnknownCall(String),
     /// A call lacks an argument.
@@ -102,16 +102,18 @@
     /// There is no such step.
     #[error("no such step: {0}; expected admit, promote or remove")]
     UnknownStep(String),
-    /// An argument is left over.
+    /// There is an argument more than the call takes.
     #[error("unexpected argument: {0}")]
     UnexpectedArgument(String),
     /// A number is malformed.
     #[error("not a number: {0}")]
     InvalidNumber(String),
-    /// A command id without an expected revision could run twice.
+    /// A command id is given without an expected revision.
+    ///
+    /// A resend that arrives late could then run a second time.
     #[error("--command needs --expected, or a late resend could run twice")]
     MissingExpected,
-    /// The object is wrong.
+    /// The object or routing table is not valid.
     #[error(transparent)]
     Object(#[from] input::Error),
 }
@@ -131,11 +133,11 @@
 }
 
 impl Action {
-    /// Parses arguments without the program's name.
+    /// Parses the arguments that follow the program's name.
     ///
     /// # Errors
     ///
-    /// [`Error`] says what is wrong.
+    /// Returns [`Error`] if the command line is not valid.
     pub fn parse(arguments: impl IntoIterator<Item = OsString>) -> Result<Self, Error> {
         let mut parser = lexopt::Parser::from_args(arguments);
         let mut options = Options::default();
@@ -203,7 +205,7 @@
     })
 }
 
-/// Makes a command id that no other run makes.
+/// Returns a random command id, which no other invocation uses.
 fn random_command_id() -> String {
     format!("{:032x}", rand::random::<u128>())
 }
--- a/crates/zinniastall-ctl/src/call.rs
+++ b/crates/zinniastall-ctl/src/call.rs
@@ -1,11 +1,11 @@
-//! The calls.
+//! Calls to the control group.
 
 use zinniastall_api::operator::{Command, Kind, Object, RoutingTable, Step};
 
-/// One call and what it needs.
+/// A call with its parameters.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Call {
-    /// Founds a cluster.
+    /// Bootstraps a cluster.
     Bootstrap,
     /// Creates or replaces an object.
     Apply(Object),
@@ -17,73 +17,73 @@
     List(Kind),
     /// Prints changes as they are committed.
     Watch(Watch),
-    /// Prints how the system is.
+    /// Prints the status of the system.
     Status {
-        /// Whether the first replica that answers is asked, instead of the leader.
+        /// Whether to print the view of the first replica that answers instead of the leader's.
         local: bool,
     },
-    /// Prints how an entry instance is.
+    /// Prints the status of an entry instance.
     Instance(String),
-    /// Prints where a change is in force.
+    /// Prints which instances have not confirmed a change.
     Change(u64),
-    /// Prints histograms of an entry instance, or of the control instance when the name is empty.
+    /// Prints histograms of an entry instance, or of control if the name is empty.
     Histograms(String),
-    /// Changes the control group.
+    /// Changes the membership of the control group.
     Replica(Replica),
-    /// Declares an entry instance gone for certain.
+    /// Declares an entry instance permanently gone.
     Retire(String),
-    /// Replaces the routing table of gateway instances.
+    /// Replaces the gateways' routing table.
     Publish(RoutingTable),
     /// Prints the routing table and the evacuated zones.
     Routing,
-    /// Lets no new request go to the targets of a zone, or takes that back.
+    /// Evacuates an availability zone, so that its targets get no new requests, or reopens it.
     Evacuate {
         /// Availability zone.
         zone: String,
-        /// Whether it is taken back.
+        /// Whether to reopen the zone instead.
         reopen: bool,
     },
-    /// Prints the requests that are not run any more.
+    /// Prints the quarantined requests.
     Quarantine,
-    /// Lets a request run again, by its fingerprint.
+    /// Releases a request from quarantine, by its fingerprint.
     Release(String),
 }
 
-/// What to watch.
+/// Parameters of [`Call::Watch`].
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Watch {
-    /// Kinds; empty for all.
+    /// Kinds of objects; empty for all.
     pub kinds: Vec<Kind>,
-    /// Revision after which changes are printed.
+    /// Revision after which to start.
     pub after: u64,
-    /// Changes after which to end; `None` for never.
+    /// Number of changes after which to end; `None` to never end.
     pub count: Option<usize>,
 }
 
-/// A change of the control group.
+/// A membership change of the control group.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Replica {
-    /// What to do.
+    /// Step to take.
     pub step: Step,
-    /// Replica id, hex.
+    /// Id of the replica, in hexadecimal.
     pub id: String,
-    /// Address of its links; empty unless it is admitted.
+    /// Address of the replica's links; empty unless it is being admitted.
     pub address: String,
 }
 
-/// A call, whom to ask and under which command id.
+/// One invocation of the program: a call, the addresses to try, and the command id.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Invocation {
-    /// Addresses of control instances' operator interfaces.
+    /// Operator addresses of control instances.
     pub addresses: Vec<String>,
     /// Operator, command id and expected revision of a write.
     ///
-    /// The expected revision is absent only when the command id is fresh.
+    /// The expected revision is absent only if the command id is new.
     pub command: Command,
-    /// Longest time to wait for confirmations, in milliseconds.
+    /// Maximum time to wait for confirmations, in milliseconds.
     pub wait_ms: u64,
-    /// Time after which the run gives up.
+    /// Time after which the invocation gives up.
     pub timeout: std::time::Duration,
-    /// The call.
+    /// Call to perform.
     pub call: Call,
 }
--- a/crates/zinniastall-ctl/src/exit.rs
+++ b/crates/zinniastall-ctl/src/exit.rs
@@ -1,28 +1,28 @@
-//! What an answer means for the exit code.
+//! Exit status of the program.
 
 use std::process::ExitCode;
 
 use zinniastall_api::operator::Outcome;
 
-/// How a run ended; the number is the exit code.
+/// Outcome of an invocation; its number is the exit code.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[repr(u8)]
 pub enum Status {
-    /// The call succeeded; a write is accepted.
+    /// The call succeeded, or the write was accepted.
     Accepted = 0,
-    /// The call failed, or no replica could be reached before anything was sent.
+    /// The call failed, or no replica was reached before anything was sent.
     Failed = 1,
-    /// The command line or its JSON is wrong.
+    /// The command line or its JSON is not valid.
     Usage = 2,
-    /// Another write came first.
+    /// The object's revision is not the expected one, since another write came first.
     Conflict = 3,
-    /// The write is committed and waits for confirmations.
+    /// The write is committed but not yet confirmed by all instances.
     Pending = 4,
-    /// The command id was used with another body.
+    /// The command id was already used with another body.
     Reused = 5,
-    /// The write was refused as not valid.
+    /// The write was rejected as not valid.
     Invalid = 6,
-    /// The write may or may not have taken force.
+    /// The write may or may not have taken effect.
     Unknown = 7,
 }
 
--- a/crates/zinniastall-ctl/src/explain/line.rs
+++ b/crates/zinniastall-ctl/src/explain/line.rs
@@ -1,26 +1,25 @@
-//! Log lines: key=value pairs, perhaps behind a time and the name of a process.
+//! Parses log lines: key=value pairs with an optional prefix of a time and a process name.
 
 use indexmap::IndexMap;
 
-/// Seconds of a day; times of day are compared within one.
 const SECONDS_PER_DAY: f64 = 86_400.0;
 
-/// One log line.
+/// A parsed log line.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Line {
-    /// Seconds since some start that all lines of a log share.
+    /// Seconds since a reference time that all lines of a log share.
     pub time: f64,
-    /// Process that wrote it, empty where the log doesn't say.
+    /// Process that wrote the line; empty if unknown.
     pub process: String,
-    /// Its pairs, in order.
+    /// Key-value pairs in their order on the line.
     pub fields: IndexMap<String, String>,
 }
 
 impl Line {
-    /// Parses a line, or returns nothing where it holds no event.
+    /// Parses a line; returns `None` if it holds no event.
     ///
-    /// Collectors put what they know prefix a line: its time in seconds and the process, or the
-    /// process alone. Without a time, the line's own is taken.
+    /// A log collector may put a prefix before the line: a time in seconds and the process, or the
+    /// process alone. Without a time in the prefix, the line's timestamp is used.
     pub fn parse(text: &str) -> Option<Self> {
         let start = text.find("ts=")?;
         let mut prefix = text[..start].split_whitespace().peekable();
@@ -39,18 +38,18 @@
         })
     }
 
-    /// Returns the event.
+    /// Returns the name of the event.
     pub fn event(&self) -> &str {
         self.field("event")
     }
 
-    /// Returns a field, empty if there is none.
+    /// Returns the value of a field; empty if there is none.
     pub fn field(&self, name: &str) -> &str {
         self.fields.get(name).map_or("", String::as_str)
     }
 }
 
-/// Splits text into pairs; a value with spaces stands in quotes.
+/// Splits text into key-value pairs; values with spaces are quoted.
 fn pairs(mut text: &str) -> IndexMap<String, String> {
     let mut pairs = IndexMap::new();
     while let Some((name, rest)) = text.trim_start().split_once('=') {
@@ -61,7 +60,7 @@
     pairs
 }
 
-/// Takes a value off the front of text.
+/// Splits the first value off the text and returns it with the rest.
 fn value(text: &str) -> (String, &str) {
     let Some(quoted) = text.strip_prefix('"') else {
         let end = text.find(' ').unwrap_or(text.len());
@@ -79,13 +78,13 @@
     (value, "")
 }
 
-/// Returns the seconds of a day of a time as log lines write it, to the nanosecond and in universal time.
+/// Converts a timestamp of a log line, in UTC, to seconds since the start of its month.
 fn time_of_day(text: &str) -> Option<f64> {
     let (date, time) = text.trim_end_matches('Z').split_once('T')?;
     let mut parts = time.split(':');
     let mut part = || parts.next()?.parse::<f64>().ok();
     let seconds = part()? * 3_600.0 + part()? * 60.0 + part()?;
-    // Lines around midnight stay in order, as long as a log spans no end of a month.
+    // The day of the month keeps lines around midnight in order, unless a log spans two months.
     let day: f64 = date.rsplit('-').next()?.parse().ok()?;
     Some(day * SECONDS_PER_DAY + seconds)
 }
--- a/crates/zinniastall-ctl/src/explain/mod.rs
+++ b/crates/zinniastall-ctl/src/explain/mod.rs
@@ -1,8 +1,8 @@
-//! The story of one request, told from the logs of all processes.
+//! Reconstructs the timeline of one request from the logs of all processes.
 //!
-//! Lines that carry the request's id come first; beside them stand the lines that changed what the
-//! processes believed of the targets, instances and configuration that the request met, from a while
-//! before it arrived until it ended.
+//! A timeline holds the lines that carry the request's id. It also holds lines that report state
+//! changes of the targets, instances and configuration that the request depended on, from some time
+//! before its first line until its last one.
 
 pub mod line;
 
@@ -18,10 +18,11 @@
 use self::line::Line;
 use crate::exit;
 
-/// Seconds before a request's first line from which changes of belief are told: a target's silence,
-/// an ejection and a reload take no longer to matter.
+/// Seconds before a request's first line from which state changes are included: a silent target, an
+/// ejection or a reload affects requests within that time.
 const CONTEXT_SECONDS: f64 = 10.0;
-/// Events that change what a process believes, and the fields by which they name their subject.
+/// Events that report a state change, each with the field that names its subject. Events without
+/// such a field concern the whole process.
 const STATE_EVENTS: [(&str, &str); 11] = [
     ("target", "target"),
     ("target-out", "target"),
@@ -36,18 +37,18 @@
     ("log-lines-dropped", ""),
 ];
 
-/// What is to be explained, and from which logs.
+/// A request to explain, and the logs to read.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Query {
     /// Id of the request.
     pub id: String,
-    /// Files; standard input if there are none.
+    /// Names of log files; standard input is read if there are none.
     pub logs: Vec<String>,
-    /// Whether JSON is printed.
+    /// Whether to print JSON instead of text.
     pub json: bool,
 }
 
-/// Prints the story of a request.
+/// Prints the timeline of a request.
 pub fn run(query: &Query) -> exit::Status {
     let lines = match read_all(&query.logs) {
         Ok(lines) => lines,
@@ -74,7 +75,8 @@
     exit::Status::Accepted
 }
 
-/// Reads all logs; a log that names no process is that of the process its file is named after.
+/// Reads all logs. Lines that name no process are attributed to the one that the file is named
+/// after.
 fn read_all(logs: &[String]) -> io::Result<Vec<Line>> {
     if logs.is_empty() {
         return read(io::stdin().lock());
@@ -92,36 +94,36 @@
     Ok(all)
 }
 
-/// One line of a story.
+/// One entry of a timeline.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct Step {
     /// Seconds since the request's first line; negative before it.
     pub after: f64,
-    /// Process that wrote the line, where the log says so.
+    /// Process that wrote the line; empty if unknown.
     #[serde(skip_serializing_if = "String::is_empty")]
     pub process: String,
-    /// What happened.
+    /// Event that the line reports.
     pub event: String,
-    /// What it was decided on, and its outcome.
+    /// Remaining fields of the line, such as the inputs of a decision and its outcome.
     pub fields: IndexMap<String, String>,
 }
 
-/// The story of one request.
+/// Timeline of one request.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct Timeline {
-    /// Its id.
+    /// Id of the request.
     pub id: String,
-    /// How it ended for its caller, as the logs say.
+    /// Outcome for the caller, if the logs have it.
     pub end: Option<String>,
-    /// What happened, in time order.
+    /// Entries in order of time.
     pub steps: Vec<Step>,
 }
 
-/// Reads the lines of a log; what is no log line is passed over.
+/// Reads the lines of a log and skips those that are not log lines.
 ///
 /// # Errors
 ///
-/// Fails when the log can't be read.
+/// Fails if the log cannot be read.
 pub fn read(input: impl BufRead) -> io::Result<Vec<Line>> {
     let mut lines = Vec::new();
     for text in input.lines() {
@@ -130,7 +132,7 @@
     Ok(lines)
 }
 
-/// Tells the story of a request, if any line speaks of it.
+/// Reconstructs the timeline of a request; returns `None` if no line carries its id.
 pub fn reconstruct(id: &str, lines: &[Line]) -> Option<Timeline> {
     let request_lines: Vec<&Line> = lines.iter().filter(|line| line.field("id") == id).collect();
     let first = request_lines
@@ -156,8 +158,10 @@
     })
 }
 
-/// Returns the line that says how a request ended for its caller: the last one of an instance to which it came
-/// from the caller. Where the logs lack that, the last one of an instance to which it was passed on.
+/// Returns the line with the request's outcome for its caller.
+///
+/// That is the last one of the instance that received the request from the caller or, if the logs
+/// lack it, of an instance that the request was forwarded to.
 fn end<'a>(request_lines: &[&'a Line]) -> Option<&'a Line> {
     let ends = request_lines
         .iter()
@@ -170,7 +174,7 @@
     last.copied()
 }
 
-/// Returns the names of whatever a request met: processes, targets, instances.
+/// Returns the names of the processes, targets and instances that handled a request.
 fn encountered<'a>(request_lines: &[&'a Line]) -> IndexSet<&'a str> {
     let named = request_lines.iter().map(|line| line.field("place"));
     let processes = request_lines.iter().map(|line| line.process.as_str());
@@ -180,8 +184,10 @@
         .collect()
 }
 
-/// Tells whether a line says what a process that the request passed through came to believe of what
-/// the request met; with logs that name no process, any process counts.
+/// Returns whether a line reports a state change that concerns a request: it comes from a process
+/// that handled the request, and its subject is one of those in `encountered`.
+///
+/// Lines that name no process count as if they came from such a process.
 fn is_related_state(line: &Line, encountered: &IndexSet<&str>) -> bool {
     let is_relevant_process =
         line.process.is_empty() || encountered.contains(line.process.as_str());
--- a/crates/zinniastall-ctl/src/group.rs
+++ b/crates/zinniastall-ctl/src/group.rs
@@ -1,7 +1,7 @@
-//! Finds the replica that can answer, and sends again what got lost.
+//! Client of the control group: finds the leader and retries lost calls.
 //!
-//! A write is sent again only under the same command id, which makes a resend safe: the group
-//! answers it with what it recorded the first time.
+//! A write is retried only under the same command id, which makes the retry safe: the group answers
+//! it with the outcome that it recorded the first time.
 
 use std::{collections::VecDeque, time::Duration};
 
@@ -16,36 +16,37 @@
     operator::{ChangeResponse, Outcome, operator_client::OperatorClient},
 };
 
-/// Longest time to connect.
+/// Maximum time to connect to a replica.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-/// Shortest and longest time of one attempt, beside what the call itself waits.
+/// Minimum and maximum time of one attempt, in addition to the time that the call itself may wait
+/// at the replica.
 const ATTEMPT_TIMEOUT_RANGE: (Duration, Duration) =
     (Duration::from_millis(250), Duration::from_secs(3));
-/// First wait after all addresses were tried in vain.
+/// Backoff after the first round in which no address gave an answer.
 const MIN_BACKOFF: Duration = Duration::from_millis(50);
-/// Longest wait between rounds.
+/// Maximum backoff between rounds.
 const MAX_BACKOFF: Duration = Duration::from_secs(1);
 
-/// A client of one replica.
+/// Client of one replica.
 pub type Client = OperatorClient<Channel>;
 
-/// Why a call has no answer.
+/// Why a call got no answer.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// A replica answered with a refusal that asking another one would not change.
+    /// A replica refused the call, and every other replica would do the same.
     #[error("{}", .0.message())]
     Refused(Box<Status>),
-    /// Nobody could be reached, or nobody led, until the time was up.
+    /// No replica was reached, or none was the leader, until the timeout.
     #[error("no replica answered in time: {last}")]
     Unreachable {
-        /// What the last attempt said.
+        /// Failure of the last attempt.
         last: String,
-        /// Whether a write may have been received by a replica.
+        /// Whether a replica may have received the call.
         sent: bool,
     },
 }
 
-/// The control group, as a client sees it.
+/// Client of the control group.
 #[derive(Debug)]
 pub struct Group {
     addresses: Vec<String>,
@@ -54,10 +55,10 @@
 }
 
 impl Group {
-    /// Creates a group; `wait` is what the call itself may take at the replica.
+    /// Creates a client; `wait` is the time that the call itself may wait at the replica.
     pub fn new(addresses: Vec<String>, timeout: Duration, wait: Duration) -> Self {
-        // A frozen replica takes the connection and never answers. Each address gets its turn twice
-        // within the time, so that one such replica does not use all of it up.
+        // A frozen replica accepts connections but never answers. The timeout is divided so that
+        // each address can be tried twice, and one such replica does not use it all up.
         let attempts = u32::try_from(2 * addresses.len()).unwrap_or(u32::MAX);
         let attempt_timeout =
             (timeout / attempts.max(1)).clamp(ATTEMPT_TIMEOUT_RANGE.0, ATTEMPT_TIMEOUT_RANGE.1);
@@ -68,11 +69,11 @@
         }
     }
 
-    /// Calls one replica after the other until one answers, following the hint who leads.
+    /// Calls one replica after the other, following redirects to the leader, until one answers.
     ///
     /// # Errors
     ///
-    /// [`Fault`] when a replica refuses or the time is up.
+    /// Returns [`Error`] if a replica refuses the call or the timeout has passed.
     pub async fn call<T: Answer>(
         &self,
         call: impl AsyncFn(Client) -> Result<T, Status>,
@@ -113,7 +114,7 @@
         Err(Error::Unreachable { last, sent })
     }
 
-    /// Connects to one replica, or says that it can't be reached.
+    /// Connects to one replica; returns `None` if it cannot be reached.
     pub async fn connect(&self, address: &str) -> Option<Client> {
         let endpoint = Endpoint::from_shared(format!("http://{address}")).ok()?;
         let endpoint = endpoint
@@ -122,33 +123,38 @@
         Some(OperatorClient::new(endpoint.connect().await.ok()?))
     }
 
-    /// Returns the addresses.
+    /// Returns the addresses of the replicas.
     pub fn addresses(&self) -> &[String] {
         &self.addresses
     }
 }
 
+/// What follows from the result of one attempt.
 #[derive(Debug)]
 enum Disposition<T> {
+    /// The call is answered.
     Done(T),
+    /// The replica is not the leader; names the leader, if it is known.
     NotLeader(Option<String>),
+    /// Nothing was done, for a transient reason.
     Unavailable(String),
+    /// The call may have been received.
     Unknown(String),
 }
 
-/// An answer that may say that another replica has to be asked.
+/// An answer that may ask for the call to be sent elsewhere or again.
 pub trait Answer: Sized {
-    /// Tells whether the replica led, and if not, which one does.
+    /// Returns `Some` if the replica is not the leader, with the leader's address if it is known.
     fn not_leader(&self) -> Option<Option<String>> {
         None
     }
 
-    /// Tells why nothing was done, if the reason will pass.
+    /// Returns why nothing was done, if the reason is transient.
     fn unavailable(&self) -> Option<String> {
         None
     }
 
-    /// Tells whether the outcome is unknown, so that the call is to be sent again.
+    /// Returns whether the outcome is unknown, so that the call has to be retried.
     fn is_unknown(&self) -> bool {
         false
     }
@@ -206,7 +212,7 @@
                 let leader = leader.and_then(|leader| leader.to_str().ok());
                 Ok(Disposition::NotLeader(leader.map(str::to_owned)))
             }
-            // The connection broke or the replica is too slow: it may have taken the call.
+            // The connection broke or the replica is too slow, so it may have received the call.
             Code::Unavailable
             | Code::Unknown
             | Code::Cancelled
--- a/crates/zinniastall-ctl/src/input.rs
+++ b/crates/zinniastall-ctl/src/input.rs
@@ -1,4 +1,4 @@
-//! Reads an object: JSON from the command line, a file or standard input.
+//! Reads objects as JSON from the command line, a file or standard input.
 
 use std::{fs, io};
 
@@ -6,24 +6,24 @@
 use serde_json::Value;
 use zinniastall_api::operator::{Object, RoutingTable};
 
-/// Why an object can't be read.
+/// Why an object cannot be read.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// The file or standard input can't be read.
+    /// The file or standard input cannot be read.
     #[error("{path} cannot be read: {error}")]
     Unreadable {
-        /// What was read.
+        /// File name, or `-` for standard input.
         path: String,
-        /// Why it can't be.
+        /// Error of the read.
         error: io::Error,
     },
-    /// The text is not JSON of an object.
+    /// The text is not JSON, or a field has the wrong type.
     #[error("not an object: {0}")]
     Malformed(#[from] serde_json::Error),
-    /// The JSON has fields that no object has.
+    /// The JSON has a field that the schema lacks.
     #[error("unknown field {0}")]
     UnknownField(String),
-    /// The JSON names no kind of object.
+    /// The JSON contains no object of any kind.
     #[error("expected one of client, route, model, adapter, residency, role")]
     MissingKind,
 }
@@ -32,7 +32,7 @@
 ///
 /// # Errors
 ///
-/// [`Fault`] says what is wrong.
+/// Returns [`Error`] if the input cannot be read or is not a valid object.
 pub fn object(argument: &str) -> Result<Object, Error> {
     parse(&text(argument)?)
 }
@@ -41,7 +41,7 @@
 ///
 /// # Errors
 ///
-/// [`Fault`] says what is wrong.
+/// Returns [`Error`] if the input cannot be read or is not a valid table.
 pub fn table(argument: &str) -> Result<RoutingTable, Error> {
     parse_strict(&text(argument)?)
 }
@@ -65,7 +65,8 @@
 ///
 /// # Errors
 ///
-/// [`Fault`] says what is wrong; an unknown field is a fault, since it is a misspelt one as a rule.
+/// Returns [`Error`] if the text is not a valid object. Unknown fields are rejected, since they are
+/// usually misspelt.
 pub fn parse(text: &str) -> Result<Object, Error> {
     let object: Object = parse_strict(text)?;
     if object.object.is_none() {
@@ -74,7 +75,7 @@
     Ok(object)
 }
 
-/// Parses JSON all of whose fields have to be understood.
+/// Parses JSON and rejects unknown fields.
 fn parse_strict<T: Serialize + DeserializeOwned>(text: &str) -> Result<T, Error> {
     let given: Value = serde_json::from_str(text)?;
     let read: T = serde_json::from_value(given.clone())?;
@@ -84,7 +85,7 @@
     }
 }
 
-/// Finds a field that was given and not understood.
+/// Returns the path of the first given field that was lost in parsing.
 fn find_unknown_field(given: &Value, parse_strict: &Value, path: &str) -> Option<String> {
     if let (Some(given), Some(parse_strict)) = (given.as_array(), parse_strict.as_array()) {
         let mut items = given.iter().zip(parse_strict);
--- a/crates/zinniastall-ctl/src/lib.rs
+++ b/crates/zinniastall-ctl/src/lib.rs
@@ -1,8 +1,9 @@
-//! Operators' command line: one call a run, JSON in and out.
+//! Command-line client for operators: one call per invocation, JSON in and out.
 //!
-//! [`arguments`] reads the command line into a [`call::Call`], [`group`] finds the replica that can
-//! answer and sends again what got lost, and [`verdict`] says what the answer means for the exit
-//! code. [`explain`] needs no replica: it tells the story of a request from logs.
+//! [`arguments`] parses the command line into a [`call::Invocation`]. [`run`] performs its call
+//! through [`group`], which finds the replica that can answer and retries lost calls, prints the
+//! answer, and maps it to an [`exit`] status. [`explain`] needs no replica: it reconstructs the
+//! timeline of a request from logs.
 
 pub mod arguments;
 pub mod call;
--- a/crates/zinniastall-ctl/src/main.rs
+++ b/crates/zinniastall-ctl/src/main.rs
@@ -1,4 +1,4 @@
-//! The `zinniastall-ctl` binary.
+//! Entry point of the `zinniastall-ctl` binary.
 
 use std::process::ExitCode;
 
--- a/crates/zinniastall-ctl/src/run.rs
+++ b/crates/zinniastall-ctl/src/run.rs
@@ -1,4 +1,4 @@
-//! Runs one call and prints its answer.
+//! Performs one call and prints its answer.
 
 use std::time::Duration;
 
@@ -20,7 +20,7 @@
     group::{Answer, Client, Error, Group},
 };
 
-/// Runs an order and prints what it answers.
+/// Performs the call of an invocation and prints its answer.
 pub fn run(invocation: &Invocation) -> exit::Status {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
@@ -158,6 +158,7 @@
     }
 }
 
+/// Adapts a call so that it returns the message of its response, without the metadata.
 fn unwrapped<T>(
     call: impl AsyncFn(Client) -> Result<tonic::Response<T>, Status>,
 ) -> impl AsyncFn(Client) -> Result<T, Status> {
@@ -227,10 +228,10 @@
     ))
 }
 
-/// Fills in the present revision of the object, when none is given.
+/// Fills in the object's current revision if no expected revision is given.
 ///
-/// That is safe only because the command id is fresh in this run: whatever is sent again carries
-/// the revision that was read before the first time.
+/// This is safe only because the command id is new in this invocation: a retry carries the revision
+/// that was read before the first attempt.
 async fn fill_expected(
     group: &Group,
     command: &Command,
@@ -278,7 +279,8 @@
     })
 }
 
-/// Prints the status as the leader sees it, or as the first that answers sees it.
+/// Prints the status as the leader sees it, or as the first replica that answers if `local` is set
+/// or the leader cannot be reached.
 async fn status(group: &Group, local: bool) -> Result<exit::Status, Error> {
     let call = async |mut client: Client| client.status(StatusRequest {}).await;
     let first = group.call(unwrapped(call)).await?;
@@ -301,7 +303,10 @@
     Ok(print_answer(&first))
 }
 
-/// Tells whether a status is the leader's own: only a leader hears the others.
+/// Returns whether a status comes from the leader itself.
+///
+/// Only the leader hears from the other replicas, and a replica reports 0 ms for itself. A follower
+/// therefore never reports 0 ms for the leader.
 fn is_from_leader(status: &SystemStatus) -> bool {
     let is_self = |replica: &&zinniastall_api::operator::ReplicaStatus| replica.heard_ms == 0;
     status
--- a/crates/zinniastall-ctl/tests/command_line.rs
+++ b/crates/zinniastall-ctl/tests/command_line.rs
@@ -1,4 +1,4 @@
-//! The command line: what it understands and what it refuses.
+//! Command lines that are accepted and rejected.
 
 use zinniastall_ctl::{
     arguments::{Action, Error},
@@ -15,7 +15,7 @@
         $(#[test]
         fn $name() {
             let Ok(Action::Run(invocation)) = parse(concat!("--address 127.0.0.1:1 ", $line)) else {
-                panic!("not understood: {}", $line);
+                panic!("not accepted: {}", $line);
             };
             assert!(matches!(invocation.call, $call), "{invocation:?}");
             assert!(!invocation.command.id.is_empty());
@@ -33,7 +33,7 @@
     retire: "retire patras-a-1" => Call::Retire(_),
 }
 
-macro_rules! refused {
+macro_rules! rejected {
     ($($name:ident: $line:literal => $error:pat,)*) => {
         $(#[test]
         fn $name() {
@@ -43,7 +43,7 @@
     };
 }
 
-refused! {
+rejected! {
     no_address: "status" => Error::MissingAddress,
     no_such_call: "--address a:1 frobnicate" => Error::UnknownCall(_),
     no_such_kind: "--address a:1 list cats" => Error::UnknownKind(_),
--- a/crates/zinniastall-ctl/tests/explain.rs
+++ b/crates/zinniastall-ctl/tests/explain.rs
@@ -1,4 +1,4 @@
-//! Stories of requests, told from kept logs of real runs.
+//! Timelines of requests, reconstructed from logs of real runs and from handwritten ones.
 
 use std::{fs, path::PathBuf, process::Command};
 
@@ -10,15 +10,15 @@
     root.join("../../docs/operations").join(name)
 }
 
-/// Returns the id of the request that a kept log is about.
+/// Returns the id of the request that a sample log is about.
 fn request_id(log: &str) -> String {
-    let text = fs::read_to_string(sample_log(log)).expect("the log is kept");
+    let text = fs::read_to_string(sample_log(log)).expect("the sample log exists");
     let lines = read(text.as_bytes()).expect("the log can be read");
     let line = lines.iter().find(|line| !line.field("id").is_empty());
     line.expect("a line has an id").field("id").to_owned()
 }
 
-/// Runs the command that the page shows.
+/// Runs the command as the operations page shows it.
 fn explain(log: &str) -> Value {
     let output = Command::new(env!("CARGO_BIN_EXE_zinniastall-ctl"))
         .args(["--json", "explain", &request_id(log)])
@@ -26,22 +26,24 @@
         .output()
         .expect("the command runs");
     assert!(output.status.success(), "{output:?}");
-    serde_json::from_slice(&output.stdout).expect("the story is JSON")
+    serde_json::from_slice(&output.stdout).expect("the timeline is JSON")
 }
 
 fn step<'a>(timeline: &'a Value, event: &str) -> &'a Value {
-    let steps = timeline["steps"].as_array().expect("a story has steps");
+    let steps = timeline["steps"].as_array().expect("a timeline has steps");
     let step = steps.iter().find(|step| step["event"] == event);
     step.unwrap_or_else(|| panic!("no {event} in {timeline}"))
 }
 
 fn number(step: &Value, field: &str) -> u64 {
-    let text = step["fields"][field].as_str().expect("the field is there");
+    let text = step["fields"][field]
+        .as_str()
+        .expect("the field is present");
     text.parse().expect("the field is a number")
 }
 
-/// A user complains of a 503. The log says that the wait at the best target was longer than the
-/// objective, and when the request should have come back.
+/// A caller got a 503. The timeline must show that the wait at the best target was too long for the
+/// latency objective, and after which delay the caller was asked to retry.
 #[test]
 fn a_refusal_names_the_queue() {
     let timeline = explain("refused.log");
@@ -51,7 +53,8 @@
     assert!(number(given_up, "retry_after_ms") > 0);
 }
 
-/// A user complains of a 502. The log names the target that closed without an answer.
+/// A caller got a 502. The timeline must name the target that closed the connection without an
+/// answer.
 #[test]
 fn an_unknown_outcome_names_the_target() {
     let timeline = explain("unknown.log");
@@ -65,8 +68,8 @@
     );
 }
 
-/// A user complains of a late answer. The log shows that it went to another region and for how long it
-/// waited there.
+/// A caller got a late answer. The timeline must show that the request was placed in another region
+/// and how long it waited.
 #[test]
 fn a_late_answer_shows_where_it_waited() {
     let timeline = explain("late.log");
@@ -92,7 +95,7 @@
     );
 }
 
-/// Collectors put a time and a process before a line, or a process, or nothing.
+/// A log collector may put a time and a process before a line, only a process, or nothing.
 #[test]
 fn lines_are_read_with_and_without_a_prefix() {
     let own = "ts=2026-07-27T15:14:47.500Z level=info event=placed id=a why=\"two words\"";
@@ -109,8 +112,8 @@
     assert_eq!(Line::parse("no line of a log"), None);
 }
 
-/// What a process came to believe of the target that the request met is part of its story; what it came
-/// to believe of others, or what other processes believe, is not.
+/// A timeline includes the state changes of the request's target that the process which handled the
+/// request logged. It excludes those of other targets and those logged by other processes.
 #[test]
 fn only_related_state_changes_are_included() {
     let log = "\
@@ -121,7 +124,7 @@
         2.5 edge-1 ts=1 event=target-out target=t1 why=unknown\n\
         3.0 edge-1 ts=1 event=request-ended id=a outcome=unknown\n\
         4.0 edge-1 ts=1 event=target target=t1 state=gone\n";
-    let timeline = reconstruct("a", &read(log.as_bytes()).expect("a log")).expect("a story");
+    let timeline = reconstruct("a", &read(log.as_bytes()).expect("a log")).expect("a timeline");
     let events: Vec<&str> = timeline
         .steps
         .iter()
@@ -131,8 +134,9 @@
     assert_eq!(timeline.end.as_deref(), Some("unknown"));
 }
 
-/// A request was passed on to another region. Both instances write how it ended, in logs of their own that come in
-/// any order and from clocks that differ; what its caller saw is what the instance says to which it came.
+/// A request is forwarded to another region, and both instances log its outcome, in separate logs
+/// that are read in any order and with clocks that differ. The outcome for the caller is the one at
+/// the instance that received the request.
 #[test]
 fn the_end_is_what_the_caller_saw() {
     let receiver = "\
@@ -148,18 +152,18 @@
         [receiver, forwarded_later].concat(),
     ] {
         let lines = read(log.as_bytes()).expect("a log");
-        let timeline = reconstruct("a", &lines).expect("a story");
+        let timeline = reconstruct("a", &lines).expect("a timeline");
         assert_eq!(timeline.end.as_deref(), Some("left"), "{log}");
     }
 }
 
-/// A caller sends a request again under its id. How it ended is how its last try ended.
+/// A caller resends a request under the same id. The last try gives the outcome.
 #[test]
 fn the_last_try_ends_a_request() {
     let log = "\
         3.0 edge-2 ts=1 event=request-ended id=a outcome=answered passed_on=false\n\
         2.0 edge-1 ts=1 event=request-ended id=a outcome=not-run passed_on=false\n";
     let lines = read(log.as_bytes()).expect("a log");
-    let timeline = reconstruct("a", &lines).expect("a story");
+    let timeline = reconstruct("a", &lines).expect("a timeline");
     assert_eq!(timeline.end.as_deref(), Some("answered"));
 }
