--- a/crates/zinniastall-ctl/src/arguments.rs
+++ b/crates/zinniastall-ctl/src/arguments.rs
@@ -102,7 +102,7 @@
     /// There is no such step.
     #[error("no such step: {0}; expected admit, promote or remove")]
     UnknownStep(String),
-    /// There is an argument more than the call takes.
+    /// There are more arguments than the call takes.
     #[error("unexpected argument: {0}")]
     UnexpectedArgument(String),
     /// A number is malformed.
--- a/crates/zinniastall-ctl/src/explain/line.rs
+++ b/crates/zinniastall-ctl/src/explain/line.rs
@@ -29,10 +29,10 @@
         }
         let process = prefix.next().unwrap_or_default().trim_end_matches(':');
         let fields = pairs(&text[start..]);
-        let own_time = fields.get("ts").and_then(|ts| time_of_day(ts));
+        let timestamp = fields.get("ts").and_then(|ts| seconds_in_month(ts));
         fields.get("event")?;
         Some(Self {
-            time: prefix_time.or(own_time)?,
+            time: prefix_time.or(timestamp)?,
             process: process.to_owned(),
             fields,
         })
@@ -78,8 +78,8 @@
     (value, "")
 }
 
-/// Converts a timestamp of a log line, in UTC, to seconds since the start of its month.
-fn time_of_day(text: &str) -> Option<f64> {
+/// Converts a timestamp as log lines write it, in UTC with nanoseconds, to seconds within its month.
+fn seconds_in_month(text: &str) -> Option<f64> {
     let (date, time) = text.trim_end_matches('Z').split_once('T')?;
     let mut parts = time.split(':');
     let mut part = || parts.next()?.parse::<f64>().ok();
