--- a/crates/zinniastall-control/src/control/apply.rs
+++ b/crates/zinniastall-control/src/control/apply.rs
@@ -76,10 +76,10 @@
         let state = self.machine.state();
         let connected = self.is_connected();
         self.feed.send_if_modified(|feed| {
-            let news = feed.state().revision < state.revision;
-            let changed = news || feed.is_connected() != connected;
+            let is_newer = feed.state().revision < state.revision;
+            let changed = is_newer || feed.is_connected() != connected;
             feed.connect(connected);
-            if news {
+            if is_newer {
                 feed.reach(Arc::clone(state).stripped());
             }
             changed
--- a/crates/zinniastall-control/src/control/bootstrap.rs
+++ b/crates/zinniastall-control/src/control/bootstrap.rs
@@ -84,7 +84,7 @@
             .map(ToString::to_string)
             .collect();
         let asked = ask_all(peers, hello).into_actor(self);
-        context.spawn(asked.map(|verdict, control, _| control.found(verdict, reply)));
+        context.spawn(asked.map(|result, control, _| control.found(result, reply)));
         MessageResult(deferred)
     }
 }
@@ -92,10 +92,10 @@
 impl Control {
     fn found(
         &mut self,
-        verdict: Result<(), BootstrapError>,
+        result: Result<(), BootstrapError>,
         reply: oneshot::Sender<Result<Founded, BootstrapError>>,
     ) {
-        match verdict {
+        match result {
             Ok(()) => self.disk.submit(Work::Found {
                 address: self.identity.borrow().links.clone(),
                 reply,
--- a/crates/zinniastall-control/src/daemon.rs
+++ b/crates/zinniastall-control/src/daemon.rs
@@ -82,7 +82,8 @@
     let datagrams = bind_datagrams(links.local_addr()?).await;
     let identity = identity(settings, links.local_addr()?, service);
     listening("links", links.local_addr()?);
-    let (feed, news) = watch::channel(Feed::new(Arc::new(State::default()), settings.limits.tail));
+    let (feed, receiver) =
+        watch::channel(Feed::new(Arc::new(State::default()), settings.limits.tail));
     let (failed, failure) = oneshot::channel();
     let registry = Registry::default();
     let control = start_actor(Start {
@@ -95,7 +96,7 @@
         feed,
         failed,
     })?;
-    let hub = Hub::new(news.clone());
+    let hub = Hub::new(receiver.clone());
     actix::spawn(hub.clone().run());
     actix::spawn(hub.clone().vouch(control.clone().recipient()));
     actix::spawn(hub.clone().record_suspects(control.clone().recipient()));
@@ -103,7 +104,7 @@
     let acceptor = Acceptor {
         identity: Rc::clone(&identity),
         control: control.clone(),
-        feed: news.clone(),
+        feed: receiver.clone(),
         hub: hub.clone(),
         timing: peers::Timing::new(settings.timing.election),
     };
@@ -111,7 +112,7 @@
     Ok(Running {
         control,
         hub,
-        feed: news,
+        feed: receiver,
         registry,
         failure,
         identity,
--- a/crates/zinniastall-control/src/hub/vouching.rs
+++ b/crates/zinniastall-control/src/hub/vouching.rs
@@ -63,11 +63,11 @@
 
     /// Runs a round whenever a question waits, forever.
     pub(super) async fn run(&self, group: Recipient<Vouch>) {
-        let mut pace = time::interval(MIN_ROUND_INTERVAL);
-        pace.set_missed_tick_behavior(time::MissedTickBehavior::Delay);
+        let mut interval = time::interval(MIN_ROUND_INTERVAL);
+        interval.set_missed_tick_behavior(time::MissedTickBehavior::Delay);
         loop {
             self.asked.notified().await;
-            pace.tick().await;
+            interval.tick().await;
             let round = self.begun.get() + 1;
             self.begun.set(round);
             if let Ok(Some(revision)) = time::timeout(ROUND_TIMEOUT, reached(&group)).await {
--- a/crates/zinniastall-control/tests/hub/main.rs
+++ b/crates/zinniastall-control/tests/hub/main.rs
@@ -52,8 +52,8 @@
 
 impl Fixture {
     async fn start() -> Self {
-        let (feed, news) = watch::channel(Feed::new(Arc::new(Configuration::default()), 8));
-        let hub = Hub::new(news);
+        let (feed, receiver) = watch::channel(Feed::new(Arc::new(Configuration::default()), 8));
+        let hub = Hub::new(receiver);
         actix::spawn(hub.clone().run());
         Self {
             hub,
--- a/crates/zinniastall-control/tests/recall.rs
+++ b/crates/zinniastall-control/tests/recall.rs
@@ -105,14 +105,14 @@
             })),
             ..Configuration::default()
         };
-        let (feed, news) = watch::channel(Feed::new(Arc::new(configuration), 8));
-        let (hub, registry) = (Hub::new(news.clone()), Registry::default());
+        let (feed, receiver) = watch::channel(Feed::new(Arc::new(configuration), 8));
+        let (hub, registry) = (Hub::new(receiver.clone()), Registry::default());
         let (sender, others) = mpsc::unbounded_channel();
         let recall = Recall {
             hub: hub.clone(),
             control: PeerSink(sender).start().recipient(),
             registry: registry.clone(),
-            feed: news,
+            feed: receiver,
             zone: "patras-a".to_owned(),
             folder: folder.to_owned(),
             names: NAMES,
