--- a/crates/zinniastall-control/src/hub.rs
+++ b/crates/zinniastall-control/src/hub.rs
@@ -4,7 +4,7 @@
 //! to all replicas and merge what they receive. None of this is in the replicated log: it is
 //! outdated within seconds, and every heartbeat would cost a sync.
 //!
-//! Each link remembers the version of each table up to which it was sent, and gets later changes in
+//! Each link records the version of each table that it last sent, and sends only later changes, in
 //! one frame per round. An idle system sends nothing, and a change costs its own size on each link
 //! that needs it. If every instance's events were sent to every other instance on all links, the
 //! traffic would grow with the square of their number.
@@ -58,8 +58,8 @@
 /// one frame.
 const ROUND_INTERVAL: Duration = Duration::from_millis(100);
 /// Rounds between two messages with the load of regions. A region that is selected by outdated load
-/// gets more requests than it can take; an interval of a third of a second is about one trip to the
-/// region.
+/// gets more requests than it can take. An update every third of a second is as frequent as useful,
+/// since a request takes about that long to reach the region.
 const ROUNDS_PER_LOAD_UPDATE: u64 = 3;
 /// Rounds between two messages with the targets of other regions.
 const ROUNDS_PER_REMOTE_UPDATE: u64 = 10;
@@ -98,7 +98,7 @@
     last_link: Cell<LinkNumber>,
 }
 
-/// Versions that are due for sending on all links.
+/// Versions of the tables that all links should have sent.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 struct Round {
     targets: Version,
@@ -108,7 +108,7 @@
     replicas: Version,
 }
 
-/// What one link was sent, and what it subscribes to.
+/// What one link has sent, and what it subscribes to.
 #[derive(Debug, Default)]
 struct Cursor {
     region: id::Region,
@@ -116,11 +116,11 @@
     replicas: Version,
     subscription: Option<Subscription>,
     questions: VecDeque<Question>,
-    /// Revision of the last change of suspects that the link was sent.
+    /// Revision of the last change of suspects that the link has sent.
     suspected: id::Revision,
 }
 
-/// What a subscriber was sent.
+/// Versions that a subscriber has been sent.
 #[derive(Debug, Clone, Copy, Default)]
 struct Subscription {
     instances: Version,
@@ -148,7 +148,7 @@
         }
     }
 
-    /// Records a target's report; returns whether it was new.
+    /// Records a target's report; returns whether it replaced the previous one.
     pub fn note(&self, report: Report) -> bool {
         self.inner.targets.borrow_mut().note(report)
     }
--- a/crates/zinniastall-control/src/hub/history.rs
+++ b/crates/zinniastall-control/src/hub/history.rs
@@ -1,5 +1,4 @@
-//! Keeps recent configurations, from which the changes for instances that hold one of them are
-//! computed.
+//! Keeps recent configurations, to compute the changes for instances that hold one of them.
 
 use std::{collections::VecDeque, sync::Arc};
 
@@ -9,8 +8,8 @@
 /// Configurations that are kept. An instance that holds an older one gets the whole configuration.
 const CAPACITY: usize = 8;
 
-/// The most recent configurations, oldest first. Those between which no table was published share
-/// it.
+/// The most recent configurations, oldest first. Configurations between which no table was
+/// published share the table.
 #[derive(Debug, Default)]
 pub(super) struct History {
     states: VecDeque<Arc<State>>,
--- a/crates/zinniastall-control/src/hub/targets.rs
+++ b/crates/zinniastall-control/src/hub/targets.rs
@@ -64,7 +64,7 @@
         self.version
     }
 
-    /// Records a report; returns whether it was new.
+    /// Records a report; returns whether it replaced the previous one.
     pub(super) fn note(&mut self, report: Report) -> bool {
         let held = self.entries.get(&report.target);
         if held.is_some_and(|held| !report.replaces(&held.report)) {
