--- a/crates/zinniastall-control/src/control.rs
+++ b/crates/zinniastall-control/src/control.rs
@@ -13,13 +13,13 @@
 mod heal;
 mod order;
 mod read;
+mod read_index;
 mod remember;
 mod repair;
 mod reply;
 mod start;
 mod status;
 mod stop;
-mod vouch;
 mod waiting;
 mod write;
 
@@ -50,17 +50,17 @@
     group::Reconfigure,
     heal::{Members, Sample, SetSeeds, Stats},
     read::{Read, View},
+    read_index::ReadIndex,
     remember::Remember,
     repair::{STEP_RETRY_INTERVAL, Throttle, next_step},
     reply::{Deferred, NotLeader, Reply},
     start::{Failure, Start, StartError},
     status::{Health, Inspect},
     stop::Stop,
-    vouch::Vouch,
     write::Write,
 };
 use self::{
-    read::Reads, status::HealthQueries, vouch::Vouches, waiting::Waiting, write::Unconfirmed,
+    read::Reads, read_index::Questions, status::HealthQueries, waiting::Waiting, write::Unconfirmed,
 };
 use crate::{
     disk::{Disk, Done},
@@ -96,7 +96,7 @@
     waiting: Waiting,
     unconfirmed: Vec<Unconfirmed>,
     reads: Reads,
-    vouches: Vouches,
+    read_index: Questions,
     health_queries: HealthQueries,
     confirmed: Confirmed,
     joining: IndexMap<String, Instant>,
@@ -211,9 +211,11 @@
             }
             peers::Message::Confirmed(list) => self.note_confirmed(list),
             peers::Message::Join(member) => self.join(member),
-            peers::Message::Vouch { ask } => self.vouch_for_peer(ask, frame.from, reply_queue),
-            peers::Message::Vouched { ask, revision } => self.vouches.answered(ask, revision),
-            peers::Message::Astray(list) => self.note_astray(list),
+            peers::Message::ReadIndex { ask } => self.answer_peer(ask, frame.from, reply_queue),
+            peers::Message::ReadIndexAnswer { ask, revision } => {
+                self.read_index.answered(ask, revision);
+            }
+            peers::Message::Drift(list) => self.note_drift(list),
             peers::Message::Remember(targets) => self.registry.record(targets, Instant::now()),
             peers::Message::Log(message) if !self.founding => {
                 self.replica.receive(frame.from, *message, Instant::now());
--- a/crates/zinniastall-control/src/control/entries.rs
+++ b/crates/zinniastall-control/src/control/entries.rs
@@ -26,7 +26,7 @@
     /// Revisions that are in force.
     Confirmed(Vec<Confirmation>),
     /// Targets of its zone whose state differs from the configuration.
-    Astray(Vec<Astray>),
+    Drift(Vec<Astray>),
 }
 
 impl Handler<Notice> for Control {
@@ -36,7 +36,7 @@
         match notice {
             Notice::Member(member) => self.join(member),
             Notice::Confirmed(list) => self.note_confirmed(list),
-            Notice::Astray(list) => self.note_astray(list),
+            Notice::Drift(list) => self.note_drift(list),
         }
         self.schedule(context);
     }
--- a/crates/zinniastall-control/src/control/order.rs
+++ b/crates/zinniastall-control/src/control/order.rs
@@ -38,9 +38,9 @@
 
 impl Control {
     /// Records targets whose state differs from the configuration, or forwards them to the leader.
-    pub(super) fn note_astray(&mut self, list: Vec<Astray>) {
+    pub(super) fn note_drift(&mut self, list: Vec<Astray>) {
         if self.role != Role::Leader {
-            self.send_leader(&peers::Message::Astray(list));
+            self.send_leader(&peers::Message::Drift(list));
             return;
         }
         let now = Instant::now();
@@ -48,8 +48,8 @@
         let orders = self
             .orders
             .get_or_insert_with(|| Orders::new(rules.clone(), now));
-        for astray in list {
-            orders.note(astray, now);
+        for drifted in list {
+            orders.note(drifted, now);
         }
     }
 
@@ -69,7 +69,7 @@
         };
         for dispatch in orders.due(state, lease, window, now) {
             let (send, data) = (self.settings.targets.send, self.settings.data.clone());
-            let target = dispatch.astray.target.clone();
+            let target = dispatch.drifted.target.clone();
             let control = context.address();
             actix::spawn(async move {
                 post(dispatch, send, &data).await;
@@ -83,7 +83,7 @@
 /// reported again and gets another order with a new fencing token.
 async fn post(dispatch: Dispatch, send: Duration, data: &Path) {
     let Dispatch {
-        astray,
+        drifted,
         order,
         fence,
         until,
@@ -94,7 +94,7 @@
     if Instant::now() >= until {
         tracing::warn!(
             event = "order-dropped",
-            target = astray.target,
+            target = drifted.target,
             reason = "lease"
         );
         return;
@@ -107,7 +107,7 @@
         .finish();
     let number = fence.to_u64();
     let answered = client
-        .post(format!("http://{}{ORDERS_PATH}", astray.address))
+        .post(format!("http://{}{ORDERS_PATH}", drifted.address))
         .insert_header((header::FENCE, number.to_string()))
         .send_json(&order)
         .await;
@@ -116,13 +116,13 @@
             let status = answer.status().as_u16();
             tracing::info!(
                 event = "ordered",
-                target = astray.target,
+                target = drifted.target,
                 fence = number,
                 status
             );
         }
         Err(error) => {
-            let target = astray.target;
+            let target = drifted.target;
             tracing::warn!(event = "order-failed", target, fence = number, error = %error);
         }
     }
--- a/crates/zinniastall-control/src/control/vouch.rs
+++ b/crates/zinniastall-control/src/control/read_index.rs
@@ -1,10 +1,10 @@
-//! Confirms to a starting entry instance which revision the group has reached.
+//! Answers which revision the group has reached (a read index), for starting entry instances.
 //!
 //! A replica that was cut off a moment ago has heard its leader within the election timeout and
 //! does not know what it lacks. An instance that starts next to it would take the replica's
 //! configuration for the newest, and an accepted change would be reverted there. So a replica
-//! vouches for a revision only with the answer of a leader that has confirmed its leadership after
-//! the question was asked.
+//! relays only the answer of a leader that has confirmed its leadership after the question was
+//! asked.
 //!
 //! Where no leader is known, as after a power loss of all replicas, a survey of a majority takes
 //! the leader's place: it asks the replicas what they hold, after the question.
@@ -27,11 +27,11 @@
 /// Asks which revision the group has reached by now; dropped if no replica can tell.
 #[derive(Debug, Message)]
 #[rtype(result = "Deferred<id::Revision>")]
-pub struct Vouch;
+pub struct ReadIndex;
 
 /// Questions that wait for the leader's answer.
 #[derive(Debug)]
-pub(super) struct Vouches {
+pub(super) struct Questions {
     timeout: Duration,
     last_number: u64,
     waiting: IndexMap<u64, Question>,
@@ -53,7 +53,7 @@
     reply: oneshot::Sender<id::Revision>,
 }
 
-impl Vouches {
+impl Questions {
     /// Creates an empty table; a question waits for two election timeouts at most.
     pub(super) fn new(election: Duration) -> Self {
         Self {
@@ -86,10 +86,10 @@
     }
 }
 
-impl Handler<Vouch> for Control {
-    type Result = MessageResult<Vouch>;
+impl Handler<ReadIndex> for Control {
+    type Result = MessageResult<ReadIndex>;
 
-    fn handle(&mut self, _: Vouch, context: &mut Context<Self>) -> Self::Result {
+    fn handle(&mut self, _: ReadIndex, context: &mut Context<Self>) -> Self::Result {
         let (reply, deferred) = oneshot::channel();
         if self.role == Role::Leader {
             let read = self.read(Read { revision: 0 });
@@ -99,14 +99,14 @@
                 }
             });
         } else if !self.is_led() {
-            let leaderless = &mut self.vouches.leaderless;
+            let leaderless = &mut self.read_index.leaderless;
             leaderless.retain(|question| !question.reply.is_closed());
             if leaderless.len() < MAX_QUESTIONS {
                 let survey = None;
                 leaderless.push(Leaderless { survey, reply });
             }
-        } else if let Some(ask) = self.vouches.ask(Instant::now(), reply) {
-            self.send_leader(&peers::Message::Vouch { ask });
+        } else if let Some(ask) = self.read_index.ask(Instant::now(), reply) {
+            self.send_leader(&peers::Message::ReadIndex { ask });
         }
         self.schedule(context);
         MessageResult(deferred)
@@ -116,25 +116,25 @@
 impl Control {
     /// Answers questions that arrived while no leader was known, once a survey has finished.
     pub(super) fn check_leaderless(&mut self) {
-        if self.vouches.leaderless.is_empty() {
+        if self.read_index.leaderless.is_empty() {
             return;
         }
         let surveyed = self.replica.surveyed();
         let revision = self.machine.state().revision;
-        for question in std::mem::take(&mut self.vouches.leaderless) {
+        for question in std::mem::take(&mut self.read_index.leaderless) {
             if question.survey.is_some() && question.survey == surveyed {
                 // The instance that asked may be gone.
                 let _ = question.reply.send(revision);
             } else if !question.reply.is_closed() {
-                self.vouches.leaderless.push(question);
+                self.read_index.leaderless.push(question);
             }
         }
         let is_new = |question: &Leaderless| question.survey.is_none();
-        if self.vouches.leaderless.iter().any(is_new)
+        if self.read_index.leaderless.iter().any(is_new)
             && let Some(number) = self.replica.begin_survey()
         {
             let new = self
-                .vouches
+                .read_index
                 .leaderless
                 .iter_mut()
                 .filter(|question| is_new(question));
@@ -147,12 +147,12 @@
     }
 
     /// Answers another replica's question if this replica leads and a majority confirms it.
-    pub(super) fn vouch_for_peer(&mut self, ask: u64, from: Id, reply_queue: peers::Queue) {
+    pub(super) fn answer_peer(&mut self, ask: u64, from: Id, reply_queue: peers::Queue) {
         let own = self.replica.id();
         let read = self.read(Read { revision: 0 });
         actix::spawn(async move {
             if let Some(revision) = reached(read).await {
-                let message = peers::Message::Vouched { ask, revision };
+                let message = peers::Message::ReadIndexAnswer { ask, revision };
                 // A full queue drops the answer; the instance asks again.
                 drop(reply_queue.try_send(addressed(own, from, &message)));
             }
--- a/crates/zinniastall-control/src/control/start.rs
+++ b/crates/zinniastall-control/src/control/start.rs
@@ -17,7 +17,7 @@
 use zinniastall_wire::feed::Feed;
 
 use super::{
-    Confirmed, Control, heal::Heal, read::Reads, status::HealthQueries, vouch::Vouches,
+    Confirmed, Control, heal::Heal, read::Reads, read_index::Questions, status::HealthQueries,
     waiting::Waiting,
 };
 use crate::{
@@ -126,7 +126,7 @@
             waiting: Waiting::new(settings.limits.calls),
             unconfirmed: Vec::new(),
             reads: Reads::default(),
-            vouches: Vouches::new(settings.timing.election),
+            read_index: Questions::new(settings.timing.election),
             health_queries: HealthQueries::default(),
             confirmed: Confirmed::default(),
             joining: IndexMap::new(),
--- a/crates/zinniastall-control/src/daemon.rs
+++ b/crates/zinniastall-control/src/daemon.rs
@@ -98,7 +98,7 @@
     })?;
     let hub = Hub::new(receiver.clone());
     actix::spawn(hub.clone().run());
-    actix::spawn(hub.clone().vouch(control.clone().recipient()));
+    actix::spawn(hub.clone().read_index(control.clone().recipient()));
     actix::spawn(hub.clone().record_suspects(control.clone().recipient()));
     actix::spawn(list_members(control.clone(), hub.clone()));
     let acceptor = Acceptor {
--- a/crates/zinniastall-control/src/hub.rs
+++ b/crates/zinniastall-control/src/hub.rs
@@ -12,9 +12,9 @@
 mod frames;
 mod history;
 mod instances;
+mod read_index;
 mod suspects;
 mod targets;
-mod vouching;
 
 use std::{
     cell::{Cell, RefCell},
@@ -47,11 +47,11 @@
     frames::{Cache, Key},
     history::History,
     instances::Instances,
+    read_index::{Answer, Question, Rounds},
     suspects::Recorder,
     targets::{Targets, Versions},
-    vouching::{Question, Rounds, Vouched},
 };
-use crate::control::{Vouch, Write};
+use crate::control::{ReadIndex, Write};
 
 /// Time between two rounds in which changes are sent. It is far below the three seconds within
 /// which an announcement has to take effect, and batches the heartbeats of a hundred targets into
@@ -92,7 +92,7 @@
     loads: RefCell<Vec<RegionLoad>>,
     cache: Cache,
     history: RefCell<History>,
-    vouching: Rounds,
+    read_index: Rounds,
     recorder: Recorder,
     round: watch::Sender<Round>,
     last_link: Cell<LinkNumber>,
@@ -138,7 +138,7 @@
             loads: RefCell::default(),
             cache: Cache::default(),
             history: RefCell::default(),
-            vouching: Rounds::default(),
+            read_index: Rounds::default(),
             recorder: Recorder::default(),
             round: watch::Sender::default(),
             last_link: Cell::new(0),
@@ -201,8 +201,8 @@
 
     /// Asks the group, through its actor, which revision it has reached whenever an instance wants
     /// to know.
-    pub async fn vouch(self, group: Recipient<Vouch>) {
-        self.inner.vouching.run(group).await;
+    pub async fn read_index(self, group: Recipient<ReadIndex>) {
+        self.inner.read_index.run(group).await;
     }
 
     /// Has the group record the suspected requests that instances report.
@@ -247,7 +247,7 @@
     ) -> Result<(), Error> {
         let mut feed = self.feed.clone();
         let mut round = self.round.subscribe();
-        let mut vouched = self.vouching.subscribe();
+        let mut read_index = self.read_index.subscribe();
         let mut keepalive = time::interval(KEEPALIVE_INTERVAL);
         let mut idle_deadline = Instant::now() + IDLE_TIMEOUT;
         let mut frames = vec![self.reached()?];
@@ -278,10 +278,10 @@
                     round.mark_unchanged();
                     frames.extend(self.updates(cursor, false)?);
                 }
-                changed = vouched.changed() => {
+                changed = read_index.changed() => {
                     changed.map_err(|_| Error::Closed)?;
-                    let vouched = *vouched.borrow_and_update();
-                    frames.extend(answer(cursor, vouched)?);
+                    let read_index = *read_index.borrow_and_update();
+                    frames.extend(answer(cursor, read_index)?);
                 }
                 _ = keepalive.tick() => frames.push(self.reached()?),
                 // Where a network drops all packets, TCP keeps retrying for minutes.
@@ -305,7 +305,7 @@
             }
             Message::Fetch(held) => Ok(self.configuration(held)?.into_iter().collect()),
             Message::Vouch(stamp) => {
-                let round = self.vouching.ask();
+                let round = self.read_index.ask();
                 cursor.questions.push_back(Question { stamp, round });
                 let surplus = cursor.questions.len().saturating_sub(MAX_QUESTIONS);
                 cursor.questions.drain(..surplus);
@@ -464,16 +464,16 @@
 }
 
 /// Answers the newest of a link's questions that a round has answered.
-fn answer(cursor: &mut Cursor, vouched: Vouched) -> Result<Option<Bytes>, Error> {
+fn answer(cursor: &mut Cursor, read_index: Answer) -> Result<Option<Bytes>, Error> {
     let mut answered = None;
     while let Some(question) = cursor.questions.front()
-        && question.round <= vouched.round
+        && question.round <= read_index.round
     {
         answered = cursor.questions.pop_front();
     }
     let message = answered.map(|question| Message::Vouched {
         stamp: question.stamp,
-        revision: vouched.revision,
+        revision: read_index.revision,
     });
     message.map(encode).transpose()
 }
--- a/crates/zinniastall-control/src/hub/vouching.rs
+++ b/crates/zinniastall-control/src/hub/read_index.rs
@@ -1,4 +1,5 @@
-//! Asks the group which revision it has reached, on behalf of all gateway instances.
+//! Asks the group for its read index, the revision that it has reached, on behalf of all gateway
+//! instances.
 //!
 //! The answer of a round holds for every question that arrived before the round began. So the group
 //! is asked only a few times a second, however many instances ask.
@@ -13,7 +14,7 @@
 use zinniastall_model::id;
 use zinniastall_wire::hub::Stamp;
 
-use crate::control::Vouch;
+use crate::control::ReadIndex;
 
 /// Minimum time between the starts of two rounds.
 const MIN_ROUND_INTERVAL: Duration = Duration::from_millis(150);
@@ -34,7 +35,7 @@
 
 /// The group's latest answer.
 #[derive(Debug, Clone, Copy, Default)]
-pub(super) struct Vouched {
+pub(super) struct Answer {
     /// Round in which the group was asked.
     pub(super) round: Round,
     /// Revision that the group had reached.
@@ -46,7 +47,7 @@
 pub(super) struct Rounds {
     begun: Cell<Round>,
     asked: Notify,
-    vouched: watch::Sender<Vouched>,
+    answers: watch::Sender<Answer>,
 }
 
 impl Rounds {
@@ -57,12 +58,12 @@
     }
 
     /// Returns a receiver of the group's answers.
-    pub(super) fn subscribe(&self) -> watch::Receiver<Vouched> {
-        self.vouched.subscribe()
+    pub(super) fn subscribe(&self) -> watch::Receiver<Answer> {
+        self.answers.subscribe()
     }
 
     /// Runs a round whenever a question waits, forever.
-    pub(super) async fn run(&self, group: Recipient<Vouch>) {
+    pub(super) async fn run(&self, group: Recipient<ReadIndex>) {
         let mut interval = time::interval(MIN_ROUND_INTERVAL);
         interval.set_missed_tick_behavior(time::MissedTickBehavior::Delay);
         loop {
@@ -71,7 +72,7 @@
             let round = self.begun.get() + 1;
             self.begun.set(round);
             if let Ok(Some(revision)) = time::timeout(ROUND_TIMEOUT, reached(&group)).await {
-                self.vouched.send_replace(Vouched { round, revision });
+                self.answers.send_replace(Answer { round, revision });
             } else {
                 tracing::debug!(event = "group-silent", round);
                 // The questions still wait, and possibly no instance asks again before they are
@@ -82,6 +83,6 @@
     }
 }
 
-async fn reached(group: &Recipient<Vouch>) -> Option<id::Revision> {
-    group.send(Vouch).await.ok()?.await.ok()
+async fn reached(group: &Recipient<ReadIndex>) -> Option<id::Revision> {
+    group.send(ReadIndex).await.ok()?.await.ok()
 }
--- a/crates/zinniastall-control/src/links.rs
+++ b/crates/zinniastall-control/src/links.rs
@@ -17,7 +17,7 @@
 };
 
 use crate::{
-    control::{Control, FOUNDING, Notice, Vouch},
+    control::{Control, FOUNDING, Notice, ReadIndex},
     hub::Hub,
     peers,
 };
@@ -95,11 +95,11 @@
             match event {
                 Event::Member(member) => control.do_send(Notice::Member(member)),
                 Event::Confirmed(list) => control.do_send(Notice::Confirmed(list)),
-                Event::Astray(list) => control.do_send(Notice::Astray(list)),
+                Event::Astray(list) => control.do_send(Notice::Drift(list)),
                 // Operators fetch control's histograms through the operator interface; no peer asks
                 // for them on a link.
                 Event::Asked => {}
-                Event::Vouch(ask) => return Some(vouch(control.clone(), ask)),
+                Event::Vouch(ask) => return Some(read_index(control.clone(), ask)),
             }
             None
         };
@@ -112,9 +112,9 @@
 
 /// Answers once the group has confirmed the revision that it has reached; without an answer the
 /// follower asks again.
-fn vouch(control: Addr<Control>, ask: u64) -> Answer {
+fn read_index(control: Addr<Control>, ask: u64) -> Answer {
     async move {
-        let revision = control.send(Vouch).await.ok()?.await.ok()?;
+        let revision = control.send(ReadIndex).await.ok()?.await.ok()?;
         Some(Message::Vouched { ask, revision })
     }
     .boxed_local()
--- a/crates/zinniastall-control/src/orders.rs
+++ b/crates/zinniastall-control/src/orders.rs
@@ -37,7 +37,7 @@
 #[derive(Debug, Clone)]
 pub struct Dispatch {
     /// The target and what it holds.
-    pub astray: Astray,
+    pub drifted: Astray,
     /// The order.
     pub order: Order,
     /// Fencing token of the order.
@@ -48,7 +48,7 @@
 
 #[derive(Debug)]
 struct Entry {
-    astray: Astray,
+    drifted: Astray,
     heard: Instant,
     progress: Progress,
 }
@@ -90,14 +90,14 @@
     }
 
     /// Records a target whose state differs from the configuration.
-    pub fn note(&mut self, astray: Astray, now: Instant) {
-        let known = self.entries.get(&astray.target);
+    pub fn note(&mut self, drifted: Astray, now: Instant) {
+        let known = self.entries.get(&drifted.target);
         if known.is_none() && self.entries.len() >= MAX_TARGETS {
             return;
         }
         // A report that was sent while the target carried out the order must not cause a second
         // one.
-        let again = known.filter(|known| known.astray.incarnation == astray.incarnation);
+        let again = known.filter(|known| known.drifted.incarnation == drifted.incarnation);
         let progress = match again.map(|known| known.progress) {
             Some(Progress::Answered(since)) if now < since + REPORT_LAG => {
                 Progress::Answered(since)
@@ -106,11 +106,11 @@
             _ => Progress::Reported,
         };
         let entry = Entry {
-            astray,
+            drifted,
             heard: now,
             progress,
         };
-        self.entries.insert(entry.astray.target.clone(), entry);
+        self.entries.insert(entry.drifted.target.clone(), entry);
     }
 
     /// Records that an order was answered, or that no answer will come.
@@ -140,21 +140,21 @@
         let mut due: Vec<(bool, Astray, Order)> = Vec::new();
         for entry in self.entries.values() {
             let reported = entry.progress == Progress::Reported;
-            let ready = reported && (is_settled || self.checks(&entry.astray.kind));
-            let order = Order::of(state, &entry.astray.place, &entry.astray.target);
-            let Some(order) = order.filter(|order| ready && !order.agrees(&entry.astray.holding))
+            let ready = reported && (is_settled || self.checks(&entry.drifted.kind));
+            let order = Order::of(state, &entry.drifted.place, &entry.drifted.target);
+            let Some(order) = order.filter(|order| ready && !order.agrees(&entry.drifted.holding))
             else {
                 continue;
             };
             let awaited = order
-                .missing(&entry.astray.holding)
+                .missing(&entry.drifted.holding)
                 .any(|model| Order::is_awaited(state, &model.id));
-            due.push((awaited, entry.astray.clone(), order));
+            due.push((awaited, entry.drifted.clone(), order));
         }
         // Models that requests may be waiting for come before those that are loaded in advance.
         due.sort_by_key(|(awaited, _, _)| !awaited);
         due.into_iter()
-            .map_while(|(_, astray, order)| self.dispatch(astray, order, lease))
+            .map_while(|(_, drifted, order)| self.dispatch(drifted, order, lease))
             .collect()
     }
 
@@ -162,8 +162,8 @@
         self.rules.checks.iter().any(|checks| checks == kind)
     }
 
-    fn dispatch(&mut self, astray: Astray, order: Order, lease: Lease) -> Option<Dispatch> {
-        let loads = u32::try_from(order.missing(&astray.holding).count()).unwrap_or(u32::MAX);
+    fn dispatch(&mut self, drifted: Astray, order: Order, lease: Lease) -> Option<Dispatch> {
+        let loads = u32::try_from(order.missing(&drifted.holding).count()).unwrap_or(u32::MAX);
         if loads > 0 && self.tokens < 1.0 {
             return None;
         }
@@ -172,11 +172,11 @@
         self.tokens -= f64::from(loads);
         self.sequence += 1;
         let fence = Fence::new(lease.term, self.sequence).ok()?;
-        if let Some(entry) = self.entries.get_mut(&astray.target) {
+        if let Some(entry) = self.entries.get_mut(&drifted.target) {
             entry.progress = Progress::Ordered;
         }
         Some(Dispatch {
-            astray,
+            drifted,
             order,
             fence,
             until: lease.until,
--- a/crates/zinniastall-control/src/peers/message.rs
+++ b/crates/zinniastall-control/src/peers/message.rs
@@ -19,7 +19,8 @@
     /// To the leader: revisions in force at the sender's followers.
     Confirmed(Vec<Confirmation>),
     /// To the leader: targets whose state differs from the configuration.
-    Astray(Vec<Astray>),
+    #[serde(rename = "astray")]
+    Drift(Vec<Astray>),
     /// To the leader: an entry instance announced itself.
     Join(Member),
     /// To a replica of the targets' availability zone, which remembers them.
@@ -32,13 +33,15 @@
         address: String,
     },
     /// To the leader: asks which revision the group has reached.
-    Vouch {
+    #[serde(rename = "vouch")]
+    ReadIndex {
         /// Number that the answer repeats.
         ask: u64,
     },
     /// From the leader: a majority has confirmed that no later revision had been accepted before
     /// the question.
-    Vouched {
+    #[serde(rename = "vouched")]
+    ReadIndexAnswer {
         /// Number of the question.
         ask: u64,
         /// Revision that the group has reached.
--- a/crates/zinniastall-control/src/rpc/histograms.rs
+++ b/crates/zinniastall-control/src/rpc/histograms.rs
@@ -12,9 +12,9 @@
 
 /// Dials an entry instance and fetches its histograms.
 pub(super) async fn fetch(address: &str, hello: &Hello) -> Result<Vec<Histogram>, Status> {
-    let figures = request(address, hello).await;
-    let figures = figures.map_err(|error| Status::unavailable(error.to_string()))?;
-    Ok(figures.into_iter().map(from_figure).collect())
+    let summaries = request(address, hello).await;
+    let summaries = summaries.map_err(|error| Status::unavailable(error.to_string()))?;
+    Ok(summaries.into_iter().map(from_summary).collect())
 }
 
 async fn request(address: &str, hello: &Hello) -> Result<Vec<Figure>, Error> {
@@ -26,22 +26,22 @@
     let (mut sender, mut receiver) = dialled.map_err(|_| Error::Closed)??.split();
     feed::send(&mut sender, Message::Ask).await?;
     loop {
-        if let Message::Figures(figures) = feed::receive(&mut receiver).await? {
-            return Ok(figures);
+        if let Message::Figures(summaries) = feed::receive(&mut receiver).await? {
+            return Ok(summaries);
         }
     }
 }
 
-fn from_figure(figure: Figure) -> Histogram {
+fn from_summary(summary: Figure) -> Histogram {
     Histogram {
-        name: figure.name,
-        client: figure.client,
-        class: figure.class,
-        count: figure.count,
-        p50: figure.p50,
-        p95: figure.p95,
-        p99: figure.p99,
-        max: figure.max,
+        name: summary.name,
+        client: summary.client,
+        class: summary.class,
+        count: summary.count,
+        p50: summary.p50,
+        p95: summary.p95,
+        p99: summary.p99,
+        max: summary.max,
     }
 }
 
--- a/crates/zinniastall-control/tests/hub/configuration.rs
+++ b/crates/zinniastall-control/tests/hub/configuration.rs
@@ -5,7 +5,7 @@
 use actix::{Actor, Context, Handler, MessageResult};
 use futures_util::SinkExt;
 use tokio::sync::oneshot;
-use zinniastall_control::control::Vouch;
+use zinniastall_control::control::ReadIndex;
 use zinniastall_model::{
     change::{Body, Change},
     routing::{Account, Kind, Publication, Route, Service, Share, Table},
@@ -141,10 +141,10 @@
     type Context = Context<Self>;
 }
 
-impl Handler<Vouch> for Group {
-    type Result = MessageResult<Vouch>;
+impl Handler<ReadIndex> for Group {
+    type Result = MessageResult<ReadIndex>;
 
-    fn handle(&mut self, _: Vouch, _: &mut Self::Context) -> Self::Result {
+    fn handle(&mut self, _: ReadIndex, _: &mut Self::Context) -> Self::Result {
         self.asked.set(self.asked.get() + 1);
         let (reply, deferred) = oneshot::channel();
         if let Some(revision) = self.revision.get() {
@@ -154,12 +154,12 @@
     }
 }
 
-fn vouched(heard: &[Message]) -> Vec<(u64, u64)> {
-    let vouched = heard.iter().filter_map(|message| match message {
+fn answers(heard: &[Message]) -> Vec<(u64, u64)> {
+    let answers = heard.iter().filter_map(|message| match message {
         Message::Vouched { stamp, revision } => Some((*stamp, *revision)),
         _ => None,
     });
-    vouched.collect()
+    answers.collect()
 }
 
 /// Guards against leases that are never renewed after a time without a leader, during which
@@ -173,17 +173,17 @@
             revision: Rc::clone(&revision),
             asked,
         };
-        actix::spawn(fixture.hub.clone().vouch(group.start().recipient()));
+        actix::spawn(fixture.hub.clone().read_index(group.start().recipient()));
         let mut link = fixture.link("edge-1").await;
         for stamp in 1..=9 {
             let question = Frame::Hub(Message::Vouch(stamp));
             link.0.send(question).await.unwrap();
         }
         let own = [presence(1)];
-        assert!(vouched(&collect(&mut link, &own, COLLECT_TIME).await).is_empty());
+        assert!(answers(&collect(&mut link, &own, COLLECT_TIME).await).is_empty());
         revision.set(Some(5));
         let answered = collect(&mut link, &own, COLLECT_TIME).await;
-        assert_eq!(vouched(&answered), [(9, 5)]);
+        assert_eq!(answers(&answered), [(9, 5)]);
     });
 }
 
@@ -198,7 +198,7 @@
             revision: Rc::clone(&revision),
             asked: Rc::clone(&asked),
         };
-        actix::spawn(fixture.hub.clone().vouch(group.start().recipient()));
+        actix::spawn(fixture.hub.clone().read_index(group.start().recipient()));
         let mut links = Vec::new();
         for number in 0..4 {
             let mut link = fixture.link(&format!("edge-{number}")).await;
@@ -209,7 +209,7 @@
         let own = [presence(1)];
         let heard_first = collect(&mut links[0], &own, COLLECT_TIME).await;
         assert!(
-            vouched(&heard_first).is_empty(),
+            answers(&heard_first).is_empty(),
             "answered without a majority"
         );
         revision.set(Some(5));
@@ -219,7 +219,7 @@
         for (number, link) in (0..).zip(&mut links) {
             let stamp = if number == 3 { 200 } else { 100 + number };
             let heard = collect(link, &own, COLLECT_TIME).await;
-            assert_eq!(vouched(&heard), [(stamp, 5)]);
+            assert_eq!(answers(&heard), [(stamp, 5)]);
         }
         assert!(
             asked.get() <= 2,
