--- a/crates/zinniastall-control/src/control/read.rs
+++ b/crates/zinniastall-control/src/control/read.rs
@@ -28,7 +28,8 @@
 pub struct View {
     /// Configuration.
     pub state: Arc<State>,
-    /// Whether the requested revision narrows.
+    /// Whether the requested revision narrows what instances may do, so that every member must
+    /// confirm it.
     pub narrows: bool,
     /// Members that have not confirmed the requested revision.
     pub waiting: Vec<id::Instance>,
--- a/crates/zinniastall-control/src/control/reply.rs
+++ b/crates/zinniastall-control/src/control/reply.rs
@@ -22,7 +22,8 @@
     Done {
         /// Revision that it created; 0 for a change of the group.
         revision: id::Revision,
-        /// Whether it counts as accepted only after all members have confirmed it.
+        /// Whether it narrows what instances may do, so that it counts as accepted only after all
+        /// members have confirmed it.
         narrows: bool,
         /// Members that have not confirmed it yet.
         waiting: Vec<id::Instance>,
--- a/crates/zinniastall-control/tests/heal.rs
+++ b/crates/zinniastall-control/tests/heal.rs
@@ -81,8 +81,9 @@
     );
 }
 
-/// A replica is down for half a minute and comes back with its disk. A majority of three voters is
-/// two, with or without it, so removing it would gain nothing and cost it a new admission.
+/// A replica is down for half a minute and comes back with its disk. Removing it would gain
+/// nothing, since the two other voters are a majority with or without it, and it would have to be
+/// admitted again.
 #[test]
 fn a_silent_voter_of_an_odd_set_stays() {
     let mut voters = HEALTHY;
