--- a/crates/zinniastall-control/src/control.rs
+++ b/crates/zinniastall-control/src/control.rs
@@ -140,7 +140,7 @@
         self.drive();
         self.waiting.expire(now);
         self.answer_confirmed(now);
-        self.pass_on_confirmations();
+        self.forward_confirmations();
         self.send_orders(now, context);
         self.heal(now, context);
     }
--- a/crates/zinniastall-control/src/control/entries.rs
+++ b/crates/zinniastall-control/src/control/entries.rs
@@ -87,7 +87,7 @@
     }
 
     /// Forwards the confirmations received since the last call to the leader.
-    pub(super) fn pass_on_confirmations(&mut self) {
+    pub(super) fn forward_confirmations(&mut self) {
         let state = self.machine.state();
         self.confirmed.retain(state);
         let unsent = self.confirmed.take_unsent();
--- a/crates/zinniastall-control/src/control/heal.rs
+++ b/crates/zinniastall-control/src/control/heal.rs
@@ -127,7 +127,7 @@
                 synced = self.synced
             );
             self.heal.stalled = None;
-            self.hand_over(now);
+            self.transfer_leadership(now);
             self.drive();
         }
         if !self.settings.group.heals {
--- a/crates/zinniastall-control/src/control/stop.rs
+++ b/crates/zinniastall-control/src/control/stop.rs
@@ -30,7 +30,7 @@
         let (done, deferred) = oneshot::channel();
         let now = Instant::now();
         let deadline = now + self.settings.limits.drain;
-        self.hand_over(now);
+        self.transfer_leadership(now);
         self.drive();
         context.notify(Poll { deadline, done });
         MessageResult(deferred)
@@ -50,7 +50,7 @@
             return;
         }
         if leads {
-            self.hand_over(now);
+            self.transfer_leadership(now);
             self.drive();
         }
         context.notify_later(poll, POLL_INTERVAL);
@@ -58,7 +58,7 @@
 }
 
 impl Control {
-    pub(super) fn hand_over(&mut self, now: Instant) {
+    pub(super) fn transfer_leadership(&mut self, now: Instant) {
         match self.replica.transfer(now) {
             Ok(successor) => {
                 let successor = format!("{successor:016x}");
--- a/crates/zinniastall-control/src/control/waiting.rs
+++ b/crates/zinniastall-control/src/control/waiting.rs
@@ -55,7 +55,7 @@
         self.writes.swap_remove(&index)
     }
 
-    /// Answers the writes that a snapshot covers as unknown.
+    /// Reports the outcome of the writes that a snapshot covers as unknown.
     pub(super) fn abandon_through(&mut self, last: Index) {
         self.abandon(|index, _| index <= last);
     }
@@ -70,7 +70,7 @@
         }
     }
 
-    /// Answers the writes whose deadline has passed as unknown.
+    /// Reports the outcome of the writes whose deadline has passed as unknown.
     pub(super) fn expire(&mut self, now: Instant) {
         self.abandon(|_, write| write.deadline <= now);
     }
--- a/crates/zinniastall-control/src/recall.rs
+++ b/crates/zinniastall-control/src/recall.rs
@@ -235,20 +235,20 @@
 /// Writes the list to the data directory.
 #[derive(Debug)]
 struct Writer {
-    writer: SyncSender<Vec<Remembered>>,
+    queue: SyncSender<Vec<Remembered>>,
     saved: Vec<Remembered>,
 }
 
 impl Writer {
     /// Starts the writer thread, so that a stalled disk blocks nothing else.
     fn start(folder: PathBuf) -> io::Result<Self> {
-        let (writer, lists) = sync_channel(1);
+        let (queue, lists) = sync_channel(1);
         let run = move || write_all(&folder, &lists);
         thread::Builder::new()
             .name("targets".to_owned())
             .spawn(run)?;
         Ok(Self {
-            writer,
+            queue,
             saved: Vec::new(),
         })
     }
@@ -259,7 +259,7 @@
         if are_same(&targets, &self.saved) {
             return;
         }
-        if self.writer.try_send(targets.clone()).is_ok() {
+        if self.queue.try_send(targets.clone()).is_ok() {
             self.saved = targets;
         }
     }
