--- a/crates/zinniastall-control/src/control/stop.rs
+++ b/crates/zinniastall-control/src/control/stop.rs
@@ -1,4 +1,4 @@
-//! Ends gracefully: passes leadership on and finishes the commands that were taken.
+//! Shuts down gracefully: transfers leadership and finishes the accepted commands.
 
 use std::time::{Duration, Instant};
 
@@ -8,10 +8,10 @@
 
 use super::{Control, Deferred, waiting::answer};
 
-/// Time between two looks at what is still open.
+/// Interval between two checks for unfinished work.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Asks to pass leadership on and to finish; answered when nothing is open any more.
+/// Requests a graceful shutdown; answered when no work is pending.
 #[derive(Debug, Message)]
 #[rtype(result = "Deferred<()>")]
 pub struct Stop;
@@ -30,7 +30,7 @@
         let (done, deferred) = oneshot::channel();
         let now = Instant::now();
         let deadline = now + self.settings.limits.drain;
-        self.hand_over(now);
+        self.transfer_leadership(now);
         self.drive();
         context.notify(Poll { deadline, done });
         MessageResult(deferred)
@@ -50,7 +50,7 @@
             return;
         }
         if leads {
-            self.hand_over(now);
+            self.transfer_leadership(now);
             self.drive();
         }
         context.notify_later(poll, POLL_INTERVAL);
@@ -58,7 +58,7 @@
 }
 
 impl Control {
-    pub(super) fn hand_over(&mut self, now: Instant) {
+    pub(super) fn transfer_leadership(&mut self, now: Instant) {
         match self.replica.transfer(now) {
             Ok(successor) => {
                 let successor = format!("{successor:016x}");
--- a/crates/zinniastall-control/src/rpc/histograms.rs
+++ b/crates/zinniastall-control/src/rpc/histograms.rs
@@ -1,4 +1,4 @@
-//! Asks an entry instance for its histograms.
+//! Fetches the histograms of an entry instance.
 
 use tonic::Status;
 use zinniastall_api::operator::Histogram;
@@ -10,11 +10,11 @@
     link::{Error, Link},
 };
 
-/// Dials an entry instance's links and asks it for its histograms.
+/// Dials an entry instance and fetches its histograms.
 pub(super) async fn fetch(address: &str, hello: &Hello) -> Result<Vec<Histogram>, Status> {
-    let figures = request(address, hello).await;
-    let figures = figures.map_err(|error| Status::unavailable(error.to_string()))?;
-    Ok(figures.into_iter().map(from_figure).collect())
+    let summaries = request(address, hello).await;
+    let summaries = summaries.map_err(|error| Status::unavailable(error.to_string()))?;
+    Ok(summaries.into_iter().map(from_summary).collect())
 }
 
 async fn request(address: &str, hello: &Hello) -> Result<Vec<Summary>, Error> {
@@ -26,26 +26,26 @@
     let (mut sender, mut receiver) = dialled.map_err(|_| Error::Closed)??.split();
     feed::send(&mut sender, Message::SummariesRequest).await?;
     loop {
-        if let Message::Summaries(figures) = feed::receive(&mut receiver).await? {
-            return Ok(figures);
+        if let Message::Summaries(summaries) = feed::receive(&mut receiver).await? {
+            return Ok(summaries);
         }
     }
 }
 
-fn from_figure(figure: Summary) -> Histogram {
+fn from_summary(summary: Summary) -> Histogram {
     Histogram {
-        name: figure.name,
-        client: figure.client,
-        class: figure.class,
-        count: figure.count,
-        p50: figure.p50,
-        p95: figure.p95,
-        p99: figure.p99,
-        max: figure.max,
+        name: summary.name,
+        client: summary.client,
+        class: summary.class,
+        count: summary.count,
+        p50: summary.p50,
+        p95: summary.p95,
+        p99: summary.p99,
+        max: summary.max,
     }
 }
 
-/// Writes one of this process's own histograms.
+/// Converts one of this process's own histograms.
 pub(super) fn from_row(row: Row) -> Histogram {
     Histogram {
         name: row.key.name.to_owned(),
--- a/crates/zinniastall-control/tests/hub/configuration.rs
+++ b/crates/zinniastall-control/tests/hub/configuration.rs
@@ -1,11 +1,11 @@
-//! How the configuration and the group's word on it travel to gateway instances.
+//! How the configuration and the group's confirmations reach gateway instances.
 
 use std::{cell::Cell, rc::Rc, sync::Arc, time::Duration};
 
 use actix::{Actor, Context, Handler, MessageResult};
 use futures_util::SinkExt;
 use tokio::sync::oneshot;
-use zinniastall_control::control::Vouch;
+use zinniastall_control::control::ReadIndex;
 use zinniastall_model::{
     change::{Body, Change},
     routing::{Account, Kind, Publication, Route, Service, Share, Table},
@@ -66,7 +66,7 @@
     }
 }
 
-/// Returns the configuration that a link holds after what it heard.
+/// Returns the configuration that an instance holds after these messages.
 fn held(before: Option<Configuration>, heard: Vec<Message>) -> Option<Configuration> {
     heard
         .into_iter()
@@ -84,7 +84,8 @@
     frames.map(|frame| frame.encode().unwrap().len()).sum()
 }
 
-/// Guards against links filled by a large table again for each change of one route.
+/// Guards against sending a large table again for each change of one route, which would fill the
+/// links.
 #[test]
 fn a_change_of_one_route_is_sent_as_a_delta() {
     run(async {
@@ -112,7 +113,8 @@
     });
 }
 
-/// Guards against changes sent to an instance that holds another configuration than the replica thinks.
+/// Guards against sending changes to an instance that holds another configuration than the replica
+/// assumes.
 #[test]
 fn an_unknown_revision_gets_the_whole_configuration() {
     run(async {
@@ -130,7 +132,7 @@
     });
 }
 
-/// A control group that says what a test makes it say.
+/// A control group whose answers the test sets.
 struct Group {
     revision: Rc<Cell<Option<u64>>>,
     asked: Rc<Cell<u32>>,
@@ -140,10 +142,10 @@
     type Context = Context<Self>;
 }
 
-impl Handler<Vouch> for Group {
-    type Result = MessageResult<Vouch>;
+impl Handler<ReadIndex> for Group {
+    type Result = MessageResult<ReadIndex>;
 
-    fn handle(&mut self, _: Vouch, _: &mut Self::Context) -> Self::Result {
+    fn handle(&mut self, _: ReadIndex, _: &mut Self::Context) -> Self::Result {
         self.asked.set(self.asked.get() + 1);
         let (reply, deferred) = oneshot::channel();
         if let Some(revision) = self.revision.get() {
@@ -153,15 +155,16 @@
     }
 }
 
-fn vouched(heard: &[Message]) -> Vec<(u64, u64)> {
-    let vouched = heard.iter().filter_map(|message| match message {
+fn answers(heard: &[Message]) -> Vec<(u64, u64)> {
+    let answers = heard.iter().filter_map(|message| match message {
         Message::ReadIndexAnswer { stamp, revision } => Some((*stamp, *revision)),
         _ => None,
     });
-    vouched.collect()
+    answers.collect()
 }
 
-/// Guards against leases that are never renewed after a time without a leader, in which questions piled up.
+/// Guards against leases that are never renewed after a time without a leader, during which
+/// questions piled up.
 #[test]
 fn a_recovered_group_answers_the_newest_question() {
     run(async {
@@ -171,21 +174,22 @@
             revision: Rc::clone(&revision),
             asked,
         };
-        actix::spawn(fixture.hub.clone().vouch(group.start().recipient()));
+        actix::spawn(fixture.hub.clone().read_index(group.start().recipient()));
         let mut link = fixture.link("edge-1").await;
         for stamp in 1..=9 {
             let question = Frame::Hub(Message::ReadIndex(stamp));
             link.0.send(question).await.unwrap();
         }
         let own = [presence(1)];
-        assert!(vouched(&collect(&mut link, &own, COLLECT_TIME).await).is_empty());
+        assert!(answers(&collect(&mut link, &own, COLLECT_TIME).await).is_empty());
         revision.set(Some(5));
         let answered = collect(&mut link, &own, COLLECT_TIME).await;
-        assert_eq!(vouched(&answered), [(9, 5)]);
+        assert_eq!(answers(&answered), [(9, 5)]);
     });
 }
 
-/// Guards against a group asked once for each instance, and against an answer without a majority's word.
+/// Guards against asking the group once for each instance, and against an answer without a
+/// majority.
 #[test]
 fn one_question_to_the_group_answers_all_instances() {
     run(async {
@@ -195,7 +199,7 @@
             revision: Rc::clone(&revision),
             asked: Rc::clone(&asked),
         };
-        actix::spawn(fixture.hub.clone().vouch(group.start().recipient()));
+        actix::spawn(fixture.hub.clone().read_index(group.start().recipient()));
         let mut links = Vec::new();
         for number in 0..4 {
             let mut link = fixture.link(&format!("edge-{number}")).await;
@@ -205,7 +209,10 @@
         }
         let own = [presence(1)];
         let heard_first = collect(&mut links[0], &own, COLLECT_TIME).await;
-        assert!(vouched(&heard_first).is_empty(), "nobody could tell");
+        assert!(
+            answers(&heard_first).is_empty(),
+            "answered without a majority"
+        );
         revision.set(Some(5));
         asked.set(0);
         let again = Frame::Hub(Message::ReadIndex(200));
@@ -213,7 +220,7 @@
         for (number, link) in (0..).zip(&mut links) {
             let stamp = if number == 3 { 200 } else { 100 + number };
             let heard = collect(link, &own, COLLECT_TIME).await;
-            assert_eq!(vouched(&heard), [(stamp, 5)]);
+            assert_eq!(answers(&heard), [(stamp, 5)]);
         }
         assert!(
             asked.get() <= 2,
