--- a/crates/zinniastall-control/src/control/bootstrap.rs
+++ b/crates/zinniastall-control/src/control/bootstrap.rs
@@ -35,10 +35,10 @@
 #[derive(Debug, thiserror::Error)]
 pub enum BootstrapError {
     /// This replica already belongs to a cluster.
-    #[error("this replica already belongs to a cluster")]
+    #[error("this replica belongs to a cluster already")]
     AlreadyMember,
     /// Another replica of the settings already belongs to a cluster.
-    #[error("{0} already belongs to a cluster; admit this replica there instead")]
+    #[error("{0} belongs to a cluster already; admit this replica there")]
     PeerHasCluster(String),
     /// Another replica of the settings cannot be reached.
     #[error("{address} cannot be asked whether it belongs to a cluster: {error}")]
--- a/crates/zinniastall-control/src/recall.rs
+++ b/crates/zinniastall-control/src/recall.rs
@@ -268,11 +268,11 @@
 /// Why a remembered target is not used until it reports on its own.
 #[derive(Debug, thiserror::Error)]
 enum Unconfirmed {
-    #[error("health request failed: {0}")]
+    #[error("it gave no answer: {0}")]
     NoAnswer(#[from] awc::error::SendRequestError),
-    #[error("health check returned status {0}")]
+    #[error("it answered with status {0}")]
     Unhealthy(u16),
-    #[error("address belongs to another target")]
+    #[error("another target lives at its address")]
     OtherTarget,
 }
 
--- a/crates/zinniastall-control/src/rpc/operators.rs
+++ b/crates/zinniastall-control/src/rpc/operators.rs
@@ -160,7 +160,7 @@
         let view = self.read(revision).await?;
         if revision == 0 || revision > view.state.revision {
             return Err(Status::not_found(format!(
-                "no change has revision {revision}"
+                "no change made revision {revision}"
             )));
         }
         Ok(Response::new(api::ChangeStatus {
@@ -174,7 +174,7 @@
         let deferred = self.control.send(Health).await.map_err(mailbox_closed)?;
         let status = deferred
             .await
-            .map_err(|_| Status::unavailable("the replica is stopping"))?;
+            .map_err(|_| Status::unavailable("the replica stops"))?;
         Ok(Response::new(status))
     }
 
