--- a/crates/zinniastall-entry/src/callers/target.rs
+++ b/crates/zinniastall-entry/src/callers/target.rs
@@ -110,8 +110,9 @@
     offset: u64,
 ) -> Result<Reply, Refusal> {
     let url = format!("http://{}{}", target.address, call.path);
-    let method = awc::http::Method::from_bytes(call.method.as_bytes())
-        .map_err(|_| Refusal::not_run(Reason::MalformedBody("the method is not known".to_owned())))?;
+    let method = awc::http::Method::from_bytes(call.method.as_bytes()).map_err(|_| {
+        Refusal::not_run(Reason::MalformedBody("the method is not known".to_owned()))
+    })?;
     let client = clients.client(call.request.idempotent);
     let mut request = client.request(method, url);
     for (name, value) in &call.headers {
--- a/crates/zinniastall-entry/src/spread/forwarder.rs
+++ b/crates/zinniastall-entry/src/spread/forwarder.rs
@@ -132,7 +132,12 @@
     /// Links take turns. The first link whose next fact exceeds the rest of the budget goes first
     /// the next time, and until then no other link sends facts. If each link got an equal share,
     /// short facts on other links would use up every budget and a long fact would never be sent.
-    pub fn flush(&mut self, table: &Facts, bytes: u64, now: Instant) -> (Vec<(Handle, Delta)>, u64) {
+    pub fn flush(
+        &mut self,
+        table: &Facts,
+        bytes: u64,
+        now: Instant,
+    ) -> (Vec<(Handle, Delta)>, u64) {
         let first = self.deferred.take();
         let first = first.and_then(|link| self.peers.get_index_of(&link));
         let count = self.peers.len();
--- a/crates/zinniastall-entry/src/spread/speaker.rs
+++ b/crates/zinniastall-entry/src/spread/speaker.rs
@@ -184,7 +184,8 @@
     }
 
     fn withdraw(&mut self, current: &IndexSet<Topic>) -> Vec<Item> {
-        let gone = |topic: &&Topic| !matches!(topic, Topic::Contacts(_)) && !current.contains(*topic);
+        let gone =
+            |topic: &&Topic| !matches!(topic, Topic::Contacts(_)) && !current.contains(*topic);
         let keys = self.authors.iter().flat_map(Author::keys);
         let gone: Vec<Topic> = keys.filter(gone).cloned().collect();
         let mut items = Vec::new();
