--- a/crates/zinniastall-model/examples/fingerprint_cost.rs
+++ b/crates/zinniastall-model/examples/fingerprint_cost.rs
@@ -1,12 +1,12 @@
-//! Measures what the fingerprint of a request costs, by the length of its body.
+//! Measures the time to compute the fingerprint of a request, by length of its body.
 
 use std::{hint::black_box, time::Instant};
 
 use zinniastall_model::fingerprint::Fingerprint;
 
-/// Bytes that are digested for each length.
+/// Number of bytes to digest for each body length.
 const BYTES: usize = 200 << 20;
-/// Lengths of bodies, in bytes.
+/// Body lengths, in bytes.
 const LENGTHS: [usize; 3] = [1 << 10, 32 << 10, 1 << 20];
 
 fn main() {
--- a/crates/zinniastall-model/src/change.rs
+++ b/crates/zinniastall-model/src/change.rs
@@ -1,4 +1,4 @@
-//! Changes: what the control log carries and what applying it answers.
+//! Changes: the commands that the control log carries, and the answers to them.
 
 use serde::{Deserialize, Serialize};
 
@@ -10,7 +10,7 @@
     routing::{self, Publication},
 };
 
-/// What a change does.
+/// Effect of a change.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Body {
@@ -18,45 +18,47 @@
     Apply(Object),
     /// Deletes an object.
     Delete(Key),
-    /// Adds an entry instance, or takes note of its new addresses.
+    /// Adds an entry instance, or updates its addresses.
     Join(Member),
-    /// Declares an entry instance gone for certain.
+    /// Removes an entry instance that is gone for good.
     Retire(id::Instance),
-    /// Replaces the routing table, if its number is higher than the one in force; a lower or equal
-    /// number changes nothing and is done all the same, so that a resend needs no command id.
+    /// Replaces the routing table if its number is higher than that of the table in force.
+    ///
+    /// A lower or equal number succeeds without an effect, so that a resend needs no command id.
     Publish(Box<Publication>),
-    /// Lets no new request go to the targets of an availability zone.
+    /// Stops sending new requests to the targets of an availability zone.
     Evacuate(id::Zone),
-    /// Takes an evacuation back.
+    /// Ends the evacuation of an availability zone.
     Reopen(id::Zone),
-    /// Adds to what is known of requests that are not run any more, as instances found it out.
+    /// Merges the crash records of suspect requests, as reported by instances.
     Suspect(Vec<Suspect>),
-    /// Lets a request run again that is not run any more.
+    /// Releases a request from quarantine.
     Release(Fingerprint),
 }
 
-/// Who asks, and under which id: together they make a change idempotent.
+/// Sender and command id of a change, which together make it idempotent.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Origin {
-    /// Operator or script.
+    /// Operator or script that sent the change.
     pub operator: id::Operator,
-    /// Command id.
+    /// Command id, unique for the operator.
     pub command: id::Command,
 }
 
-/// One change, as it stands in the log.
+/// A change, as recorded in the log.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Change {
-    /// Who asked; `None` for the system's own changes.
+    /// Who sent the change; `None` for the system's own changes.
     pub origin: Option<Origin>,
-    /// Revision that the object must have; 0 when it must not exist, `None` for no check.
+    /// Revision that the object must have: 0 if it must not exist, `None` for no check.
     pub expected: Option<id::Revision>,
-    /// What it does.
+    /// Effect.
     pub body: Body,
 }
 
 impl Change {
-    /// Returns the change as entry instances need it: without the operators' text of a routing table.
+    /// Returns the change without the source document of a routing table, which entry instances
+    /// don't need.
     #[must_use]
     pub fn stripped(mut self) -> Self {
         if let Body::Publish(publication) = &mut self.body {
@@ -66,23 +68,25 @@
     }
 }
 
-/// What applying a change answered; the same on every replica.
+/// Result of applying a change; the same on every replica.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Answer {
-    /// The state has it.
+    /// The change has been applied.
     Done {
-        /// Revision that it made.
+        /// Revision of the state after the change.
         revision: id::Revision,
-        /// Whether it narrows what instances may do, so that every member must confirm it.
+        /// Whether the change narrows what instances may do, so that every member must confirm it.
         narrows: bool,
     },
-    /// Another change came first.
+    /// The object has another revision than expected.
     Conflict {
-        /// Revision that the object has; 0 when it does not exist.
+        /// Revision of the object, see [`State::current_revision`].
+        ///
+        /// [`State::current_revision`]: crate::state::State::current_revision
         current: id::Revision,
     },
-    /// The command id was used before with another body.
+    /// The command id has already been used with another body.
     Reused,
     /// The change is not valid.
     Invalid(Invalid),
@@ -95,13 +99,13 @@
     /// A required field is empty.
     #[error("field {0} must not be empty")]
     Empty(String),
-    /// A field is longer than allowed.
+    /// A field exceeds its maximum length.
     #[error("field {0} is too long")]
     Long(String),
-    /// A field does not have the right form.
+    /// A field has an invalid format.
     #[error("field {0} is malformed")]
     Malformed(String),
-    /// The object refers to one that does not exist.
+    /// The object refers to an object that does not exist.
     #[error("{0} does not exist")]
     Missing(String),
     /// Another object refers to this one.
@@ -110,7 +114,7 @@
     /// The routing table is not valid.
     #[error(transparent)]
     Routing(#[from] routing::Error),
-    /// The state holds as many objects as it may.
+    /// The state has reached a size limit.
     #[error("too many objects")]
     Full,
 }
--- a/crates/zinniastall-model/src/fingerprint.rs
+++ b/crates/zinniastall-model/src/fingerprint.rs
@@ -1,4 +1,4 @@
-//! What makes two requests the same one, whoever sends it again and over whichever connection.
+//! Fingerprints, which identify a request across resends, callers and connections.
 
 use std::{fmt, str::FromStr};
 
@@ -6,25 +6,25 @@
 use serde_bytes::ByteArray;
 use zinniastall_coord::quarantine::Suspicion;
 
-/// Separates these digests from all others that are made with the same function.
+/// Context string that separates these digests from all others derived with BLAKE3.
 const DERIVE_KEY_CONTEXT: &str = "zinniastall 2026 fingerprint of a request";
 /// Length of a fingerprint, in bytes.
 const LENGTH_BYTES: usize = 16;
 
-/// Digest of what a request asks: its client account, host, path with query, and body.
+/// Digest of a request's content: client account, host, path with query, and body.
 ///
-/// Ids, deadlines and all other header fields leave it as it is. It tells nothing of the body to whom doesn't know
-/// the body already.
+/// Ids, deadlines and all other header fields are left out. The digest reveals nothing about the
+/// body to anyone who doesn't know the body already.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Fingerprint(ByteArray<LENGTH_BYTES>);
 
-/// A request and what is known against it.
+/// A request and the target crashes attributed to it.
 pub type Suspect = (Fingerprint, Suspicion);
 
-/// A text is no fingerprint.
+/// Error returned when a text is not a valid fingerprint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
-#[error("a fingerprint has {} hexadecimal digits", 2 * LENGTH_BYTES)]
+#[error("fingerprint must have {} hexadecimal digits", 2 * LENGTH_BYTES)]
 pub struct ParseError;
 
 impl Fingerprint {
@@ -34,7 +34,7 @@
         let host = host.to_ascii_lowercase();
         let fields = [account.unwrap_or_default(), &host, target];
         for field in fields {
-            // Lengths keep apart what would be the same in a row.
+            // Length prefixes keep fields with the same concatenation distinct.
             hasher.update(&(field.len() as u64).to_le_bytes());
             hasher.update(field.as_bytes());
         }
--- a/crates/zinniastall-model/src/id.rs
+++ b/crates/zinniastall-model/src/id.rs
@@ -1,30 +1,30 @@
-//! Ids that cross the borders of modules.
+//! Identifiers shared between modules.
 
-/// A customer.
+/// Name of a client.
 pub type Client = String;
-/// An entry instance or control instance, as its settings name it.
+/// Name of an instance, from its settings.
 pub type Instance = String;
-/// One run of an instance's or target's process; later runs have higher numbers.
+/// Run of an instance's or target's process; later runs have higher numbers.
 pub type Incarnation = u64;
-/// A back end, as it names itself.
+/// Name that a target announces itself under.
 pub type Target = String;
-/// A region.
+/// Name of a region.
 pub type Region = String;
-/// An availability zone, unique within its region.
+/// Name of an availability zone, unique within its region.
 pub type Zone = String;
-/// A model, as callers name it.
+/// Name of a model, as callers use it.
 pub type Model = String;
-/// An adapter on top of a model.
+/// Name of an adapter of a model.
 pub type Adapter = String;
-/// A plain service, as targets announce it.
+/// Name of a plain service, as targets announce it.
 pub type Service = String;
-/// A class of requests, such as `interactive` or `batch`.
+/// Request class, such as `interactive` or `batch`.
 pub type Class = String;
-/// An operator or an operator's script.
+/// Name of an operator or of an operator's script.
 pub type Operator = String;
-/// A command id, unique for its operator.
+/// Command id, unique for its operator.
 pub type Command = String;
-/// An object's name within its kind.
+/// Name of an object, unique within its kind.
 pub type Name = String;
-/// Number of a configuration state: how many changes made it.
+/// Revision of a configuration: the number of changes that led to it.
 pub type Revision = u64;
--- a/crates/zinniastall-model/src/lib.rs
+++ b/crates/zinniastall-model/src/lib.rs
@@ -1,8 +1,8 @@
 //! Configuration objects and the state machine that the control log replicates.
 //!
-//! Operators change [`object::Object`]s by [`change::Change`]s. Each committed change is applied to
-//! [`state::State`], which is a pure function of the log: every replica, relay and entry instance
-//! that has applied the same changes holds the same state.
+//! Operators edit [`object::Object`]s by sending [`change::Change`]s. Each committed change is
+//! applied to the [`state::State`], which is a pure function of the log: every replica, relay and
+//! entry instance that has applied the same changes holds the same state.
 
 pub mod change;
 pub mod fingerprint;
--- a/crates/zinniastall-model/src/machine.rs
+++ b/crates/zinniastall-model/src/machine.rs
@@ -12,17 +12,17 @@
     validate,
 };
 
-/// Answers kept for one operator.
+/// Answers kept for each operator.
 const MAX_ANSWERS_PER_OPERATOR: usize = 512;
-/// Answers kept in all.
+/// Answers kept for all operators together.
 const MAX_ANSWERS: usize = 8192;
-/// Narrowing revisions kept.
+/// Revisions of narrowing changes kept; see [`Machine::narrows`].
 const MAX_NARROWING_REVISIONS: usize = 4096;
 
-/// What every control replica holds: the configuration and what is known of commands.
+/// State machine of a control replica: the configuration and the answers to recent commands.
 ///
-/// It is a pure function of the log. Its bounds are constants rather than settings because two
-/// replicas that forget at different places would answer a resend differently.
+/// It is a pure function of the log. Its bounds are constants rather than settings because replicas
+/// that evict answers at different points would answer a resend differently.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Machine {
     state: Arc<State>,
@@ -48,7 +48,7 @@
         &self.state
     }
 
-    /// Returns the recorded answer to a change, if its command ran before.
+    /// Returns the recorded answer to a change whose command has already run.
     pub fn recorded(&self, change: &Change) -> Option<Answer> {
         let origin = change.origin.as_ref()?;
         match self.look_up(origin, &change.body) {
@@ -58,7 +58,7 @@
         }
     }
 
-    /// Applies one committed change, or answers a resent command as before.
+    /// Applies a committed change, or returns the recorded answer if its command was resent.
     pub fn apply(&mut self, change: &Change) -> Answer {
         if let Some(answer) = self.recorded(change) {
             return answer;
@@ -72,10 +72,10 @@
         answer
     }
 
-    /// Tells whether the change that made a revision narrows, so that every member must confirm it.
+    /// Tells whether the change that led to a revision narrows, so that every member must confirm
+    /// it.
     ///
-    /// For a revision from before those that are kept the answer is yes, which at worst makes an
-    /// operator wait.
+    /// A revision older than those kept counts as narrowing, which at worst makes an operator wait.
     pub fn narrows(&self, revision: id::Revision) -> bool {
         revision <= self.dropped || self.narrowing.contains(&revision)
     }
@@ -108,11 +108,13 @@
     }
 }
 
-/// The expected revision is left out: a script that resends may have read a later one meanwhile,
-/// which its own command has made.
+/// Returns the digest by which a reused command id is detected.
+///
+/// The expected revision is left out: a script that resends its command may have read the later
+/// revision that the command itself has made.
 fn digest(body: &Body) -> command::Digest {
     let mut bytes = Vec::new();
-    // Writing into a vector cannot fail; a body that did would only meet its own digest again.
+    // Writing to a vector cannot fail. If it did, a resend would still have the same digest.
     drop(ciborium::into_writer(body, &mut bytes));
     command::digest(&bytes)
 }
--- a/crates/zinniastall-model/src/member.rs
+++ b/crates/zinniastall-model/src/member.rs
@@ -1,4 +1,4 @@
-//! Entry instances that the control log knows.
+//! Membership of entry instances.
 
 use serde::{Deserialize, Serialize};
 
@@ -6,16 +6,16 @@
 
 /// An entry instance that may serve requests.
 ///
-/// An instance serves only under a configuration that lists it here. That is what makes a
-/// confirmation by all members a statement about every instance that serves.
+/// An instance serves only under a configuration that lists it as a member. A confirmation by all
+/// members therefore covers every instance that serves.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Member {
-    /// Name from its settings; it survives restarts.
+    /// Name from its settings, which stays the same across restarts.
     pub instance: id::Instance,
-    /// Where it runs.
+    /// Region and availability zone.
     pub place: Place,
-    /// Address of its links, as other instances reach it.
+    /// Address on which it accepts links from other instances.
     pub links: String,
-    /// Address that callers use.
+    /// Address on which it accepts requests from callers.
     pub callers: String,
 }
--- a/crates/zinniastall-model/src/narrow.rs
+++ b/crates/zinniastall-model/src/narrow.rs
@@ -1,12 +1,12 @@
-//! Whether a change narrows what entry instances may do.
+//! Detection of changes that narrow what entry instances may do.
 //!
-//! A narrowing change is accepted only once every member has confirmed it. Without that, a region
-//! that is cut off would go on serving under the old rule after the operator was told that the new
-//! one holds.
+//! A narrowing change is accepted only once every member has confirmed it. Otherwise a partitioned
+//! region would keep serving under the old rule after the operator was told that the new one is in
+//! force.
 //!
-//! What may be done is compared before and after the change, for the regions in which members run:
-//! an instance that joins later holds at least the revision of its own joining, which comes after
-//! the change in the log.
+//! Permissions before and after the change are compared for the regions in which members run. An
+//! instance that joins later holds at least the revision of its own join, which follows the change
+//! in the log.
 
 use std::sync::Arc;
 
@@ -18,7 +18,7 @@
     state::State,
 };
 
-/// Tells whether replacing an object, or deleting it with `None`, narrows.
+/// Tells whether replacing an object with `new`, or deleting it if `None`, narrows.
 pub fn narrows(state: &State, key: &Key, new: Option<&Object>) -> bool {
     let old = state
         .objects
@@ -36,7 +36,7 @@
     }
 }
 
-/// A client loses something when a key that was good is not good any more.
+/// Tells whether a client, or a key that it could use, is no longer accepted.
 fn client_narrows(old: &Client, new: Option<&Client>) -> bool {
     let Some(new) = new else {
         return !old.withdrawn;
@@ -45,14 +45,15 @@
     !old.withdrawn && (new.withdrawn || old.keys.iter().any(lost))
 }
 
-/// A route loses something when it leads elsewhere, or when its calls may no longer be repeated:
-/// an instance that has not heard would run them twice.
+/// Tells whether a route leads elsewhere, or its requests may no longer be repeated: an instance
+/// that has not applied the change would run them twice.
 fn route_narrows(old: &Route, new: &Route) -> bool {
     let moved = old.prefix != new.prefix || old.subject != new.subject;
     moved || (old.idempotent && !new.idempotent)
 }
 
-/// A route whose calls may not be repeated takes calls from a shorter one whose calls may.
+/// Tells whether a route whose requests may not be repeated takes requests from a route with a
+/// shorter prefix whose requests may.
 fn shadows(state: &State, new: &Route) -> bool {
     let is_shadowed = |object: &Object| match object {
         Object::Route(other) => {
@@ -65,6 +66,7 @@
     !new.idempotent && objects.any(|record| is_shadowed(&record.object))
 }
 
+/// Tells whether a change of a residency rule revokes a permission of a client that it covers.
 fn rule_narrows(state: &State, old: Option<&Residency>, new: Option<&Residency>) -> bool {
     let mut clients: IndexSet<&str> = IndexSet::new();
     clients.extend(
@@ -96,7 +98,7 @@
 }
 
 fn revokes_permission(state: &State, before: &[&Residency], after: &[&Residency]) -> bool {
-    // A subject that no rule names stands for all such subjects.
+    // The empty subject stands for all subjects that no rule names.
     let mut subjects = IndexSet::from([""]);
     let named = before.iter().chain(after);
     subjects.extend(named.filter_map(|rule| rule.subject.as_deref()));
@@ -114,9 +116,10 @@
     })
 }
 
-/// Tells whether rules permit a request that one region received to run in another.
+/// Tells whether rules permit a request received in region `from` to run in region `to`.
 ///
-/// Without a rule only the receiving region is permitted; otherwise all matching rules must permit.
+/// Without a matching rule only the receiving region is permitted; otherwise all matching rules
+/// must permit it.
 fn permits(rules: &[&Residency], subject: &str, from: &id::Region, to: &id::Region) -> bool {
     let covers = |rule: &&&Residency| rule.subject.as_deref().is_none_or(|own| own == subject);
     let mut matching = rules.iter().filter(covers).peekable();
--- a/crates/zinniastall-model/src/object.rs
+++ b/crates/zinniastall-model/src/object.rs
@@ -4,7 +4,7 @@
 
 use crate::id;
 
-/// A kind of object.
+/// Kind of an object.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Kind {
@@ -22,7 +22,7 @@
     Role,
 }
 
-/// Names one object.
+/// Key of an object.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Key {
     /// Kind of the object.
@@ -35,17 +35,17 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Object {
-    /// A customer.
+    /// A client.
     Client(Client),
-    /// A path and what serves it.
+    /// A path prefix and the subject that serves it.
     Route(Route),
     /// A model and its version.
     Model(Model),
     /// An adapter and its version.
     Adapter(Adapter),
-    /// Where a client's requests may run.
+    /// Regions in which a client's requests may run.
     Residency(Residency),
-    /// What targets are to do.
+    /// Role and models that targets should take.
     Role(Role),
 }
 
@@ -54,21 +54,21 @@
 pub struct Client {
     /// Name.
     pub id: id::Client,
-    /// BLAKE3 digests, as hex, of the keys that its requests may carry.
+    /// BLAKE3 digests, in hex, of the keys that its requests may carry.
     pub keys: Vec<String>,
-    /// Weight of its share under contention; at least 1.
+    /// Weight of its share under contention, at least 1.
     pub weight: u32,
-    /// Whether its requests are refused.
+    /// Whether the client is withdrawn, so that its requests are refused.
     pub withdrawn: bool,
 }
 
-/// What serves a route.
+/// Model or service that serves a route.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Subject {
-    /// A model engine that serves this model.
+    /// A model, served by model engines.
     Model(id::Model),
-    /// A plain service.
+    /// A plain service, served by other targets.
     Service(id::Service),
 }
 
@@ -81,20 +81,20 @@
     }
 }
 
-/// A path prefix that callers use and what serves it.
+/// A path prefix and the subject that serves it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Route {
     /// Name.
     pub id: id::Name,
-    /// Prefix of the path; the longest matching one wins.
+    /// Prefix of the path; the longest match wins.
     pub prefix: String,
-    /// What serves it; several model routes may share a prefix and differ by model.
+    /// Subject that serves it; several model routes may share a prefix and differ by model.
     pub subject: Subject,
-    /// Whether requests may be repeated unless the caller says otherwise.
+    /// Whether requests may be repeated, unless the caller specifies otherwise.
     pub idempotent: bool,
 }
 
-/// A model and the version that is served.
+/// A model and the version to serve.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Model {
     /// Name.
@@ -105,7 +105,7 @@
     pub weights: String,
 }
 
-/// A version of an adapter on top of a model.
+/// An adapter of a model and the version to serve.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Adapter {
     /// Name.
@@ -120,20 +120,21 @@
 
 /// Regions in which a client's requests may run.
 ///
-/// Without a rule a client's requests may run in the region that received them only.
+/// Without a rule, a client's requests may run only in the region that received them.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Residency {
     /// Name.
     pub id: id::Name,
     /// Client that the rule covers.
     pub client: id::Client,
-    /// Model or service that the rule covers; `None` covers all. All matching rules must permit.
+    /// Model or service that the rule covers; `None` covers all. All matching rules must permit a
+    /// region.
     pub subject: Option<String>,
     /// Permitted regions.
     pub regions: Vec<id::Region>,
 }
 
-/// An order to the targets of a place.
+/// Desired state of the targets of a region or availability zone.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Role {
     /// Name.
@@ -142,13 +143,13 @@
     pub region: id::Region,
     /// Availability zone; `None` covers the region.
     pub zone: Option<id::Zone>,
-    /// Target; `None` covers all targets of the place.
+    /// Target; `None` covers all targets of the region or zone.
     pub target: Option<id::Target>,
     /// Role to take, such as `prefill`, `decode` or `both`.
     pub role: String,
-    /// Models to hold.
+    /// Models to load.
     pub models: Vec<id::Model>,
-    /// Adapters to hold.
+    /// Adapters to load.
     pub adapters: Vec<id::Adapter>,
 }
 
--- a/crates/zinniastall-model/src/order.rs
+++ b/crates/zinniastall-model/src/order.rs
@@ -1,4 +1,4 @@
-//! What targets are to hold: the intents that role objects state, and whether a target agrees.
+//! Orders: the state that role objects demand of a target, compared with the state that it reports.
 
 use serde::{Deserialize, Serialize};
 
@@ -9,7 +9,7 @@
     state::State,
 };
 
-/// A model and the version to hold.
+/// A version of a model.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Version {
     /// Model.
@@ -18,30 +18,30 @@
     pub version: String,
 }
 
-/// What a target is to hold; also the body of an order.
+/// Desired state of a target; also the body of the order that is sent to it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Order {
     /// Role to take.
     pub role: String,
-    /// Models to hold, and no others.
+    /// Models to load, and no others.
     pub models: Vec<Version>,
-    /// Adapters to hold on top of them, and no others.
+    /// Adapters of these models to load, and no others.
     pub adapters: Vec<id::Adapter>,
 }
 
-/// What a target says that it holds.
+/// State that a target reports.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Holding {
-    /// Role that it has.
+    /// Current role.
     pub role: String,
-    /// Models that it holds.
+    /// Loaded models.
     pub models: Vec<Version>,
-    /// Adapters that it holds.
+    /// Loaded adapters.
     pub adapters: Vec<id::Adapter>,
 }
 
 impl Order {
-    /// Finds the order for a target, from the role object that names it most closely.
+    /// Returns the order for a target, from the most specific role object that covers it.
     pub fn for_target(state: &State, place: &Place, target: &str) -> Option<Self> {
         let roles = state.objects.iter().filter_map(|(key, record)| {
             let Object::Role(role) = &*record.object else {
@@ -49,7 +49,7 @@
             };
             Some((specificity(role, place, target)?, key.name.as_str(), role))
         });
-        // Between equally close ones the name decides, so that every leader decides alike.
+        // The name breaks ties, so that every leader makes the same choice.
         let most_specific = roles.max_by_key(|(specificity, name, _)| (*specificity, *name));
         let (_, _, role) = most_specific?;
         let version = |name: &id::Model| {
@@ -72,7 +72,7 @@
         })
     }
 
-    /// Tells whether a target holds exactly this; an order without a role leaves the role open.
+    /// Tells whether a target is in exactly this state; an order without a role accepts any role.
     pub fn matches(&self, holding: &Holding) -> bool {
         let role = self.role.is_empty() || self.role == holding.role;
         role && same_elements(&self.models, &holding.models)
@@ -85,7 +85,7 @@
         self.models.iter().filter(is_missing)
     }
 
-    /// Tells whether requests may be waiting for a model, as some route leads to it.
+    /// Tells whether a route leads to a model, so that requests may be waiting for it.
     pub fn is_routed(state: &State, model: &str) -> bool {
         let mut objects = state.objects.values();
         objects.any(|record| match &*record.object {
@@ -95,7 +95,7 @@
     }
 }
 
-/// How closely a role object names a target; `None` when it does not mean it.
+/// Returns how specifically a role object covers a target; `None` if it does not cover it.
 fn specificity(role: &Role, place: &Place, target: &str) -> Option<u8> {
     let region = role.region == place.region;
     let zone = role.zone.as_ref().is_none_or(|zone| *zone == place.zone);
--- a/crates/zinniastall-model/src/place.rs
+++ b/crates/zinniastall-model/src/place.rs
@@ -1,4 +1,4 @@
-//! Where something runs.
+//! Location of an instance or target.
 
 use serde::{Deserialize, Serialize};
 
@@ -14,7 +14,7 @@
 }
 
 impl Place {
-    /// Creates a place.
+    /// Creates a place from a region and an availability zone.
     pub fn new(region: impl Into<id::Region>, zone: impl Into<id::Zone>) -> Self {
         Self {
             region: region.into(),
--- a/crates/zinniastall-model/src/presence.rs
+++ b/crates/zinniastall-model/src/presence.rs
@@ -1,30 +1,30 @@
-//! What gateway instances say of themselves.
+//! Announcements of gateway instances.
 
 use serde::{Deserialize, Serialize};
 
 use crate::{id, place::Place};
 
-/// One gateway instance, as it presents itself.
+/// Announcement of a gateway instance.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Presence {
     /// Instance.
     pub instance: id::Instance,
-    /// Its run.
+    /// Run of its process.
     pub incarnation: id::Incarnation,
-    /// Where it runs.
+    /// Region and availability zone.
     pub place: Place,
-    /// Address that callers use.
+    /// Address on which it accepts requests from callers.
     pub callers: String,
-    /// Address that other gateway instances use for requests that they pass on.
+    /// Address on which it accepts requests forwarded by other gateway instances.
     pub forward: String,
-    /// Whether it takes requests of callers.
+    /// Whether it accepts requests from callers.
     pub ready: bool,
-    /// Requests in progress at targets, by service.
+    /// In-flight requests at targets, by service.
     pub load: Vec<Load>,
 }
 
 impl Presence {
-    /// Tells whether two words of an instance differ in more than its load.
+    /// Tells whether two announcements of an instance differ in more than load.
     pub fn differs(&self, other: &Self) -> bool {
         self.incarnation != other.incarnation
             || self.ready != other.ready
@@ -34,23 +34,23 @@
     }
 }
 
-/// Requests in progress that the instances of a region have sent to the targets of a service.
+/// In-flight requests that the instances of a region have sent to the targets of a service.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RegionLoad {
     /// Region.
     pub region: id::Region,
-    /// Sum over its instances.
+    /// Sum over the instances of the region.
     pub load: Load,
 }
 
-/// Requests in progress that one instance has sent to the targets of a service.
+/// In-flight requests that one instance has sent to the targets of a service.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Load {
     /// Service.
     pub service: id::Service,
-    /// Requests at targets.
+    /// Number of in-flight requests.
     #[serde(rename = "flights")]
     pub in_flight: u32,
-    /// Expected time to read the prompts of those whose answers have not begun, in microseconds.
+    /// Expected prefill time of the requests whose responses have not begun, in microseconds.
     pub reading_us: u64,
 }
--- a/crates/zinniastall-model/src/reference.rs
+++ b/crates/zinniastall-model/src/reference.rs
@@ -6,11 +6,11 @@
     state::State,
 };
 
-/// Checks that everything an object refers to exists.
+/// Checks that all objects to which an object refers exist.
 ///
 /// # Errors
 ///
-/// [`Invalid::Missing`] names the first that does not.
+/// Returns [`Invalid::Missing`] with the first one that does not.
 pub fn check_all_exist(state: &State, object: &Object) -> Result<(), Invalid> {
     for key in references_of(object) {
         if !state.objects.contains_key(&key) {
@@ -20,11 +20,11 @@
     Ok(())
 }
 
-/// Checks that nothing refers to an object.
+/// Checks that no other object refers to an object.
 ///
 /// # Errors
 ///
-/// [`Invalid::Used`] names the first that does.
+/// Returns [`Invalid::Used`] with the first one that does.
 pub fn check_unused(state: &State, key: &Key) -> Result<(), Invalid> {
     let is_referring = |object: &Object| references_of(object).contains(key);
     let mut objects = state.objects.iter();
@@ -34,6 +34,7 @@
     }
 }
 
+/// Returns the keys of the objects to which an object refers.
 fn references_of(object: &Object) -> Vec<Key> {
     let models = |names: &[String]| names.iter().map(|name| key(Kind::Model, name)).collect();
     match object {
--- a/crates/zinniastall-model/src/routing.rs
+++ b/crates/zinniastall-model/src/routing.rs
@@ -1,8 +1,8 @@
-//! Routes by host and path prefix, the services behind them, and how callers are bounded.
+//! Routes by host and path prefix, the services behind them, and limits on callers.
 //!
-//! Operators replace a whole [`Table`] at once, under a number of their own that only grows: the
-//! highest number is in force. A table is checked as a whole, because a route may name a service
-//! and two routes may claim the same place.
+//! Operators replace a whole [`Table`] at once and number it themselves: the table with the highest
+//! number is in force. A table is validated as a whole, because routes refer to services and must
+//! not share host and prefix.
 //!
 //! # Example
 //!
@@ -34,132 +34,136 @@
 };
 use crate::id;
 
-/// Number that operators give a table; the highest one is in force.
+/// Number that operators assign to a table; the table with the highest one is in force.
 pub type Number = u64;
 
 /// A complete set of routes and services.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Table {
-    /// Operators' number.
+    /// Number assigned by operators.
     pub number: Number,
-    /// Routes; the one with the longest matching prefix of a host wins.
+    /// Routes; among those of a host, the longest matching prefix wins.
     pub routes: Vec<Route>,
     /// Services that routes may name.
     pub services: Vec<Service>,
-    /// Bounds on what callers may send.
+    /// Limits on what callers may send.
     pub limits: Limits,
-    /// Client accounts, one of whose keys a request has to carry; `None` where requests need no key.
+    /// Client accounts; a request must carry a key of one of them. `None` if requests need no key.
     #[serde(default)]
     pub accounts: Option<Vec<Account>>,
     #[serde(skip)]
     index: Index,
 }
 
-/// What may be done with a request whose outcome is not known.
+/// Whether a request with an unknown outcome may be repeated.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Kind {
-    /// It may run more than once.
+    /// The request may run more than once.
     Idempotent,
-    /// It may run once at most.
+    /// The request may run at most once.
     #[default]
     Once,
-    /// Its answer is a series of events; it may run once at most, unless the route is resumable.
+    /// The response is a stream of events; the request may run at most once, unless the route is
+    /// resumable.
     Stream,
 }
 
-/// A host and path prefix, and how requests to it are served.
+/// A host and path prefix, and the way in which requests to it are served.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Route {
     /// Name.
     pub name: id::Name,
-    /// Host, as callers name it.
+    /// Host of the request; case is ignored.
     pub host: String,
     /// Prefix of the path.
     pub prefix: String,
-    /// What may be repeated.
+    /// Whether its requests may be repeated.
     pub kind: Kind,
-    /// Longest time a request may be kept, in milliseconds.
+    /// Maximum time to serve a request, in milliseconds.
     pub timeout_ms: u64,
-    /// Time within which an answer is worth most, in milliseconds.
+    /// Latency objective: time within which a response has its full value, in milliseconds.
     pub objective_ms: u64,
-    /// Rank among the routes of its service; 0 is the most urgent.
+    /// Priority among the routes of its service; 0 is the most urgent.
     pub priority: u8,
-    /// Services and their weights.
+    /// Services that share its requests, with their weights.
     pub split: Vec<Share>,
-    /// Most targets that one request may be sent to.
+    /// Maximum number of attempts of one request.
     pub attempts: u32,
-    /// Whether requests share beginnings that targets keep.
+    /// Whether requests share prompt prefixes that targets cache.
     pub sticky: bool,
-    /// Whether a broken stream may go on at another target after its last event.
+    /// Whether an interrupted stream may resume at another target after its last event.
     pub resumable: bool,
-    /// Longest pause between two events that is still in time, in milliseconds; 0 for no bound.
+    /// Maximum gap between two events, in milliseconds; 0 for no limit.
     pub gap_ms: u64,
     /// Regions in which requests may run; empty for all.
     pub homes: Vec<id::Region>,
-    /// Whether requests need no key.
+    /// Whether requests are served without a key.
     #[serde(default)]
     pub public: bool,
 }
 
-/// A service and its part of a route's requests.
+/// A service and its share of a route's requests.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Share {
     /// Service.
     pub service: id::Service,
-    /// Weight against the other shares of the route.
+    /// Weight relative to the other shares of the route.
     pub weight: u64,
 }
 
-/// A service: targets that can stand in for each other.
+/// A service: a group of interchangeable targets.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Service {
     /// Name, as targets announce it.
     pub name: id::Service,
-    /// Path that tells whether a target is well.
+    /// Path of the health probe.
     pub health_path: String,
-    /// Most connections that one target takes, from all instances together; 0 for no bound.
+    /// Maximum number of connections to one target, from all instances together; 0 for no limit.
     pub connections: u32,
-    /// Time after a start during which a target is cold, in milliseconds.
+    /// Time after its start during which a target is cold, in milliseconds.
     pub cold_ms: u64,
-    /// Requests a second that a cold target bears, in thousandths; 0 for no bound.
+    /// Maximum request rate of a cold target, in thousandths of a request per second; 0 for no
+    /// limit.
     pub cold_rate_milli: u64,
-    /// Engine properties, where its targets are model engines.
+    /// Engine properties, if its targets are model engines.
     pub engine: Option<Engine>,
 }
 
-/// What the engines of a service can do.
+/// Properties of the model engines of a service.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Engine {
-    /// Requests that one engine processes at once.
+    /// Number of requests that one engine processes concurrently.
     pub slots: u32,
-    /// Tokens that one engine holds.
+    /// Capacity of one engine's cache, in tokens.
     pub tokens: u64,
-    /// Tokens that one event of a stream carries.
+    /// Number of tokens in one event of a stream.
     pub stride: u32,
-    /// Bytes of memory that one token takes.
+    /// Memory per cached token, in bytes.
     #[serde(default)]
     pub token_bytes: u64,
-    /// Rate at which engines copy memory from each other, in megabits a second; 0 where they don't.
+    /// Bandwidth at which engines copy cached tokens from each other, in megabits per second; 0 if
+    /// they don't.
     #[serde(default)]
     pub link_mbps: u64,
 }
 
-/// Bounds on what callers may send and how long they may take.
+/// Limits on what callers may send and how long they may take.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Limits {
-    /// Longest head, in bytes.
+    /// Maximum length of a request head, in bytes.
     pub head_bytes: usize,
-    /// Longest body, in bytes.
+    /// Maximum length of a request body, in bytes.
     pub body_bytes: usize,
-    /// Longest time for a head to arrive, in milliseconds.
+    /// Maximum time for a head to arrive, in milliseconds.
     pub head_ms: u64,
-    /// Longest time that a connection may stay idle, in milliseconds.
+    /// Maximum idle time of a connection, in milliseconds.
     pub idle_ms: u64,
 }
 
 impl Default for Limits {
-    /// Bounds for operators who name none: 16 KiB and 5 s for a head, 4 MiB for a body, 15 s idle.
+    /// Returns the limits for operators who specify none: 16 KiB and 5 s for a head, 4 MiB for a
+    /// body and 15 s of idle time.
     fn default() -> Self {
         Self {
             head_bytes: 16 << 10,
@@ -170,25 +174,25 @@
     }
 }
 
-/// Why a table is not valid.
+/// Reason why a table is not valid.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize, thiserror::Error)]
 #[serde(rename_all = "kebab-case")]
 pub enum Error {
-    /// A route names a service that the table lacks.
+    /// A route refers to a service that the table does not define.
     #[error("route {route} names the unknown service {service}")]
     Service {
         /// Route.
         route: id::Name,
-        /// Service that it names.
+        /// Service to which it refers.
         service: id::Service,
     },
-    /// Two routes have the same host and prefix.
+    /// Two routes share host and prefix.
     #[error("routes {0} and {1} share host and prefix")]
     Place(id::Name, id::Name),
-    /// The weights of a route add up to nothing.
+    /// The weights of a route add up to 0, or overflow.
     #[error("the weights of route {0} add up to 0")]
     Weight(id::Name),
-    /// A route leaves its requests no time.
+    /// A route has a timeout of 0.
     #[error("route {0} has a timeout of 0")]
     Timeout(id::Name),
     /// A prefix does not begin and end with a slash.
@@ -197,7 +201,8 @@
     /// Two services have the same name.
     #[error("two services are named {0}")]
     Twice(id::Service),
-    /// An account's name is empty, or can't stand in a header field.
+    /// The name of an account is empty or contains control characters, which a header value cannot
+    /// carry.
     #[error("the account name {0:?} is not usable")]
     Name(id::Client),
     /// Two accounts have the same name.
@@ -208,18 +213,18 @@
     Key(id::Client, id::Client),
 }
 
-/// A table as operators published it.
+/// A table as published by operators.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Publication {
     /// The table.
     pub table: Table,
-    /// The text from which the table was read, given back to operators as it came; entry instances
-    /// get none.
+    /// Source document of the table, returned to operators unchanged. It is not sent to entry
+    /// instances.
     pub document: Option<ByteBuf>,
 }
 
 impl Table {
-    /// Creates a table with the default bounds on callers.
+    /// Creates a table with the default limits and without accounts.
     pub fn new(number: Number, routes: Vec<Route>, services: Vec<Service>) -> Self {
         Self {
             number,
@@ -229,25 +234,25 @@
         }
     }
 
-    /// Sets the client accounts, one of whose keys requests have to carry from then on.
+    /// Sets the client accounts; requests must then carry a key of one of them.
     #[must_use]
     pub fn accounts(mut self, accounts: Vec<Account>) -> Self {
         self.accounts = Some(accounts);
         self
     }
 
-    /// Sets the bounds on what callers may send.
+    /// Sets the limits on what callers may send.
     #[must_use]
     pub const fn limits(mut self, limits: Limits) -> Self {
         self.limits = limits;
         self
     }
 
-    /// Checks the table as a whole.
+    /// Validates the table as a whole.
     ///
     /// # Errors
     ///
-    /// The first [`Error`].
+    /// Returns the first [`Error`] found.
     pub fn check(&self) -> Result<(), Error> {
         let services = self.unique_services()?;
         let mut routes_by_place = IndexMap::new();
@@ -282,28 +287,28 @@
         Ok(())
     }
 
-    /// Returns the route of a host whose prefix is the longest that begins the path.
+    /// Returns the route of a host with the longest prefix that matches a path.
     pub fn find(&self, host: &str, path: &str) -> Option<&Route> {
         self.route_index(host, path)
             .map(|index| &self.routes[index])
     }
 
-    /// Returns the place of that route in [`Table::routes`].
+    /// Returns the index in [`Table::routes`] of the route that [`Table::find`] returns.
     pub fn route_index(&self, host: &str, path: &str) -> Option<usize> {
         self.index.route(self, host, path)
     }
 
-    /// Returns the place of the account that holds a key.
+    /// Returns the index of the account that holds a key.
     pub fn account_index_by_key(&self, key: &[u8]) -> Option<usize> {
         self.index.account(self, &Digest::of(key))
     }
 
-    /// Returns an account by its place.
+    /// Returns an account by its index.
     pub fn account(&self, index: usize) -> Option<&Account> {
         self.accounts.as_ref()?.get(index)
     }
 
-    /// Returns the place of an account by its name.
+    /// Returns the index of an account by its name.
     pub fn account_index_by_name(&self, name: &str) -> Option<usize> {
         let mut accounts = self.accounts.iter().flatten();
         accounts.position(|account| account.name == name)
@@ -326,7 +331,8 @@
 }
 
 impl Route {
-    /// Creates a route without services, with one attempt, 10 s of time and an objective of 1 s.
+    /// Creates a route without services, with one attempt, a timeout of 10 s and a latency
+    /// objective of 1 s.
     pub fn new(name: &str, host: &str, prefix: &str, kind: Kind) -> Self {
         Self {
             name: name.to_owned(),
@@ -340,14 +346,14 @@
         }
     }
 
-    /// Adds a service and its weight.
+    /// Adds a service with its weight.
     #[must_use]
     pub fn to(mut self, share: Share) -> Self {
         self.split.push(share);
         self
     }
 
-    /// Tells whether a request may be sent again after an outcome that is not known.
+    /// Tells whether a request may be resent when its outcome is unknown.
     pub const fn is_retryable(&self) -> bool {
         match self.kind {
             Kind::Idempotent => true,
@@ -356,17 +362,19 @@
         }
     }
 
-    /// Returns the longest time that a request may be kept.
+    /// Returns the maximum time to serve a request.
     pub const fn timeout(&self) -> Duration {
         Duration::from_millis(self.timeout_ms)
     }
 
-    /// Tells whether requests may run in a region.
+    /// Tells whether the route's requests may run in a region.
     pub fn permits(&self, region: &str) -> bool {
         permits(&self.homes, region)
     }
 
-    /// Returns the service at a point of the split; `point` is taken modulo the sum of weights.
+    /// Returns the service at a point of the split, or `None` if the weights add up to 0.
+    ///
+    /// `point` is taken modulo the sum of the weights.
     pub fn service_at(&self, point: u64) -> Option<&id::Service> {
         let total: u64 = self.split.iter().map(|share| share.weight).sum();
         let mut remainder = point.checked_rem(total)?;
@@ -388,7 +396,7 @@
                 service: share.service.clone(),
             });
         }
-        // A sum beyond 64 bits would wrap to a small number and pass as one.
+        // A sum beyond 64 bits would wrap around to a small number and pass as valid.
         let add = |sum: u64, share: &Share| sum.checked_add(share.weight);
         match self.split.iter().try_fold(0, add) {
             None | Some(0) => return Err(Error::Weight(name())),
@@ -404,13 +412,13 @@
     }
 }
 
-/// Tells whether requests that are bound to homes may run in a region.
+/// Tells whether requests that are restricted to `homes` may run in a region.
 fn permits(homes: &[id::Region], region: &str) -> bool {
     homes.is_empty() || homes.iter().any(|home| home == region)
 }
 
 impl Service {
-    /// Creates a plain service without bounds.
+    /// Creates a plain service without limits, probed at `/`.
     pub fn new(name: &str) -> Self {
         Self {
             name: name.to_owned(),
@@ -421,10 +429,10 @@
 }
 
 impl Publication {
-    /// Returns the publication as entry instances need it: without the operators' text.
+    /// Returns the publication without its source document, which entry instances don't need.
     ///
-    /// A text of hundreds of routes is as long again as the table, and every instance would carry
-    /// it over links between regions and hold it in memory for nothing.
+    /// The document of hundreds of routes is as large as the table itself. Sending it to every
+    /// instance would waste bandwidth between regions and memory.
     #[must_use]
     pub fn stripped(&self) -> Self {
         Self {
@@ -433,11 +441,11 @@
         }
     }
 
-    /// Returns roughly how many bytes the publication takes in a state.
+    /// Returns the approximate size of the publication in a state, in bytes.
     pub fn size(&self) -> usize {
-        /// Bytes counted for a route beside its document.
+        /// Estimated size of a route, in addition to the document.
         const ROUTE_BYTES: usize = 256;
-        /// Bytes counted for an account and for each of its keys.
+        /// Estimated size of an account, and of each of its keys.
         const ACCOUNT_BYTES: usize = 64;
         let routes = self.table.routes.len() * ROUTE_BYTES;
         let accounts = self.table.accounts.iter().flatten();
--- a/crates/zinniastall-model/src/routing/account.rs
+++ b/crates/zinniastall-model/src/routing/account.rs
@@ -1,4 +1,4 @@
-//! Client accounts: whose requests are served, with which keys, how urgently, where, and how many.
+//! Client accounts: keys, priorities, permitted regions and quotas.
 
 use std::fmt;
 
@@ -7,7 +7,7 @@
 
 use crate::id;
 
-/// BLAKE3 digest of a key. Keys themselves stay with operators and callers.
+/// BLAKE3 digest of a key; the key itself is known only to operators and callers.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Digest(ByteArray<32>);
@@ -15,38 +15,39 @@
 /// A client account.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Account {
-    /// Name; targets are told it.
+    /// Name, which is passed to targets.
     pub name: id::Client,
     /// Digests of the keys that its requests may carry.
     pub keys: Vec<Digest>,
-    /// Rank of its requests, in place of their routes' rank; 0 is the most urgent.
+    /// Priority of its requests, which overrides that of their routes; 0 is the most urgent.
     pub priority: Option<u8>,
-    /// Regions in which its requests may run; empty for all. A route's homes bind as well.
+    /// Regions in which its requests may run; empty for all. The homes of a route apply as well.
     pub homes: Vec<id::Region>,
-    /// Bound on what it may use, over all instances together.
+    /// Limit on its usage, over all instances together.
     pub quota: Option<Quota>,
 }
 
-/// Bound on what a client account may use: a rate, and how much of it may be saved up.
+/// Token bucket that limits a client account: a rate and a burst.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Quota {
-    /// What is counted.
+    /// Unit that is counted.
     pub unit: Unit,
-    /// Units a second.
+    /// Units per second.
     pub rate: u64,
-    /// Units that may be used at once after a pause.
+    /// Maximum number of units that may accumulate while the account is idle and be used at once.
     pub burst: u64,
 }
 
-/// What a quota counts.
+/// Unit of a quota.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Unit {
     /// Requests.
     Requests,
-    /// Tokens of the prompt and, at most, of the answer, as the request states them.
+    /// Tokens of the prompt plus the maximum number of tokens of the response, as stated by the
+    /// request.
     Tokens {
-        /// What a request that states none counts for.
+        /// Number of tokens charged for a request that states none.
         unstated: u64,
     },
 }
@@ -57,13 +58,13 @@
         Self(ByteArray::new(*blake3::hash(key).as_bytes()))
     }
 
-    /// Reads a digest written as hex; `None` where the text is not one.
+    /// Parses a digest from hex, or returns `None` if the text is not a digest.
     pub fn from_hex(hex: &str) -> Option<Self> {
         let hash = blake3::Hash::from_hex(hex).ok()?;
         Some(Self(ByteArray::new(*hash.as_bytes())))
     }
 
-    /// Writes the digest as hex.
+    /// Formats the digest as hex.
     pub fn to_hex(&self) -> String {
         let bytes: [u8; 32] = *self.0;
         blake3::Hash::from_bytes(bytes).to_hex().to_string()
@@ -71,7 +72,7 @@
 }
 
 impl fmt::Debug for Digest {
-    /// Writes the first bytes only, which tell digests apart.
+    /// Formats the first four bytes only, which are enough to distinguish digests.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let start = self.0.iter().take(4);
         start
@@ -81,7 +82,7 @@
 }
 
 impl Account {
-    /// Creates an account without bounds.
+    /// Creates an account without keys or restrictions.
     pub fn new(name: &str) -> Self {
         Self {
             name: name.to_owned(),
@@ -89,28 +90,28 @@
         }
     }
 
-    /// Adds a key.
+    /// Adds the digest of a key.
     #[must_use]
     pub fn key(mut self, key: &str) -> Self {
         self.keys.push(Digest::of(key.as_bytes()));
         self
     }
 
-    /// Sets the bound on what it may use.
+    /// Sets the quota.
     #[must_use]
     pub const fn quota(mut self, quota: Quota) -> Self {
         self.quota = Some(quota);
         self
     }
 
-    /// Tells whether its requests may run in a region.
+    /// Tells whether the account's requests may run in a region.
     pub fn permits(&self, region: &str) -> bool {
         super::permits(&self.homes, region)
     }
 }
 
 impl Quota {
-    /// Returns what a request counts for; `stated` is what it says of its tokens.
+    /// Returns the cost of a request; `stated` is the number of tokens that it states.
     pub fn cost(&self, stated: Option<u64>) -> u64 {
         match self.unit {
             Unit::Requests => 1,
--- a/crates/zinniastall-model/src/routing/changes.rs
+++ b/crates/zinniastall-model/src/routing/changes.rs
@@ -1,6 +1,7 @@
-//! What turns one routing table into a later one.
+//! Differences between two routing tables.
 //!
-//! Tables have hundreds of routes, and most changes concern one of them.
+//! Tables have hundreds of routes and most updates change one of them, so sending the difference
+//! saves bandwidth.
 
 use std::hash::Hash;
 
@@ -10,31 +11,31 @@
 use super::{Account, Limits, Number, Route, Service, Table};
 use crate::id;
 
-/// Host and prefix of a route, of which a table has one at most.
+/// Host and prefix of a route, unique within a table.
 type RouteKey = (String, String);
 
-/// Differences between two tables.
+/// Difference between two tables.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Changes {
     number: Number,
     routes: List<RouteKey, Route>,
     services: List<id::Service, Service>,
     limits: Limits,
-    /// `None` where requests need no key from then on.
+    /// `None` if requests need no key under the later table.
     accounts: Option<List<id::Client, Account>>,
 }
 
-/// Differences between two lists.
+/// Difference between two lists.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 struct List<K, T> {
-    /// Entries that are new or differ.
+    /// Entries that were added or changed.
     set: Vec<T>,
-    /// Keys of entries that are gone.
+    /// Keys of entries that were removed.
     gone: Vec<K>,
 }
 
 impl Changes {
-    /// Compares two tables.
+    /// Computes the difference between two tables.
     pub fn between(before: &Table, after: &Table) -> Self {
         let held = before.accounts.as_deref().unwrap_or_default();
         let accounts = after.accounts.as_ref();
@@ -47,8 +48,9 @@
         }
     }
 
-    /// Makes the later table of the earlier one. Entries may stand in another order than in the table that was
-    /// compared, which means nothing.
+    /// Applies the difference to the earlier table and returns the later one.
+    ///
+    /// The order of entries may differ from that of the original table and has no meaning.
     #[must_use]
     pub fn apply(&self, before: &Table) -> Table {
         let held = before.accounts.as_deref().unwrap_or_default();
--- a/crates/zinniastall-model/src/routing/index.rs
+++ b/crates/zinniastall-model/src/routing/index.rs
@@ -1,4 +1,5 @@
-//! Look-ups by request, so that their cost doesn't grow with the number of routes and keys.
+//! Index of a routing table, so that the cost of a look-up doesn't grow with the number of routes
+//! and keys.
 
 use std::sync::OnceLock;
 
@@ -6,18 +7,21 @@
 
 use super::{Route, Table, account::Digest};
 
-/// Places in a table's lists, found by what a request carries; made when the first request asks.
+/// Index from the host, path and key of a request to positions in a table's lists.
+///
+/// It is built on the first look-up.
 #[derive(Debug, Clone, Default)]
 pub(super) struct Index(OnceLock<Maps>);
 
 #[derive(Debug, Clone, Default)]
 struct Maps {
-    /// Routes by host in lower case, then by prefix.
+    /// Positions of routes by host in lower case, then by prefix.
     routes: IndexMap<String, IndexMap<String, usize>>,
+    /// Positions of accounts by key.
     accounts: IndexMap<Digest, usize>,
 }
 
-/// An index says nothing that its table doesn't.
+/// All indexes compare as equal, because an index holds nothing beyond its table.
 impl PartialEq for Index {
     fn eq(&self, _: &Self) -> bool {
         true
@@ -27,7 +31,7 @@
 impl Eq for Index {}
 
 impl Index {
-    /// Returns the place of the route of a host whose prefix is the longest that begins the path.
+    /// Returns the index of the route of a host with the longest prefix that matches a path.
     pub(super) fn route(&self, table: &Table, host: &str, path: &str) -> Option<usize> {
         let maps = self.maps(table);
         let host = host.to_ascii_lowercase();
@@ -37,7 +41,7 @@
         found.next().copied()
     }
 
-    /// Returns the place of the account that holds a key.
+    /// Returns the index of the account that holds a key.
     pub(super) fn account(&self, table: &Table, key: &Digest) -> Option<usize> {
         self.maps(table).accounts.get(key).copied()
     }
--- a/crates/zinniastall-model/src/state.rs
+++ b/crates/zinniastall-model/src/state.rs
@@ -1,4 +1,4 @@
-//! The replicated state.
+//! Replicated configuration state.
 
 use std::sync::Arc;
 
@@ -18,18 +18,19 @@
     validate,
 };
 
-/// Deleted objects whose last revision is remembered; see [`State::floor`].
+/// Maximum number of tombstones; see [`State::floor`].
 const MAX_TOMBSTONES: usize = 4096;
-/// Most entry instances.
+/// Maximum number of entry instances.
 const MAX_MEMBERS: usize = 4096;
-/// Bytes that all objects may take, so that a whole state always fits into one frame.
+/// Maximum size of all objects, so that a whole state always fits into one frame.
 const MAX_OBJECTS_BYTES: usize = 2 << 20;
-/// Bytes that a published routing table may take, so that with all objects it fits into one frame.
+/// Maximum size of a published routing table, so that it fits into one frame with all objects.
 const MAX_PUBLICATION_BYTES: usize = 1 << 20;
-/// Most zones that may be evacuated.
+/// Maximum number of evacuated zones.
 const MAX_EVACUATED_ZONES: usize = 1024;
 
-/// Most requests that are kept as not run any more, or released. Each took three targets down.
+/// Maximum number of requests kept as quarantined or released. Each of them has crashed three
+/// targets.
 const MAX_SUSPECTS: usize = 1024;
 
 /// An object and the revision of its last change.
@@ -37,11 +38,11 @@
 pub struct Record {
     /// Revision of its last change.
     pub revision: id::Revision,
-    /// The object; shared, so that publishing a new state copies no objects.
+    /// The object, shared so that publishing a new state copies no objects.
     pub object: Arc<Object>,
 }
 
-/// Everything that is configured.
+/// Complete configuration.
 ///
 /// # Example
 ///
@@ -56,32 +57,31 @@
 /// ```
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct State {
-    /// Number of changes that made this state.
+    /// Number of changes that led to this state.
     pub revision: id::Revision,
     /// Objects by key.
     #[serde(with = "indexmap::map::serde_seq")]
     pub objects: IndexMap<Key, Record>,
-    /// Entry instances that may serve.
+    /// Entry instances that may serve requests.
     pub members: IndexMap<id::Instance, Member>,
-    /// Revisions at which objects were deleted, oldest first.
+    /// Tombstones: revisions at which objects were deleted, oldest first.
     #[serde(with = "indexmap::map::serde_seq")]
     pub deleted: IndexMap<Key, id::Revision>,
-    /// Highest revision that was dropped from [`State::deleted`].
+    /// Highest revision that has been evicted from [`State::deleted`].
     ///
-    /// An absent object counts as having this revision. Otherwise a creation whose command id has
-    /// been forgotten could be resent after the object was deleted, find it absent, and create it
-    /// a second time.
+    /// An absent object without a tombstone has this revision. Otherwise a resent creation whose
+    /// command id has been evicted could find the deleted object absent and create it a second
+    /// time.
     pub floor: id::Revision,
-    /// Bytes that the objects take, roughly.
+    /// Approximate size of the objects, in bytes.
     pub bytes: usize,
-    /// Routing table in force; shared, so that publishing a new state copies no routes.
+    /// Routing table in force, shared so that publishing a new state copies no routes.
     #[serde(default)]
     pub routing: Option<Arc<Publication>>,
-    /// Availability zones whose targets get no new requests.
+    /// Evacuated availability zones, whose targets get no new requests.
     #[serde(default)]
     pub evacuated: IndexSet<id::Zone>,
-    /// Requests that are not run any more, and those that were released, by fingerprint; those that changed last
-    /// stand last.
+    /// Quarantined and released requests by fingerprint, the most recently changed last.
     #[serde(default, with = "indexmap::map::serde_seq")]
     pub suspects: IndexMap<Fingerprint, Suspicion>,
     /// Revision of the last change of [`State::suspects`].
@@ -90,10 +90,11 @@
 }
 
 impl State {
-    /// Applies one committed change.
+    /// Applies a committed change.
     ///
-    /// Only [`Answer::Done`] moves the revision, and not even that when an instance joins that is
-    /// listed already with the same addresses; every other answer leaves the state as it was.
+    /// Only a change that is answered by [`Answer::Done`] can alter the state and raise its
+    /// revision. A change without an effect, such as the join of a member with the same addresses,
+    /// leaves both as they are.
     pub fn apply(&mut self, change: &Change) -> Answer {
         let result = match &change.body {
             Body::Apply(object) => self.put(object, change.expected),
@@ -109,10 +110,10 @@
         result.unwrap_or_else(|rejected| rejected)
     }
 
-    /// Returns the revision against which a change of this object is checked.
+    /// Returns the revision against which the expected revision of a change is checked.
     ///
-    /// It is that of the last change, also when that was a deletion, and 0 for an object that was
-    /// never there.
+    /// It is the revision of the object's last change, including its deletion, and [`State::floor`]
+    /// for an absent object without a tombstone.
     pub fn current_revision(&self, key: &Key) -> id::Revision {
         if let Some(record) = self.objects.get(key) {
             return record.revision;
@@ -120,19 +121,21 @@
         self.deleted.get(key).copied().unwrap_or(self.floor)
     }
 
-    /// Returns the number of the routing table in force; 0 for none.
+    /// Returns the number of the routing table in force, or 0 if there is none.
     pub fn routing_number(&self) -> Number {
         self.routing
             .as_ref()
             .map_or(0, |publication| publication.table.number)
     }
 
-    /// Tells whether a routing table is in force that a later one of this number would not replace.
+    /// Tells whether the routing table in force has at least this number, so that a table with this
+    /// number would not replace it.
     pub fn has_routing_at_least(&self, number: Number) -> bool {
         self.routing.is_some() && self.routing_number() >= number
     }
 
-    /// Returns the state as entry instances need it: without the operators' text of the routing table.
+    /// Returns the state without the source document of the routing table, which entry instances
+    /// don't need.
     #[must_use]
     pub fn stripped(mut self: Arc<Self>) -> Arc<Self> {
         let has_document = |publication: &Arc<Publication>| publication.document.is_some();
@@ -177,15 +180,17 @@
         self.done(false)
     }
 
-    /// Returns the requests that are not run any more.
+    /// Returns the quarantined requests, which are no longer run.
     pub fn quarantined(&self) -> impl Iterator<Item = Fingerprint> {
         let held = self.suspects.iter();
         let quarantined = held.filter(|(_, suspicion)| suspicion.crashes() >= CRASH_LIMIT);
         quarantined.map(|(request, _)| *request)
     }
 
-    /// Tells whether something is known of a request that the state doesn't hold, and has to: that it isn't run any
-    /// more, or that one which wasn't may run again.
+    /// Tells whether a suspicion must be added to the state.
+    ///
+    /// That is the case if it quarantines a request that the state doesn't hold, or adds to what
+    /// the state holds about a request, such as its release.
     pub fn lacks(&self, (request, suspicion): &Suspect) -> bool {
         let Some(held) = self.suspects.get(request) else {
             return suspicion.crashes() >= CRASH_LIMIT;
--- a/crates/zinniastall-model/src/target.rs
+++ b/crates/zinniastall-model/src/target.rs
@@ -1,51 +1,51 @@
-//! What targets say of themselves, as the system passes it on.
+//! Reports of targets, as passed on between processes.
 
 use serde::{Deserialize, Serialize};
 
 use crate::{id, place::Place};
 
-/// Whether a target takes requests.
+/// Lifecycle state of a target.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum State {
-    /// It does.
+    /// It accepts requests.
     #[default]
     Ready,
-    /// It finishes what it runs and takes nothing new.
+    /// It completes its in-flight requests and accepts no new ones.
     Draining,
-    /// It has signed off.
+    /// It has announced that it is leaving.
     Gone,
 }
 
-/// One report of a target.
+/// Report of a target.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Report {
-    /// Target, as it names itself.
+    /// Name of the target.
     pub target: id::Target,
-    /// Its run: later runs have higher numbers, 0 where the target names none.
+    /// Run of its process; later runs have higher numbers. 0 if the target reports none.
     pub incarnation: id::Incarnation,
-    /// Number of the report within its run.
+    /// Number of the report within the run.
     pub sequence: u64,
     /// Service that it belongs to.
     pub service: id::Service,
     /// Address of its HTTP interface.
     pub address: String,
-    /// Where it runs.
+    /// Region and availability zone.
     pub place: Place,
-    /// Requests that it processes at once.
+    /// Number of requests that it processes concurrently.
     pub slots: u32,
-    /// Whether it takes requests.
+    /// Lifecycle state.
     pub state: State,
-    /// How much longer it stays cold, in milliseconds.
+    /// Time for which it remains cold, in milliseconds.
     pub cold_ms: u64,
-    /// Time after which it is gone, in milliseconds, if it knows.
+    /// Time until it is gone, in milliseconds, if known.
     pub left_ms: Option<u64>,
     /// Age of the report when it was passed on, in milliseconds.
     pub age_ms: u64,
 }
 
 impl Report {
-    /// Tells whether two reports say different things of a target, beyond that it is still there.
+    /// Tells whether two reports of a target differ in more than a renewal.
     pub fn differs(&self, other: &Self) -> bool {
         self.incarnation != other.incarnation
             || self.state != other.state
@@ -56,8 +56,9 @@
 
     /// Tells whether this report replaces another one of the same target.
     ///
-    /// Reports overtake each other, and one that a cut held up may arrive after its target has
-    /// started again under the same name. Within a run, who signed off stays gone.
+    /// Reports may arrive out of order, and one that was delayed by a partition may arrive after
+    /// its target has restarted under the same name. Within a run, a target that is gone stays
+    /// gone.
     pub fn replaces(&self, held: &Self) -> bool {
         if self.incarnation != held.incarnation {
             return self.incarnation > held.incarnation;
--- a/crates/zinniastall-model/src/validate.rs
+++ b/crates/zinniastall-model/src/validate.rs
@@ -1,6 +1,6 @@
-//! Checks an object by itself: its fields' form and length.
+//! Validation of single objects: format and length of their fields.
 //!
-//! Everything that enters the log is held by every instance, so each field has a bound.
+//! Every instance holds everything that enters the log, so each field has a limit.
 
 use crate::{
     change::{Invalid, Origin},
@@ -8,26 +8,26 @@
     object::{Adapter, Client, Model, Object, Residency, Role, Route},
 };
 
-/// Longest name, in bytes.
+/// Maximum length of a name.
 const MAX_NAME_BYTES: usize = 64;
-/// Longest command id, version, address or name of weights, in bytes.
+/// Maximum length of a command id, route prefix, version, address or name of weights.
 const MAX_TEXT_BYTES: usize = 256;
-/// Most items of a list.
+/// Maximum number of items in a list.
 const MAX_LIST_ITEMS: usize = 64;
-/// Length of a hex BLAKE3 digest.
+/// Length of a BLAKE3 digest in hex.
 const DIGEST_HEX_DIGITS: usize = 64;
-/// Bytes counted for an object beside its text.
+/// Estimated size of an object, in addition to its text.
 const OBJECT_OVERHEAD_BYTES: usize = 128;
-/// Greatest weight of a client.
+/// Maximum weight of a client.
 const MAX_CLIENT_WEIGHT: u32 = 1_000_000;
 
 type Validation = Result<(), Invalid>;
 
-/// Checks an object.
+/// Validates an object.
 ///
 /// # Errors
 ///
-/// The first fault, with the name of the field.
+/// Returns the first problem found, with the name of the field.
 pub fn object(object: &Object) -> Validation {
     match object {
         Object::Client(object) => client(object),
@@ -39,11 +39,11 @@
     }
 }
 
-/// Checks an entry instance.
+/// Validates an entry instance.
 ///
 /// # Errors
 ///
-/// The first fault, with the name of the field.
+/// Returns the first problem found, with the name of the field.
 pub fn member(member: &Member) -> Validation {
     name("instance", &member.instance)?;
     name("region", &member.place.region)?;
@@ -52,18 +52,18 @@
     text("callers", &member.callers)
 }
 
-/// Checks who asks.
+/// Validates the origin of a change.
 ///
 /// # Errors
 ///
-/// The first fault, with the name of the field.
+/// Returns the first problem found, with the name of the field.
 pub fn origin(origin: &Origin) -> Validation {
     name("command.operator", &origin.operator)?;
     non_empty("command.id", &origin.command)?;
     text("command.id", &origin.command)
 }
 
-/// Returns roughly how many bytes an object takes in a state.
+/// Returns the approximate size of an object in a state, in bytes.
 pub fn size(object: &Object) -> usize {
     let text: usize = match object {
         Object::Client(client) => client.id.len() + client.keys.len() * DIGEST_HEX_DIGITS,
@@ -78,7 +78,7 @@
             role.id.len() + role.role.len() + texts_size(&role.models) + texts_size(&role.adapters)
         }
     };
-    // The key repeats the name.
+    // The name is stored in the key as well.
     OBJECT_OVERHEAD_BYTES + object.name().len() + text
 }
 
--- a/crates/zinniastall-model/tests/fingerprint.rs
+++ b/crates/zinniastall-model/tests/fingerprint.rs
@@ -1,4 +1,4 @@
-//! What makes two requests the same one, and what doesn't.
+//! Tests which differences between requests change their fingerprints.
 
 use proptest::prelude::*;
 use zinniastall_model::fingerprint::Fingerprint;
--- a/crates/zinniastall-model/tests/routing.rs
+++ b/crates/zinniastall-model/tests/routing.rs
@@ -1,4 +1,4 @@
-//! Routing tables: what makes one valid, which route and account a request finds, and what turns one into another.
+//! Tests validation, look-ups and differences of routing tables.
 
 use proptest::prelude::*;
 use zinniastall_model::routing::{
@@ -16,7 +16,7 @@
     Table::new(1, routes, vec![Service::new("api")])
 }
 
-/// Names a check of a table's accounts.
+/// Defines tests that validate a table with the given accounts.
 macro_rules! accounts {
     ($($(#[$about:meta])* $name:ident: $accounts:expr => $checked:expr;)*) => {$(
         $(#[$about])*
@@ -29,17 +29,17 @@
 }
 
 accounts! {
-    /// Guards against a key that opens the requests of two accounts.
+    /// A shared key would make the account of a request ambiguous.
     a_key_of_two_accounts_is_refused:
         vec![Account::new("a").key("k").key("l"), Account::new("b").key("m").key("l")]
         => Err(Error::Key("a".to_owned(), "b".to_owned()));
     a_key_named_twice_by_one_account_is_valid: vec![Account::new("a").key("k").key("k")] => Ok(());
     an_account_without_keys_is_valid: vec![Account::new("a"), Account::new("b")] => Ok(());
     no_accounts_at_all_are_valid: vec![] => Ok(());
-    /// Guards against two accounts that targets can't tell apart.
+    /// Targets could not distinguish the two accounts.
     two_accounts_of_one_name_are_refused: vec![Account::new("a"), Account::new("a")]
         => Err(Error::Account("a".to_owned()));
-    /// Guards against a name that can't be told to targets.
+    /// The name is passed to targets in a header.
     an_account_without_a_name_is_refused: vec![Account::new(" ")] => Err(Error::Name(" ".to_owned()));
     a_name_with_a_line_end_is_refused: vec![Account::new("a\r\nb")]
         => Err(Error::Name("a\r\nb".to_owned()));
@@ -125,7 +125,7 @@
         })
 }
 
-/// Returns a table with its lists in one order.
+/// Returns a table with its lists in a canonical order.
 fn sorted(mut table: Table) -> Table {
     table.routes.sort_by(|a, b| a.prefix.cmp(&b.prefix));
     table.services.sort_by(|a, b| a.name.cmp(&b.name));
@@ -136,7 +136,7 @@
 }
 
 proptest! {
-    /// Guards against instances that go by another table than the one that was accepted.
+    /// Guards against instances that use a table other than the accepted one.
     #[test]
     fn changes_make_the_later_table(before in any_table(), after in any_table()) {
         let changes = Changes::between(&before, &after);
--- a/crates/zinniastall-model/tests/state.rs
+++ b/crates/zinniastall-model/tests/state.rs
@@ -1,4 +1,4 @@
-//! The state machine: validity, races, resends, and which changes narrow.
+//! Tests the state machine: validation, races, resends, and which changes narrow.
 
 use std::{collections::BTreeSet, time::Instant};
 
@@ -146,8 +146,8 @@
     new_version: [model("1")], apply(model("2"), None) => false;
 }
 
-/// What a client's rules permit, written down independently: for each subject, receiving region
-/// and running region.
+/// Returns the permitted triples of subject, receiving region and running region, computed
+/// independently of the implementation.
 fn permitted(rules: &[Residency]) -> BTreeSet<(&'static str, &'static str, &'static str)> {
     let mut permitted = BTreeSet::new();
     for subject in ["x", "y", "other"] {
@@ -180,8 +180,8 @@
 proptest! {
     #![proptest_config(config())]
 
-    /// A rule change that takes a permission away without being known as narrowing would be
-    /// reported as accepted while a region that is cut off goes on under the old rule.
+    /// A rule change that revokes a permission but does not count as narrowing would be reported as
+    /// accepted while a partitioned region keeps using the old rule.
     #[test]
     fn a_rule_narrows_exactly_when_it_revokes_a_permission(
         other in any_rule("other"),
@@ -206,9 +206,8 @@
     }
 }
 
-/// A script creates an object and loses the answer. Another operator deletes the object, and so
-/// much happens that the script's command id is forgotten. When the script sends its command again,
-/// the object must not be created a second time.
+/// A script creates an object but misses the answer. Another operator deletes the object, and the
+/// script's command id is evicted. A resend of the command must not create the object again.
 #[test]
 fn a_late_resend_does_not_create_again() {
     let mut machine = Machine::default();
@@ -277,7 +276,7 @@
     Fingerprint::from([number; 16])
 }
 
-/// Makes what an instance knows of a request after some crashes.
+/// Returns the suspicion of an instance that has seen a request crash targets.
 fn suspicion(crashes: u64) -> Suspicion {
     let mut table = Table::new(1);
     for run in 0..crashes {
@@ -313,7 +312,7 @@
     }
 }
 
-/// A release that instances take back with what they still know.
+/// Guards against a release that is undone by the suspicions that instances still hold.
 #[test]
 fn a_released_request_stays_released_until_it_crashes_targets_again() {
     let mut state = State::default();
--- a/crates/zinniastall-wire/examples/follow_size.rs
+++ b/crates/zinniastall-wire/examples/follow_size.rs
@@ -1,4 +1,4 @@
-//! Prints how many bytes a change and its confirmation take on a follow link.
+//! Prints the sizes of a change, a confirmation and a keepalive on a follow link.
 //!
 //! `cargo run -p zinniastall-wire --example follow_size`
 
@@ -30,13 +30,13 @@
         revision: 1_000_000,
         draining: false,
     };
-    let alive = Message::Alive {
+    let keepalive = Message::Alive {
         revision: 1_000_000,
         connected: true,
     };
     print("change", Message::Changes(vec![(1_000_000, change)]))?;
     print("confirmation", Message::Confirm(vec![confirmation]))?;
-    print("sign of life", alive)
+    print("sign of life", keepalive)
 }
 
 fn print(what: &str, message: Message) -> Result<(), Error> {
--- a/crates/zinniastall-wire/src/feed.rs
+++ b/crates/zinniastall-wire/src/feed.rs
@@ -1,4 +1,4 @@
-//! The sending side of a follow link, used by control instances and by relays alike.
+//! Sending side of a follow link, used by control instances and relays.
 
 use std::{collections::VecDeque, sync::Arc, time::Duration};
 
@@ -12,16 +12,16 @@
     link::{Error, Link, Receiver, Sender, send_within},
 };
 
-/// Changes of one frame; each is bounded by the checks of the model.
+/// Maximum number of changes in one frame. The validation of the model limits the size of each.
 const MAX_CHANGES_PER_FRAME: usize = 128;
-/// Time between two signs of life.
+/// Interval between keepalive messages.
 pub const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
-/// Most answers that one follower may wait for; it needs one at a time.
+/// Maximum number of pending answers to one follower, which needs one at a time.
 const MAX_PENDING_ANSWERS: usize = 4;
-/// Time without a frame after which a follow link counts as cut.
+/// Time without a frame after which a follow link counts as broken.
 pub const IDLE_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// A configuration and how it was reached.
+/// A configuration and the recent changes that led to it.
 #[derive(Debug, Clone)]
 pub struct Feed {
     state: Arc<State>,
@@ -30,26 +30,27 @@
     connected: bool,
 }
 
-/// What a follower says.
+/// Message of a follower, as passed to the caller of [`serve`].
 #[derive(Debug)]
 pub enum Event {
-    /// It presented itself.
+    /// An instance has introduced itself.
     Member(Member),
-    /// Revisions are in force.
+    /// Instances have confirmed revisions.
     Confirmed(Vec<Confirmation>),
-    /// Targets of its zone do not hold what the configuration says.
+    /// Targets of the follower's zone differ from the configuration.
     Drifted(Vec<Drift>),
-    /// It asks for figures; the answer is [`Message::Summaries`].
+    /// The other end requests histograms; the answer is [`Message::Summaries`].
     SummariesRequested,
-    /// It asks what the group has reached; the answer is [`Message::ReadIndexAnswer`].
+    /// The follower asks which revision the control group has reached; the answer is
+    /// [`Message::ReadIndexAnswer`].
     ReadIndex(u64),
 }
 
-/// An answer to what a follower says, as soon as there is one; `None` leaves it unanswered.
+/// Future answer to a message; `None` leaves the message unanswered.
 pub type Answer = LocalBoxFuture<'static, Option<Message>>;
 
 impl Feed {
-    /// Creates a feed that keeps a number of changes for followers that are a little behind.
+    /// Creates a feed that keeps up to `capacity` changes for followers that lag behind.
     pub fn new(state: Arc<State>, capacity: usize) -> Self {
         Self {
             state,
@@ -64,17 +65,17 @@
         &self.state
     }
 
-    /// Tells whether the control group is reachable from here.
+    /// Tells whether the control group is reachable from this process.
     pub const fn is_connected(&self) -> bool {
         self.connected
     }
 
-    /// Sets whether the control group is reachable from here.
+    /// Sets whether the control group is reachable from this process.
     pub const fn set_connected(&mut self, connected: bool) {
         self.connected = connected;
     }
 
-    /// Notes a change; its configuration is set by [`Feed::set_state`].
+    /// Adds a change; the configuration that results from it is set by [`Feed::set_state`].
     pub fn push(&mut self, revision: id::Revision, change: Arc<Change>) {
         self.recent.push_back((revision, change));
         if self.recent.len() > self.capacity {
@@ -82,18 +83,18 @@
         }
     }
 
-    /// Sets the configuration that the changes pushed so far made.
+    /// Sets the configuration that results from the changes added so far.
     pub fn set_state(&mut self, state: Arc<State>) {
         self.state = state;
     }
 
-    /// Takes a whole configuration, to which no changes are known.
+    /// Replaces the configuration and discards the changes, as after a snapshot.
     pub fn restore(&mut self, state: Arc<State>) {
         self.recent.clear();
         self.state = state;
     }
 
-    /// Returns the changes after a revision, or `None` when not all of them are kept.
+    /// Returns the changes after a revision, or `None` if some of them are no longer kept.
     pub fn changes_after(
         &self,
         revision: id::Revision,
@@ -105,23 +106,24 @@
         if revision + 1 < first {
             return None;
         }
-        // A change is pushed before its state is set; a reader on another thread that sent it in
-        // between would send it a second time after.
+        // A change is added before its state is set. A reader on another thread that sent it in
+        // between would send it again afterwards.
         let due = revision + 1..=self.state.revision;
         let missing = self.recent.iter().filter(|(made, _)| due.contains(made));
         Some(missing.cloned().collect())
     }
 
-    /// Returns what brings a follower up to date, and the revision that it then holds.
+    /// Returns the messages that bring a follower up to date, and the revision that it holds after
+    /// them.
     pub fn messages(&self, held: id::Revision) -> (Vec<Message>, id::Revision) {
         let reached = held.max(self.state.revision);
         let Some(changes) = self.changes_after(held) else {
             let state = Box::new(State::clone(&self.state));
             return (vec![Message::Snapshot(state)], reached);
         };
-        let own =
+        let cloned =
             |(revision, change): &(id::Revision, Arc<Change>)| (*revision, Change::clone(change));
-        let batch = |part: &[_]| Message::Changes(part.iter().map(own).collect());
+        let batch = |part: &[_]| Message::Changes(part.iter().map(cloned).collect());
         (
             changes.chunks(MAX_CHANGES_PER_FRAME).map(batch).collect(),
             reached,
@@ -136,11 +138,13 @@
     }
 }
 
-/// Serves one follower until its link breaks or falls silent; `notify` may return an answer.
+/// Serves one follower until its link breaks or is idle for [`IDLE_TIMEOUT`].
+///
+/// `notify` receives the follower's messages and may return an answer.
 ///
 /// # Errors
 ///
-/// Says why the link ended.
+/// Returns the reason why the link ended.
 pub async fn serve(
     link: Link,
     mut feed: watch::Receiver<Feed>,
@@ -174,8 +178,8 @@
                 let message = feed.borrow().keepalive();
                 send(&mut sender, message).await?;
             }
-            // A follower confirms every second; one that does not is gone, and a link that stays
-            // open after a silent cut would hold its place until TCP gives up much later.
+            // A follower sends a confirmation every second. Without a timeout, a link that is cut
+            // without a reset would occupy its slot until TCP gives up much later.
             () = time::sleep_until(idle_deadline) => return Err(Error::Closed),
         }
         if let Some(revision) = held {
@@ -200,25 +204,26 @@
     }
 }
 
-/// Returns an answer that is there already.
+/// Returns an answer that is immediately ready.
 pub fn ready(message: Message) -> Answer {
     std::future::ready(Some(message)).boxed_local()
 }
 
-/// Sends one message, unless the other end takes nothing for too long.
+/// Sends a message, with a timeout.
 ///
 /// # Errors
 ///
-/// [`Error::Closed`] when it takes nothing.
+/// Returns [`Error::Closed`] if the other end does not accept the message within [`IDLE_TIMEOUT`].
 pub async fn send(sender: &mut Sender, message: Message) -> Result<(), Error> {
     send_within(sender, Frame::Follow(message), IDLE_TIMEOUT).await
 }
 
-/// Receives one message, unless the other end is silent for too long.
+/// Receives a message, with a timeout.
 ///
 /// # Errors
 ///
-/// [`Error::Closed`] when it is silent, [`Error::Handshake`] when it sends something else.
+/// Returns [`Error::Closed`] if the other end sends nothing within [`IDLE_TIMEOUT`], and
+/// [`Error::Handshake`] if it sends another kind of frame.
 pub async fn receive(receiver: &mut Receiver) -> Result<Message, Error> {
     let frame = time::timeout(IDLE_TIMEOUT, receiver.next()).await;
     match frame.map_err(|_| Error::Closed)?.ok_or(Error::Closed)?? {
--- a/crates/zinniastall-wire/src/follow.rs
+++ b/crates/zinniastall-wire/src/follow.rs
@@ -1,8 +1,8 @@
-//! Configuration on its way to entry instances, and confirmations on their way back.
+//! Messages that distribute the configuration to entry instances and return confirmations.
 //!
-//! The follower speaks first and says which revision it holds; the sender answers with a snapshot
-//! or with the changes after it. Every message is numbered by revision, so that a doubled or late
-//! one is recognised and dropped.
+//! The follower opens the exchange with the revision that it holds; the sender answers with a
+//! snapshot or with the changes after that revision. Configuration is numbered by revision, so that
+//! duplicate and late messages are detected and dropped.
 
 use serde::{Deserialize, Serialize};
 use zinniastall_model::{
@@ -13,33 +13,33 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Message {
-    /// Follower: send what comes after this revision.
+    /// Follower: requests everything after a revision.
     From {
         /// Revision that the follower holds; 0 for none.
         revision: id::Revision,
-        /// The follower itself, so that control can add it to the membership; `None` from a relay's
-        /// follower that is a member already.
+        /// The follower, so that control can add it to the membership; `None` if it follows a relay
+        /// and already is a member.
         member: Option<Member>,
     },
     /// Sender: the whole state.
     Snapshot(Box<State>),
-    /// Sender: changes, each with the revision that it makes, in order, without gaps.
+    /// Sender: changes, each with the revision that it leads to, in order and without gaps.
     Changes(Vec<(id::Revision, Change)>),
-    /// Sender: nothing new; keeps the link alive and says how far the sender is.
+    /// Sender: keeps the link alive and states the progress of the sender.
     Alive {
         /// Revision that the sender holds.
         revision: id::Revision,
-        /// Whether the sender reaches the control group.
+        /// Whether the sender can reach the control group.
         connected: bool,
     },
-    /// Follower that starts, to a control instance: which revision has been reached by now?
+    /// Starting follower, to a control instance: asks which revision the group has reached.
     #[serde(rename = "vouch")]
     ReadIndex {
-        /// Number that the answer repeats.
+        /// Number of the question, repeated by the answer.
         ask: u64,
     },
-    /// Control instance: the group has confirmed, after it was asked, that nothing later than this
-    /// had been accepted before.
+    /// Control instance: the group has confirmed that no later revision had been accepted when the
+    /// question arrived.
     #[serde(rename = "vouched")]
     ReadIndexAnswer {
         /// Number of the question.
@@ -47,48 +47,48 @@
         /// Revision that the group had reached.
         revision: id::Revision,
     },
-    /// Follower: what is in force there, and at those that follow it.
+    /// Follower: revisions in force at itself and at its own followers.
     Confirm(Vec<Confirmation>),
-    /// Relay: an instance presented itself that follows the relay.
+    /// Relay: an instance that follows the relay has introduced itself.
     Present(Member),
-    /// Relay: targets of its zone that do not hold what the configuration says.
+    /// Relay: targets of its zone that differ from the configuration.
     #[serde(rename = "astray")]
     Drifted(Vec<Drift>),
-    /// Control, on a link that it dialled itself: send your figures.
+    /// Control, on a link that it has dialled: requests histograms.
     #[serde(rename = "ask")]
     SummariesRequest,
-    /// Entry instance: its histograms.
+    /// Entry instance: summaries of its histograms.
     #[serde(rename = "figures")]
     Summaries(Vec<Summary>),
 }
 
-/// A target that does not hold what the configuration says.
+/// A target whose reported state differs from the configuration.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Drift {
     /// Target.
     pub target: id::Target,
-    /// Its run.
+    /// Run of its process.
     pub incarnation: id::Incarnation,
-    /// Where it runs.
+    /// Region and availability zone.
     pub place: Place,
     /// Address of its HTTP interface.
     pub address: String,
-    /// Kind of target, which decides whether it checks fencing numbers.
+    /// Kind of target, which determines whether it checks fencing tokens.
     pub kind: String,
-    /// What it says that it holds.
+    /// State that it reports.
     pub holding: Holding,
 }
 
 /// Summary of one histogram of an entry instance; values in microseconds.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Summary {
-    /// Name, such as `request.whole`.
+    /// Name of the histogram, such as `request.whole`.
     pub name: String,
     /// Client.
     pub client: id::Client,
     /// Class.
     pub class: id::Class,
-    /// Values recorded.
+    /// Number of recorded values.
     pub count: u64,
     /// Median.
     pub p50: u64,
@@ -96,19 +96,19 @@
     pub p95: u64,
     /// 99th percentile.
     pub p99: u64,
-    /// Greatest value.
+    /// Maximum.
     pub max: u64,
 }
 
-/// One instance's word that a revision is in force there.
+/// Confirmation of an instance that a revision is in force there.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Confirmation {
     /// Instance.
     pub instance: id::Instance,
-    /// Its run.
+    /// Run of its process.
     pub incarnation: id::Incarnation,
     /// Revision in force.
     pub revision: id::Revision,
-    /// Whether it takes no new requests.
+    /// Whether the instance is draining and accepts no new requests.
     pub draining: bool,
 }
--- a/crates/zinniastall-wire/src/frame.rs
+++ b/crates/zinniastall-wire/src/frame.rs
@@ -1,52 +1,52 @@
-//! One message of a link.
+//! Frames: the messages of a link.
 
 use serde::{Deserialize, Serialize};
 
 use crate::{follow, gossip, hello, hub, stream};
 
-/// Longest encoded frame, in bytes; a longer one closes the link.
+/// Maximum length of an encoded frame; a longer one closes the link.
 pub const MAX_BYTES: usize = 4 * 1024 * 1024;
 
-/// One message of a link.
+/// A message of a link.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Frame {
-    /// Opens a link; first frame of each end.
+    /// Handshake; first frame of each end.
     Hello(hello::Hello),
-    /// Refuses a link; last frame.
+    /// Refusal of a link; last frame.
     Refused(hello::Refusal),
     /// A message between control replicas.
     Replica(Replica),
-    /// Configuration and confirmations.
+    /// Configuration, and confirmations of it.
     Follow(follow::Message),
-    /// Membership, targets and digests.
+    /// Membership, targets and zone digests.
     Gossip(gossip::Message),
-    /// A part of a forwarded request or of its answer.
+    /// Part of a forwarded request or of its response.
     Stream(stream::Message),
-    /// Between control replicas and gateway instances.
+    /// A message between a control replica and a gateway instance.
     Hub(hub::Message),
 }
 
-/// A message of the consensus, addressed by replica ids so that one meant for a lost replica at the
+/// A consensus message, addressed by replica id so that a message meant for a former replica at the
 /// same address is dropped.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Replica {
-    /// Sender's replica id.
+    /// Replica id of the sender.
     pub from: u64,
-    /// Receiver's replica id.
+    /// Replica id of the receiver.
     pub to: u64,
-    /// CBOR of the message.
+    /// Message, encoded as CBOR.
     #[serde(with = "serde_bytes")]
     pub message: Vec<u8>,
 }
 
-/// Why bytes are not a frame.
+/// Error of encoding or decoding a frame.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
     /// The frame is longer than [`MAX_BYTES`].
     #[error("frame of {0} bytes is too long")]
     Long(usize),
-    /// The bytes are not CBOR of a frame.
+    /// The bytes are not a CBOR-encoded frame.
     #[error("frame is malformed")]
     Malformed(#[source] ciborium::de::Error<std::io::Error>),
     /// The frame cannot be encoded.
@@ -59,7 +59,8 @@
     ///
     /// # Errors
     ///
-    /// [`Error::Long`] when the result passes [`MAX_BYTES`].
+    /// Returns [`Error::Long`] if the result exceeds [`MAX_BYTES`], and [`Error::Encode`] if
+    /// encoding fails.
     pub fn encode(&self) -> Result<Vec<u8>, Error> {
         let mut bytes = Vec::new();
         ciborium::into_writer(self, &mut bytes).map_err(Error::Encode)?;
@@ -73,7 +74,8 @@
     ///
     /// # Errors
     ///
-    /// [`Error::Long`] and [`Error::Malformed`].
+    /// Returns [`Error::Long`] if the input exceeds [`MAX_BYTES`], and [`Error::Malformed`] if it
+    /// is not a frame.
     pub fn decode(bytes: &[u8]) -> Result<Self, Error> {
         if bytes.len() > MAX_BYTES {
             return Err(Error::Long(bytes.len()));
--- a/crates/zinniastall-wire/src/gossip.rs
+++ b/crates/zinniastall-wire/src/gossip.rs
@@ -1,7 +1,7 @@
-//! Membership, targets and digests between entry instances.
+//! Gossip between entry instances: membership, targets and zone digests.
 //!
-//! Messages that are sent all the time have one-letter field names on the wire: a node's budget for
-//! control is 17 KB a second.
+//! Fields of frequent messages have one-letter names on the wire, because the control traffic of an
+//! instance is limited to 17 KB per second.
 
 mod pack;
 
@@ -13,15 +13,15 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Message {
-    /// Heartbeat, and what changes all the time at its sender.
+    /// Heartbeat with the fast-changing state of its sender.
     Heartbeat(Heartbeat),
-    /// The receiver's run is lower than one that the sender remembers of it.
+    /// The sender knows a later run of the receiver, given here.
     Stale(id::Incarnation),
-    /// Instances that are alive as far as the sender knows; first on a link and when one joins.
+    /// Instances that the sender considers alive; sent first on a link and when an instance joins.
     Peers(Vec<Peer>),
-    /// Targets of the sender's zone, whole; inside the zone only.
+    /// Full reports of targets of the sender's zone; only sent within the zone.
     Targets(Vec<Target>),
-    /// What zones say of themselves; between zones and regions.
+    /// Facts about zones; sent between zones and regions.
     #[serde(rename = "news")]
     Delta(Delta),
 }
@@ -29,109 +29,109 @@
 /// A heartbeat to one peer.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Heartbeat {
-    /// Evidence for the membership.
+    /// Input of the membership's failure detector.
     #[serde(rename = "b")]
     pub beat: membership::Heartbeat,
     /// Configuration revision that the sender holds.
     #[serde(rename = "r")]
     pub revision: id::Revision,
-    /// Whether the sender takes no new requests.
+    /// Whether the sender is draining and accepts no new requests.
     #[serde(rename = "d", default, skip_serializing_if = "std::ops::Not::not")]
     pub draining: bool,
-    /// The sender's requests in progress over what it can take, in thousandths.
+    /// In-flight requests of the sender relative to its capacity, in thousandths.
     #[serde(rename = "l", default)]
     pub load: u32,
-    /// Renewals of targets that were sent whole before; inside the zone only. They travel with the
-    /// heartbeat because a message of its own costs more in headers than in content.
+    /// Lease renewals of targets that were sent in full before; only sent within the zone. They are
+    /// part of the heartbeat because the headers of a separate message would outweigh its content.
     #[serde(rename = "t", default, skip_serializing_if = "Vec::is_empty")]
     pub loads: Vec<Load>,
 }
 
-/// An entry instance as another one sees it.
+/// An entry instance, as seen by another one.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Peer {
     /// Name.
     pub instance: id::Instance,
-    /// Run.
+    /// Run of its process.
     pub incarnation: id::Incarnation,
-    /// Where it runs.
+    /// Region and availability zone.
     pub place: Place,
-    /// Address of its links.
+    /// Address on which it accepts links.
     pub links: String,
-    /// Address that callers use.
+    /// Address on which it accepts requests from callers.
     pub callers: String,
-    /// Address that targets announce to.
+    /// Address on which it accepts announcements of targets.
     pub targets: String,
-    /// Whether it takes no new requests.
+    /// Whether it is draining and accepts no new requests.
     pub draining: bool,
-    /// Requests in progress over what it can take, in thousandths.
+    /// In-flight requests relative to its capacity, in thousandths.
     pub load: u32,
-    /// How long it has been up, in milliseconds, up to [`MAX_UP_MS`].
+    /// Uptime in milliseconds, up to [`MAX_UP_MS`].
     pub up_ms: u64,
 }
 
-/// Greatest [`Peer::up_ms`]; whoever is up longer is no newcomer to anybody.
+/// Maximum of [`Peer::up_ms`]; no instance treats a peer with a longer uptime as new.
 pub const MAX_UP_MS: u64 = 60_000;
 
-/// A renewal of a target whose other fields have not changed.
+/// Lease renewal and load of a target whose other fields have not changed.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Load {
-    /// Names the target, its run and its unchanged fields: [`Target::tag`].
+    /// Identifies the target, its run and its unchanged fields, see [`Target::tag`].
     #[serde(rename = "t")]
     pub tag: u64,
-    /// Announcement's number.
+    /// Number of the announcement.
     #[serde(rename = "s")]
     pub sequence: u64,
-    /// Requests that it runs or queues.
+    /// Number of requests that it runs or queues.
     #[serde(rename = "b")]
     pub busy: u32,
-    /// Time left of its lease when sent, in milliseconds.
+    /// Remaining time of its lease when sent, in milliseconds.
     #[serde(rename = "m")]
     pub left_ms: u64,
-    /// Digests of prompt prefixes that are new in its cache.
+    /// Digests of the prompt prefixes added to its cache.
     #[serde(rename = "p", default, skip_serializing_if = "Vec::is_empty")]
     pub added: Vec<u64>,
 }
 
-/// A target's announcement, as spread inside its zone.
+/// Announcement of a target, as gossiped within its zone.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Target {
     /// Name.
     pub target: id::Target,
-    /// Run.
+    /// Run of its process.
     pub incarnation: id::Incarnation,
-    /// Counts its announcements within a run; the highest is the news.
+    /// Number of the announcement within a run; the highest is the latest.
     pub sequence: u64,
-    /// Where it runs.
+    /// Region and availability zone.
     pub place: Place,
     /// Address of its HTTP interface.
     pub address: String,
-    /// Kind of target, which decides whether it checks fencing numbers.
+    /// Kind of target, which determines whether it checks fencing tokens.
     pub kind: String,
     /// Role, such as `prefill`, `decode` or `both`.
     pub role: String,
-    /// What it serves, with versions.
+    /// Models or services that it serves, with their versions.
     pub serves: Vec<Serving>,
-    /// Requests that it runs at once.
+    /// Number of requests that it runs concurrently.
     pub slots: u32,
-    /// Requests that it runs or queues, as of its last report.
+    /// Number of requests that it runs or queues, as of its last report.
     pub busy: u32,
-    /// Price of one busy second, in the deployment's own unit.
+    /// Price of one busy second, in a unit chosen by the deployment.
     pub price: f64,
-    /// Whether it takes no new work.
+    /// Whether it is leaving and accepts no new requests.
     pub leaving: bool,
-    /// Time left of its lease when sent, in milliseconds.
+    /// Remaining time of its lease when sent, in milliseconds.
     pub left_ms: u64,
-    /// Digests of prompt prefixes in its cache, newest last; bounded.
+    /// Digests of the most recent prompt prefixes in its cache, newest last.
     pub prefixes: Vec<u64>,
-    /// Whether cache events were missed, so that `prefixes` is unsure.
+    /// Whether cache events were missed, so that `prefixes` may be incomplete.
     pub gap: bool,
 }
 
 impl Target {
-    /// Returns a number for the target, its run and the fields that rarely change.
+    /// Returns a hash of the target, its run and the fields that rarely change.
     ///
-    /// Two reports with the same tag differ in load, lease and cached prefixes only.
+    /// Reports with the same tag differ only in sequence, load, lease and cached prefixes.
     pub fn tag(&self) -> u64 {
         let mut hasher = blake3::Hasher::new();
         let stable = (
@@ -139,7 +139,7 @@
             (&self.kind, &self.role, &self.serves, self.slots),
             (self.price.to_bits(), self.leaving, self.gap),
         );
-        // Writing to a hasher cannot fail; a failure would only cost a whole report.
+        // Writing to a hasher cannot fail. A failure would only cause a full report to be sent.
         drop(ciborium::into_writer(&stable, &mut hasher));
         let mut tag = [0; 8];
         tag.copy_from_slice(&hasher.finalize().as_bytes()[..8]);
@@ -147,59 +147,59 @@
     }
 }
 
-/// A model or service and its version.
+/// A model or service that a target serves, with its version.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Serving {
     /// Model or service.
     pub subject: Subject,
-    /// Version; empty for services without one.
+    /// Version; empty for a service without one.
     pub version: String,
-    /// Adapters.
+    /// Loaded adapters.
     pub adapters: Vec<id::Adapter>,
 }
 
-/// What zones say of themselves, as made or passed on.
+/// Facts and renewals that the receiver may lack, either created by the sender or forwarded.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(from = "pack::Delta", into = "pack::Delta")]
 pub struct Delta {
     /// Facts.
     pub items: Vec<Item>,
-    /// Words that facts still hold.
+    /// Renewals of facts that still hold.
     pub renewals: Vec<Renewal>,
 }
 
-/// Who makes facts.
+/// Origin of facts.
 ///
-/// What an instance says for its region goes other ways than what it says for its zone. As two
-/// makers they are vouched for apart, each on the way of its own facts: a word that overtook a fact
-/// would vouch for what that fact replaces.
+/// An instance acts as one maker for its zone and as another for its region, because the facts of
+/// the two take different paths. Their renewals are separate and each follows the path of its own
+/// facts: a renewal that overtook a fact would renew the value that the fact replaces.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Maker {
     /// Instance.
     pub instance: id::Instance,
-    /// Whether it speaks for its region here, and not for its zone.
+    /// Whether it acts for its region rather than for its zone.
     pub region: bool,
 }
 
 /// A fact about a zone.
 pub type Item = digest::Item<Topic, Maker, Fact>;
-/// A zone's or region's word that its facts still hold.
+/// Renewal of the facts of a zone or region.
 pub type Renewal = digest::Renewal<Maker>;
 
-/// What a fact is about.
+/// Subject of a fact.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub enum Topic {
-    /// Instances through which a zone is reached.
+    /// Contact points of a zone: the instances through which it is reached.
     Contacts(Place),
-    /// Capacity of a zone for a subject in a role; for the zone's own region.
+    /// Capacity of a zone for a subject in a role; sent within the zone's region.
     Capacity(Place, Subject, String),
-    /// What a region has for a subject in a role, as the zone says that speaks for it; for other
-    /// regions.
+    /// Capacity of a region for a subject in a role, stated by the zone that speaks for the region;
+    /// sent to other regions.
     Region(Place, Subject, String),
 }
 
 impl Topic {
-    /// Returns the zone that says it.
+    /// Returns the zone that states the fact.
     pub const fn place(&self) -> &Place {
         match self {
             Self::Contacts(place) | Self::Capacity(place, _, _) | Self::Region(place, _, _) => {
@@ -209,23 +209,23 @@
     }
 }
 
-/// A fact.
+/// Value of a fact.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Fact {
-    /// Instances through which a zone is reached, its speakers first.
+    /// Contact points of a zone, its speakers first.
     Contacts(Vec<Peer>),
-    /// Capacity.
+    /// Capacity of a zone.
     Capacity(Capacity),
-    /// The region's zone that has most, and its capacity.
+    /// Zone with the most capacity in a region, and that capacity.
     Region(id::Zone, Capacity),
 }
 
-/// Capacity for one subject in one role.
+/// Capacity for a subject in a role.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Capacity {
-    /// Slots in all.
+    /// Total number of slots.
     pub slots: u32,
-    /// Slots free.
+    /// Number of free slots.
     pub free: u32,
     /// Expected wait for a slot, in milliseconds.
     pub wait_ms: u64,
@@ -233,7 +233,7 @@
     pub price: f64,
 }
 
-/// Capacity of one zone for one subject.
+/// Capacity of a zone for a subject in a role.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Digest {
     /// Zone that it describes.
@@ -242,15 +242,16 @@
     pub subject: Subject,
     /// Role.
     pub role: String,
-    /// Slots in all.
+    /// Total number of slots.
     pub slots: u32,
-    /// Slots free.
+    /// Number of free slots.
     pub free: u32,
     /// Expected wait for a slot, in milliseconds.
     pub wait_ms: u64,
     /// Mean price of one busy second.
     pub price: f64,
-    /// Instance that made it and the run and sequence by which later ones are known.
+    /// Instance that created the digest, with its run and a sequence number to detect later
+    /// digests.
     pub maker: (id::Instance, id::Incarnation, u64),
     /// Age when sent, in milliseconds.
     pub age_ms: u64,
--- a/crates/zinniastall-wire/src/gossip/pack.rs
+++ b/crates/zinniastall-wire/src/gossip/pack.rs
@@ -1,7 +1,7 @@
-//! How news travels: grouped by maker and place, without field names.
+//! Wire format of a delta: facts grouped by maker and place, without field names.
 //!
-//! Almost all facts are capacities, and almost all of a maker's are of one place. Written out in
-//! full, its names would be most of an item's bytes.
+//! Almost all facts are capacities, and almost all facts of a maker concern one place. If each item
+//! repeated these names, they would make up most of its bytes.
 
 use indexmap::IndexMap;
 use serde::{Deserialize, Serialize};
@@ -9,11 +9,11 @@
 
 use super::{Capacity, Fact, Item, Maker, Peer, Renewal, Topic};
 
-/// News, as it travels.
+/// Groups of facts, and renewals.
 #[derive(Debug, Serialize, Deserialize)]
 pub(super) struct Delta(Vec<Group>, Vec<PackedRenewal>);
 
-/// Maker, its run, the place, and the facts.
+/// Instance, its run, region and zone of the facts, and the facts.
 #[derive(Debug, Serialize, Deserialize)]
 struct Group(
     id::Instance,
@@ -23,12 +23,12 @@
     Vec<PackedItem>,
 );
 
-/// Maker, its run, the number of its last item, the age in milliseconds, and whether it is a
-/// region's.
+/// Instance, its run, the sequence number of its last item, the age in milliseconds, and whether
+/// the instance acts for its region.
 #[derive(Debug, Serialize, Deserialize)]
 struct PackedRenewal(id::Instance, id::Incarnation, u64, u64, bool);
 
-/// Number, age in milliseconds, what it is about, and the fact.
+/// Sequence number, age in milliseconds, topic, and the fact; `None` for a withdrawn one.
 #[derive(Debug, Serialize, Deserialize)]
 struct PackedItem(u64, u64, PackedTopic, Option<PackedFact>);
 
@@ -36,13 +36,16 @@
 enum PackedTopic {
     #[serde(rename = "d")]
     Contacts,
+    /// Model and role, for a zone.
     #[serde(rename = "m")]
     Model(String, String),
+    /// Service and role, for a zone.
     #[serde(rename = "s")]
     Service(String, String),
-    /// A region's.
+    /// Model and role, for a region.
     #[serde(rename = "n")]
     RegionModel(String, String),
+    /// Service and role, for a region.
     #[serde(rename = "t")]
     RegionService(String, String),
 }
@@ -51,10 +54,10 @@
 enum PackedFact {
     #[serde(rename = "d")]
     Contacts(Vec<Peer>),
-    /// Slots, free ones, wait in milliseconds, price.
+    /// Total slots, free slots, expected wait in milliseconds, and price.
     #[serde(rename = "c")]
     Capacity(u32, u32, u64, f64),
-    /// Zone, then the same.
+    /// Zone, followed by the fields of a capacity.
     #[serde(rename = "r")]
     Region(id::Zone, u32, u32, u64, f64),
 }
--- a/crates/zinniastall-wire/src/hello.rs
+++ b/crates/zinniastall-wire/src/hello.rs
@@ -1,20 +1,20 @@
-//! The handshake of a link.
+//! Handshake of a link.
 
 use serde::{Deserialize, Serialize};
 use zinniastall_model::{id, place::Place};
 
-/// Version of the frames; both ends must speak the same.
+/// Version of the frame format, which must be the same at both ends.
 pub const VERSION: u16 = 4;
 
-/// What a link is for.
+/// Purpose of a link.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Purpose {
     /// Messages between control replicas.
     Replica,
-    /// Configuration from control or a relay to an entry instance, and confirmations back.
+    /// Configuration from a control instance or relay to an entry instance, and confirmations back.
     Follow,
-    /// Membership, targets and digests between entry instances.
+    /// Membership, targets and zone digests between entry instances.
     Gossip,
     /// Forwarded requests between entry instances.
     Stream,
@@ -22,32 +22,32 @@
     Hub,
 }
 
-/// First frame from each end.
+/// First frame of each end.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Hello {
-    /// [`VERSION`] of the sender.
+    /// Frame version of the sender, see [`VERSION`].
     pub version: u16,
-    /// What the link is for.
+    /// Purpose of the link.
     pub purpose: Purpose,
-    /// Cluster that the sender belongs to, as hex; `None` while it knows none.
+    /// Id of the sender's cluster in hex; `None` while it knows none.
     pub cluster: Option<String>,
-    /// Sender's name from its settings.
+    /// Name of the sender, from its settings.
     pub instance: id::Instance,
-    /// Sender's process run: a link's frames are void once a later run has been seen.
+    /// Run of the sender's process; frames of a link are ignored once a later run has been seen.
     pub incarnation: id::Incarnation,
-    /// Where the sender runs.
+    /// Region and availability zone of the sender.
     pub place: Place,
-    /// Address of the sender's links, as others reach it.
+    /// Address on which the sender accepts links.
     pub links: String,
-    /// Address of the sender's callers' or operators' interface.
+    /// Address of the sender's interface for callers or operators.
     pub service: String,
 }
 
-/// Why a handshake was refused.
+/// Reason why a handshake was refused.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize, thiserror::Error)]
 #[serde(rename_all = "kebab-case")]
 pub enum Refusal {
-    /// The ends speak different versions.
+    /// The ends use different frame versions.
     #[error("frame version differs")]
     Version,
     /// The ends belong to different clusters.
@@ -56,10 +56,10 @@
     /// A later run of the same instance is known.
     #[error("a later incarnation is known")]
     Stale,
-    /// The end does not serve this purpose.
+    /// The end does not serve links of this purpose.
     #[error("purpose not served here")]
     Purpose,
-    /// The end is at its limit of links.
+    /// The end has reached its maximum number of links.
     #[error("too many links")]
     Full,
 }
--- a/crates/zinniastall-wire/src/hub.rs
+++ b/crates/zinniastall-wire/src/hub.rs
@@ -1,9 +1,10 @@
-//! What control replicas and gateway instances say to each other.
+//! Messages between control replicas and gateway instances.
 //!
-//! A gateway instance keeps a link to every control replica, so that no single replica's loss or cut
-//! takes its knowledge away. Each replica passes on what it heard itself; the instance merges. The
-//! configuration is announced by number and fetched once, from the nearest replica that has it:
-//! tables of hundreds of routes would otherwise cross every border once for each replica.
+//! A gateway instance keeps a link to every control replica, so that it stays up to date when a
+//! single replica fails or is partitioned. Each replica passes on only what it has received itself,
+//! and the instance merges it. The configuration is announced by revision and fetched once, from
+//! the nearest replica that has it; otherwise tables of hundreds of routes would cross every region
+//! border once per replica.
 
 use serde::{Deserialize, Serialize};
 use zinniastall_model::{
@@ -14,90 +15,92 @@
     target::Report,
 };
 
-/// Tells a gateway instance which of its questions is answered; a moment of its own clock.
+/// Identifies a question of a gateway instance in the answer; a time of the instance's own clock.
 pub type Stamp = u64;
 
 /// A message of a hub link.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Message {
-    /// Gateway: this is how I am.
+    /// Gateway: announces its own state.
     Present(Presence),
-    /// Gateway: send the configuration, or what has changed of it since the revision held; 0 for none.
+    /// Gateway: requests the configuration, or its changes since the given revision; 0 if it holds
+    /// none.
     Fetch(id::Revision),
-    /// Gateway: whether the replica should tell which instances there are and how loaded regions are. All
-    /// replicas know the same of both, so an instance asks two of them at most.
+    /// Gateway: whether the replica should send the list of instances and the load of regions. All
+    /// replicas hold the same of both, so an instance subscribes to two of them at most.
     Subscribe(bool),
-    /// Gateway: asks which revision the group has reached by now. The stamp comes back with the answer.
+    /// Gateway: asks which revision the group has reached. The answer repeats the stamp.
     #[serde(rename = "vouch")]
     ReadIndex(Stamp),
-    /// Gateway: requests that aren't run any more, or may run again, as far as the group doesn't hold that yet.
-    /// Control: all that the group holds of these.
+    /// Gateway: quarantined and released requests that the group doesn't hold yet. Control: all
+    /// those that the group holds.
     Suspects(Vec<Suspect>),
-    /// Control: the revision held; also the sign of life.
+    /// Control: the revision that it holds; also serves as a keepalive.
     Reached(id::Revision),
-    /// Control: the group had reached a revision when the question with this stamp came, and no later one was
-    /// accepted before.
+    /// Control: the group had reached this revision when the question arrived, and had accepted no
+    /// later one.
     #[serde(rename = "vouched")]
     ReadIndexAnswer {
         /// Stamp of the question.
         stamp: Stamp,
-        /// Revision.
+        /// Revision that the group had reached.
         revision: id::Revision,
     },
-    /// Control: the configuration.
+    /// Control: the whole configuration.
     Configuration(Box<Configuration>),
-    /// Control: what has changed of it.
+    /// Control: changes of the configuration.
     Changes(Box<Changes>),
-    /// Control: reports that it heard from targets.
+    /// Control: reports that it has received from targets.
     Targets(Vec<Report>),
-    /// Control: the gateway instances that it is linked with, or what has changed of them since the message
-    /// before; their load stands in [`Message::Loads`].
+    /// Control: the gateway instances that it is linked with, or the changes since the previous
+    /// message. Their load is sent in [`Message::Loads`].
     Instances(Instances),
     /// Control: the load of the instances that it is linked with, by region.
     Loads(Vec<RegionLoad>),
-    /// Control: addresses of the links of all replicas of its group.
+    /// Control: link addresses of all replicas of its group.
     Replicas(Vec<String>),
 }
 
-/// The gateway instances that a replica is linked with, as far as a subscriber doesn't know them yet.
+/// The gateway instances that a replica is linked with, or the changes that a subscriber lacks.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Instances {
-    /// Whether these are all of them; otherwise those that are not named are as they were.
+    /// Whether the list is complete; otherwise instances that are not named are unchanged.
     pub whole: bool,
-    /// Instances that came or changed.
+    /// Instances that were added or have changed.
     pub present: Vec<Presence>,
-    /// Instances whose links ended.
+    /// Instances whose links have ended.
     pub gone: Vec<id::Instance>,
 }
 
-/// What gateway instances need of the replicated state.
+/// Part of the replicated state that gateway instances need.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Configuration {
     /// Revision of the state.
     pub revision: id::Revision,
-    /// Routing table in force, if there is one.
+    /// Routing table in force, if any.
     pub table: Option<Table>,
-    /// Availability zones whose targets get no new requests.
+    /// Evacuated availability zones, whose targets get no new requests.
     pub evacuated: Vec<id::Zone>,
 }
 
-/// What turns the configuration of one revision into that of a later one.
+/// Difference between the configurations of two revisions.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Changes {
-    /// Revision to which they apply.
+    /// Revision to which the changes apply.
     pub from: id::Revision,
-    /// Revision that they make.
+    /// Revision that results from them.
     pub revision: id::Revision,
-    /// Changes of the routing table; `None` where it is the same.
+    /// Changes of the routing table; `None` if it is the same.
     pub table: Option<routing::Changes>,
-    /// Availability zones whose targets get no new requests.
+    /// Evacuated availability zones, whose targets get no new requests.
     pub evacuated: Vec<id::Zone>,
 }
 
 impl Changes {
-    /// Makes the later configuration of the earlier one; `None` where that is of another revision, or holds no
-    /// table to change.
+    /// Applies the changes to a configuration and returns the later one.
+    ///
+    /// Returns `None` if the configuration has another revision or no routing table.
     pub fn apply(self, held: &Configuration) -> Option<Configuration> {
         if held.revision != self.from {
             return None;
@@ -112,7 +115,7 @@
     }
 }
 
-/// Logs what a report says of a target; `via` names the replica over which it came, if any.
+/// Logs the report of a target; `via` is the replica that passed it on, if any.
 pub fn log_report(report: &Report, via: Option<&str>) {
     tracing::info!(
         event = "target",
--- a/crates/zinniastall-wire/src/link.rs
+++ b/crates/zinniastall-wire/src/link.rs
@@ -22,32 +22,35 @@
     meter::Meter,
 };
 
-/// Bytes read at once. The library keeps and clears a buffer of this size for every read of every link;
-/// its default of 128 KiB was nearly all the memory of a link, and frames of gossip are far shorter.
+/// Size of a link's read buffer.
+///
+/// The library keeps a buffer of this size per link and clears it for every read. With its default
+/// of 128 KiB, the buffer would be nearly all the memory of a link; gossip frames are far shorter.
 const READ_BUFFER_BYTES: usize = 16 * 1024;
 
-/// Longest time for a connection to open: twice the round trip between distant regions. The first packet
-/// to a machine without power is lost, and the system repeats it after a second; a new attempt finds
-/// the machine as soon as it is back.
+/// Maximum time to open a connection: twice the round trip between distant regions.
+///
+/// The first packet to a machine that is off is lost, and the operating system resends it after a
+/// second. A new attempt reaches the machine sooner once it is back.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Why a link could not be opened or broke.
+/// Error of opening or using a link.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
     /// The connection or the WebSocket failed.
     #[error("link failed")]
     Socket(#[from] Box<tungstenite::Error>),
     /// The address cannot be reached.
-    #[error("link cannot connect")]
+    #[error("cannot connect")]
     Connect(#[from] std::io::Error),
-    /// A frame is malformed.
+    /// A frame cannot be encoded or decoded.
     #[error(transparent)]
     Frame(#[from] frame::Error),
     /// The other end refused the link.
     #[error("link refused: {0}")]
     Refused(#[from] Refusal),
-    /// The other end sent something else than the handshake asks for.
-    #[error("handshake out of order")]
+    /// The other end sent an unexpected frame.
+    #[error("unexpected frame")]
     Handshake,
     /// The other end closed the link.
     #[error("link closed")]
@@ -60,7 +63,7 @@
     }
 }
 
-/// A link whose handshake is done.
+/// A link after its handshake.
 #[derive(Debug)]
 pub struct Link {
     socket: WebSocketStream<MaybeTlsStream<TcpStream>>,
@@ -68,10 +71,10 @@
     meter: Arc<Meter>,
 }
 
-/// A taken link on its way to another thread.
+/// An accepted link that is being moved to another thread.
 ///
-/// A socket is served by the event loop of the thread that registered it. A link that stayed
-/// registered where it was accepted would wait for control work there.
+/// A socket is served by the event loop of the thread on which it is registered. A link that stayed
+/// registered where it was accepted would have to wait for control work on that thread.
 #[derive(Debug)]
 pub struct Detached {
     stream: std::net::TcpStream,
@@ -84,7 +87,7 @@
     ///
     /// # Errors
     ///
-    /// Fails when the socket cannot be registered.
+    /// Fails if the socket cannot be registered.
     pub async fn attach(self) -> Result<Link, Error> {
         let stream = MaybeTlsStream::Plain(TcpStream::from_std(self.stream)?);
         let socket = WebSocketStream::from_raw_socket(stream, Role::Server, Some(config())).await;
@@ -96,17 +99,18 @@
     }
 }
 
-/// Half of a link that sends.
+/// Sending half of a link.
 pub type Sender = std::pin::Pin<Box<dyn Sink<Frame, Error = Error> + Send>>;
 
-/// Half of a link that sends frames which were encoded before, once for all links that send the same.
+/// Sending half of a link for encoded frames, so that a frame for many links is encoded once.
 pub type EncodedSender = std::pin::Pin<Box<dyn Sink<Bytes, Error = Error> + Send>>;
 
-/// Sends one item, unless the other end takes nothing for too long.
+/// Sends an item, with a timeout.
 ///
 /// # Errors
 ///
-/// [`Error::Closed`] when it takes nothing, or whatever the link failed of.
+/// Returns [`Error::Closed`] if the other end does not accept the item in time, or the error of the
+/// link.
 pub async fn send_within<T>(
     sender: &mut (impl Sink<T, Error = Error> + Unpin),
     item: T,
@@ -116,15 +120,15 @@
     sent.map_err(|_| Error::Closed)?
 }
 
-/// Half of a link that receives.
+/// Receiving half of a link.
 pub type Receiver = std::pin::Pin<Box<dyn Stream<Item = Result<Frame, Error>> + Send>>;
 
 impl Link {
-    /// Dials an address and shakes hands.
+    /// Dials an address and performs the handshake.
     ///
     /// # Errors
     ///
-    /// Fails when the address cannot be reached or the other end refuses.
+    /// Fails if the address cannot be reached or the other end refuses the link.
     pub async fn dial(address: &str, hello: Hello) -> Result<Self, Error> {
         let connecting = time::timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await;
         let stream =
@@ -150,11 +154,13 @@
         })
     }
 
-    /// Takes a connection and shakes hands; `judge` decides on the other end's first frame.
+    /// Performs the handshake on an accepted connection.
+    ///
+    /// `check` receives the other end's first frame and accepts or refuses the link.
     ///
     /// # Errors
     ///
-    /// Fails when the other end sends no valid first frame or `judge` refuses it.
+    /// Fails if the other end sends no valid first frame or `check` refuses it.
     pub async fn accept(
         stream: TcpStream,
         check: impl FnOnce(&Hello) -> Result<Hello, Refusal>,
@@ -185,7 +191,7 @@
         })
     }
 
-    /// Counts the link's frames on a meter from now on.
+    /// Sets the meter that counts the frames of the link.
     #[must_use]
     pub fn meter(mut self, meter: Arc<Meter>) -> Self {
         self.meter = meter;
@@ -197,19 +203,19 @@
         &self.peer
     }
 
-    /// Returns what the link is for.
+    /// Returns the purpose of the link.
     pub const fn purpose(&self) -> Purpose {
         self.peer.purpose
     }
 
-    /// Takes an accepted link off this thread's event loop, right after the handshake.
+    /// Deregisters an accepted link from this thread's event loop, right after the handshake.
     ///
-    /// Nothing is lost: the dialling end sends nothing between its first frame and the answer to
+    /// No data is lost: the dialling end sends nothing between its first frame and the answer to
     /// it, and this end has read nothing since.
     ///
     /// # Errors
     ///
-    /// Fails when the socket cannot be taken off the event loop.
+    /// Fails if the socket cannot be deregistered.
     pub fn detach(self) -> Result<Detached, Error> {
         let MaybeTlsStream::Plain(stream) = self.socket.into_inner() else {
             return Err(Error::Handshake);
@@ -221,7 +227,7 @@
         })
     }
 
-    /// Splits the link into its two directions.
+    /// Splits the link into a sending and a receiving half.
     pub fn split(self) -> (Sender, Receiver) {
         let (sink, stream) = self.split_encoded();
         let sink = sink.with(|frame: Frame| {
@@ -231,7 +237,7 @@
         (Box::pin(sink), stream)
     }
 
-    /// Splits the link into its two directions; what is sent has been encoded before.
+    /// Splits the link into a sending half for encoded frames and a receiving half.
     pub fn split_encoded(self) -> (EncodedSender, Receiver) {
         let (sink, stream) = self.socket.split();
         let (sent, received) = (Arc::clone(&self.meter), self.meter);
@@ -259,7 +265,7 @@
 ///
 /// # Errors
 ///
-/// Fails when the address cannot be bound.
+/// Fails if the address cannot be bound.
 pub async fn listen(address: impl ToSocketAddrs) -> Result<TcpListener, Error> {
     Ok(TcpListener::bind(address).await?)
 }
--- a/crates/zinniastall-wire/src/meter.rs
+++ b/crates/zinniastall-wire/src/meter.rs
@@ -1,10 +1,10 @@
-//! Counts what links carry.
+//! Traffic counters of links.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// Messages and bytes of the links that share it, both ways.
+/// Counters of the messages and bytes of all links that share it, in both directions.
 ///
-/// Bytes are those of the frames; the transport adds its headers, about 70 bytes a packet.
+/// Only the bytes of frames are counted; the transport adds about 70 bytes of headers per packet.
 #[derive(Debug, Default)]
 pub struct Meter {
     sent_messages: AtomicU64,
@@ -13,7 +13,7 @@
     received_bytes: AtomicU64,
 }
 
-/// What a meter has counted since it was made.
+/// Counts of a meter since its creation.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq)]
 pub struct Count {
     /// Messages sent.
@@ -27,17 +27,17 @@
 }
 
 impl Meter {
-    /// Counts a frame that was sent.
+    /// Counts a sent frame.
     pub fn sent(&self, bytes: usize) {
         add(&self.sent_messages, &self.sent_bytes, bytes);
     }
 
-    /// Counts a frame that was received.
+    /// Counts a received frame.
     pub fn received(&self, bytes: usize) {
         add(&self.received_messages, &self.received_bytes, bytes);
     }
 
-    /// Returns what was counted.
+    /// Returns the current counts.
     pub fn count(&self) -> Count {
         Count {
             sent_messages: self.sent_messages.load(Ordering::Relaxed),
@@ -49,7 +49,7 @@
 }
 
 impl Count {
-    /// Returns what was counted after an earlier count of the same meter.
+    /// Returns the difference to an earlier count of the same meter.
     #[must_use]
     pub const fn since(self, earlier: Self) -> Self {
         Self {
--- a/crates/zinniastall-wire/src/stream.rs
+++ b/crates/zinniastall-wire/src/stream.rs
@@ -1,70 +1,70 @@
-//! Forwarded requests and their answers.
+//! Forwarded requests and their responses.
 //!
-//! A request is one stream of a link, numbered by the dialling end. The answer's parts carry their
-//! offset, so that a lost, doubled or late one is noticed; [`Message::End`] carries the length, so
-//! that a cut answer never looks whole.
+//! Each request is a stream of a link, numbered by the dialling end. The parts of a response carry
+//! their offset, so that lost, duplicate and late parts are detected. [`Message::End`] carries the
+//! total length, so that a truncated response never appears complete.
 
 use serde::{Deserialize, Serialize};
 use zinniastall_model::{id, object::Subject, place::Place};
 
-/// Number of a stream, unique on its link.
+/// Id of a stream, unique within its link.
 pub type Id = u64;
 
 /// A message of a stream link.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Message {
-    /// Opens a stream with a whole request.
+    /// Opens a stream with a complete request.
     Open(Box<Open>),
-    /// Starts the answer.
+    /// Begins the response.
     Head {
-        /// Stream.
+        /// Id of the stream.
         stream: Id,
         /// HTTP status.
         status: u16,
-        /// HTTP headers that the caller may see.
+        /// HTTP headers to pass to the caller.
         headers: Vec<(String, String)>,
     },
-    /// A part of the answer.
+    /// Part of the response body.
     Data {
-        /// Stream.
+        /// Id of the stream.
         stream: Id,
-        /// Offset of the first byte in the answer's body.
+        /// Offset of the first byte in the body.
         offset: u64,
         /// Bytes.
         #[serde(with = "serde_bytes")]
         bytes: Vec<u8>,
     },
-    /// The answer is whole.
+    /// Completes the response.
     End {
-        /// Stream.
+        /// Id of the stream.
         stream: Id,
-        /// Length of the answer's body, in bytes.
+        /// Length of the body, in bytes.
         length: u64,
     },
-    /// The request ended without a whole answer.
+    /// The request ended without a complete response.
     Failed {
-        /// Stream.
+        /// Id of the stream.
         stream: Id,
-        /// Whether it certainly did not run.
+        /// Whether the request certainly did not run, or may have run.
         failure: Failure,
     },
-    /// The caller is gone or has lost interest.
+    /// The caller has disconnected or no longer needs the response.
     Cancel {
-        /// Stream.
+        /// Id of the stream.
         stream: Id,
     },
-    /// The receiver of the answer can take more; without bytes, its end has arrived.
+    /// Flow control: the receiver of the response accepts more bytes, or acknowledges its end.
     Credit {
-        /// Stream.
+        /// Id of the stream.
         stream: Id,
-        /// Further bytes; 0 acknowledges [`Message::End`] or [`Message::Failed`].
+        /// Number of additional bytes; 0 acknowledges [`Message::End`] or [`Message::Failed`].
         bytes: u64,
     },
 }
 
 impl Message {
-    /// Returns the stream that it belongs to.
+    /// Returns the stream to which the message belongs.
     #[must_use]
     pub const fn stream(&self) -> Id {
         match self {
@@ -79,30 +79,31 @@
     }
 }
 
-/// A whole request on its way to another instance.
+/// A complete request that is forwarded to another instance.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Open {
-    /// Stream.
+    /// Id of the stream.
     pub stream: Id,
-    /// Request id for logs.
+    /// Id of the request, for logs.
     pub request: String,
-    /// Places that the request has passed, the receiving entry instance's first.
+    /// Places through which the request has passed, beginning with that of the entry instance that
+    /// received it.
     pub hops: Vec<Place>,
-    /// Configuration revision under which the sender decided.
+    /// Configuration revision under which the sender chose the destination.
     pub revision: id::Revision,
     /// Client.
     pub client: id::Client,
     /// Class.
     pub class: id::Class,
-    /// What is to serve it.
+    /// Model or service to serve it.
     pub subject: Subject,
-    /// Regions that the sender's configuration permits.
+    /// Regions in which it may run, according to the sender's configuration.
     pub regions: Vec<id::Region>,
     /// Whether it may be repeated.
     pub idempotent: bool,
-    /// Ticket, encoded; required when it may not be repeated.
+    /// Encoded ticket; required if it may not be repeated.
     pub ticket: Option<String>,
-    /// Time left to its deadline, in milliseconds.
+    /// Time left until its deadline, in milliseconds.
     pub left_ms: u64,
     /// HTTP method.
     pub method: String,
@@ -115,20 +116,20 @@
     pub body: Vec<u8>,
 }
 
-/// How a request ended without a whole answer.
+/// Outcome of a request that ended without a complete response.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Failure {
-    /// It certainly did not run.
+    /// The request certainly did not run.
     NotRun {
-        /// Why, for logs and the caller.
+        /// Reason, for logs and the caller.
         reason: String,
-        /// When to come back, in milliseconds.
+        /// Delay before a retry, in milliseconds.
         retry_ms: u64,
     },
-    /// It may have run.
+    /// The request may have run.
     Unknown {
-        /// Why, for logs and the caller.
+        /// Reason, for logs and the caller.
         reason: String,
     },
 }
--- a/crates/zinniastall-wire/tests/codec.rs
+++ b/crates/zinniastall-wire/tests/codec.rs
@@ -1,4 +1,4 @@
-//! The codec of frames: whatever is sent arrives the same, whatever else arrives is refused.
+//! Tests the codec of frames: frames round-trip, and other input is rejected.
 
 use proptest::{
     prelude::*,
@@ -30,12 +30,12 @@
     }
 }
 
-/// Texts of every kind: names, other scripts, control characters.
+/// Returns names, printable text of any script, and arbitrary strings.
 fn text() -> BoxedStrategy<String> {
     prop_oneof!["[a-z0-9.-]{0,12}", "\\PC{0,8}", any::<String>()].boxed()
 }
 
-// Strategies are boxed: nested by value, they take more stack than a test's thread has.
+// Strategies are boxed because nesting them by value overflows the stack of a test thread.
 
 fn bytes() -> impl Strategy<Value = Vec<u8>> {
     prop::collection::vec(any::<u8>(), 0..200)
@@ -437,7 +437,7 @@
 
 #[test]
 fn a_false_length_allocates_no_memory() {
-    // A byte string that claims to be 2^62 bytes long, inside a frame of a few bytes.
+    // A byte string with a stated length of 2^62 bytes in a frame of a few bytes.
     let mut bytes = Frame::Replica(Replica {
         from: 1,
         to: 2,
@@ -450,9 +450,9 @@
     assert!(matches!(Frame::decode(&bytes), Err(Error::Malformed(_))));
 }
 
-/// A field that no version of ours has, with lists within lists, as many as a frame has room for. A
-/// decoder that recursed for each would run out of stack and take the process with it; the thread
-/// here has half of the stack that threads have by default.
+/// Guards against a stack overflow from an unknown field of nested lists that fills a frame. A
+/// decoder that recursed for each of them would crash the process. The thread of this test has half
+/// of the default stack size.
 #[test]
 fn deep_nesting_is_refused() {
     let mut bytes = b"\xa1\x67replica\xa4\x64from\x01\x62to\x02\x67message\x40\x61x".to_vec();
--- a/crates/zinniastall-wire/tests/feed.rs
+++ b/crates/zinniastall-wire/tests/feed.rs
@@ -1,4 +1,4 @@
-//! What a feed sends to a follower.
+//! Tests which changes a feed sends to a follower.
 
 use std::sync::Arc;
 
@@ -21,7 +21,7 @@
     }
 }
 
-/// Returns a feed of some changes that keeps `keep` of them.
+/// Returns a feed after a number of changes that keeps up to `capacity` of them.
 fn feed(changes: u64, capacity: usize) -> Feed {
     let mut state = State::default();
     let mut feed = Feed::new(Arc::new(state.clone()), capacity);
@@ -53,8 +53,8 @@
     assert_eq!(reached, 5);
 }
 
-/// An operator's watch runs on another thread and looks at the feed just when a change has been
-/// noted and its state has not. It must not see the change yet: it would see it again right after.
+/// An operator's watch, on another thread, may read the feed after a change has been added and
+/// before its state is set. If it saw the change then, it would see it again afterwards.
 #[test]
 fn a_change_is_hidden_until_its_state_is_set() {
     let mut feed = feed(5, 8);
