--- a/crates/zinniastall-load/src/audit.rs
+++ b/crates/zinniastall-load/src/audit.rs
@@ -5,12 +5,12 @@
 use awc::Client;
 use serde::{Deserialize, Serialize};
 
-use crate::{outcome::Outcome, tally::Claim};
+use crate::{outcome::Outcome, tally::Observation};
 
 /// Longest ledger, in bytes.
-const LIMIT: usize = 1 << 30;
+const MAX_LEDGER_BYTES: usize = 1 << 30;
 /// Longest wait for a ledger.
-const BOUND: Duration = Duration::from_mins(1);
+const READ_TIMEOUT: Duration = Duration::from_mins(1);
 
 /// One run of a request, as a ledger has it.
 #[derive(Debug, Clone, Deserialize)]
@@ -75,29 +75,33 @@
 ///
 /// Fails when one cannot be read.
 pub async fn read(ledgers: &[SocketAddr]) -> Result<Vec<Run>, Error> {
-    let client = Client::builder().timeout(BOUND).finish();
+    let client = Client::builder().timeout(READ_TIMEOUT).finish();
     let mut runs = Vec::new();
     for target in ledgers {
         let fail = |cause: String| Error {
             target: *target,
             cause,
         };
-        let reading = tokio::time::timeout(BOUND, ledger(&client, *target));
+        let reading = tokio::time::timeout(READ_TIMEOUT, read_ledger(&client, *target));
         let ledger = reading.await.unwrap_or_else(|late| Err(late.to_string()));
         runs.extend(ledger.map_err(fail)?);
     }
     Ok(runs)
 }
 
-async fn ledger(client: &Client, target: SocketAddr) -> Result<Vec<Run>, String> {
+async fn read_ledger(client: &Client, target: SocketAddr) -> Result<Vec<Run>, String> {
     let sent = client.get(format!("http://{target}/ledger")).send().await;
     let response = sent.map_err(|error| error.to_string())?;
-    let ledger = response.timeout(BOUND).json().limit(LIMIT).await;
+    let ledger = response
+        .timeout(READ_TIMEOUT)
+        .json()
+        .limit(MAX_LEDGER_BYTES)
+        .await;
     ledger.map_err(|error| error.to_string())
 }
 
 /// Compares claims and runs; without ledgers only the answers themselves are judged.
-pub fn compare(claims: &[Claim], runs: &[Run], ledgers: usize) -> Audit {
+pub fn compare(observations: &[Observation], runs: &[Run], ledgers: usize) -> Audit {
     let mut by_digest: HashMap<&str, u64> = HashMap::new();
     let mut audit = Audit {
         ledgers,
@@ -113,14 +117,17 @@
         audit.cached += run.cached as u64;
         audit.blocks += run.blocks as u64;
     }
-    for claim in claims {
-        let ran = by_digest.get(claim.digest.as_str()).copied().unwrap_or(0);
-        let answered = claim.outcome == Outcome::Answered;
-        audit.wrong += u64::from(answered && !claim.right);
+    for observation in observations {
+        let ran = by_digest
+            .get(observation.digest.as_str())
+            .copied()
+            .unwrap_or(0);
+        let answered = observation.outcome == Outcome::Answered;
+        audit.wrong += u64::from(answered && !observation.correct);
         if ledgers > 0 {
             audit.invented += u64::from(answered && ran == 0);
-            audit.ran_anyway += u64::from(claim.outcome == Outcome::NotRun && ran > 0);
-            audit.doubled += u64::from(!claim.idempotent && ran > 1);
+            audit.ran_anyway += u64::from(observation.outcome == Outcome::NotRun && ran > 0);
+            audit.doubled += u64::from(!observation.idempotent && ran > 1);
         }
     }
     audit
--- a/crates/zinniastall-load/src/call.rs
+++ b/crates/zinniastall-load/src/call.rs
@@ -19,7 +19,7 @@
 };
 
 /// Longest whole answer, in bytes.
-const LIMIT: usize = 64 << 20;
+const MAX_BODY_BYTES: usize = 64 << 20;
 
 /// What one request needs.
 #[derive(Debug)]
@@ -44,13 +44,13 @@
     /// How it ended.
     pub outcome: Outcome,
     /// Whether the answer was the one to this prompt, in full.
-    pub right: bool,
+    pub correct: bool,
     /// From the planned start to the first token.
-    pub first: Option<Duration>,
+    pub first_token: Option<Duration>,
     /// Times between tokens.
-    pub between: Vec<Duration>,
+    pub token_gaps: Vec<Duration>,
     /// From the planned start to the end.
-    pub whole: Duration,
+    pub total: Duration,
     /// Region and availability zone that served it.
     pub place: String,
     /// Instance that received it.
@@ -61,13 +61,13 @@
 
 impl Sample {
     /// Creates a sample of a request that got no answer.
-    pub fn unanswered(outcome: Outcome, due: Instant, error: &str) -> Self {
+    pub fn new(outcome: Outcome, due: Instant, error: &str) -> Self {
         Self {
             outcome,
-            right: false,
-            first: None,
-            between: Vec::new(),
-            whole: due.elapsed(),
+            correct: false,
+            first_token: None,
+            token_gaps: Vec::new(),
+            total: due.elapsed(),
             place: String::new(),
             instance: String::new(),
             error: error.to_owned(),
@@ -96,13 +96,13 @@
             // The library also says this of a connection that broke while it was in use, so the
             // request may have run.
             Err(SendRequestError::Connect(ConnectError::Disconnected)) => {
-                return Sample::unanswered(Outcome::Unknown, self.due, "broken");
+                return Sample::new(Outcome::Unknown, self.due, "broken");
             }
             // Without a connection no byte was sent.
             Err(SendRequestError::Connect(_)) => {
-                return Sample::unanswered(Outcome::NotRun, self.due, "connect");
+                return Sample::new(Outcome::NotRun, self.due, "connect");
             }
-            Err(_) => return Sample::unanswered(Outcome::Unknown, self.due, "broken"),
+            Err(_) => return Sample::new(Outcome::Unknown, self.due, "broken"),
         };
         let text = |name: &str| {
             let value = response.headers().get(name);
@@ -112,13 +112,13 @@
         let (place, instance) = (text(header::PLACE), text(header::INSTANCE));
         let sample = if !response.status().is_success() {
             let outcome = Outcome::parse(&text(header::OUTCOME));
-            let error = kind(response.body().limit(LIMIT).await.ok());
-            Sample::unanswered(outcome, self.due, &error)
+            let error = error_type(response.body().limit(MAX_BODY_BYTES).await.ok());
+            Sample::new(outcome, self.due, &error)
         } else if self.source.stream {
-            self.events(Events::new(response)).await
+            self.read_events(Events::new(response)).await
         } else {
-            let body = response.body().limit(LIMIT).await.ok();
-            self.whole(body)
+            let body = response.body().limit(MAX_BODY_BYTES).await.ok();
+            self.check_body(body)
         };
         Sample {
             place,
@@ -128,27 +128,27 @@
     }
 
     /// Judges a whole answer.
-    fn whole(&self, body: Option<Bytes>) -> Sample {
+    fn check_body(&self, body: Option<Bytes>) -> Sample {
         let body = body.and_then(|body| serde_json::from_slice::<Value>(&body).ok());
         let Some(body) = body else {
-            return Sample::unanswered(Outcome::Unknown, self.due, "broken");
+            return Sample::new(Outcome::Unknown, self.due, "broken");
         };
         let content = body["choices"][0]["message"]["content"].as_str();
-        let right = content.is_some_and(|content| self.matches(content));
+        let correct = content.is_some_and(|content| self.matches(content));
         Sample {
-            right,
-            first: Some(self.due.elapsed()),
-            ..Sample::unanswered(Outcome::Answered, self.due, "")
+            correct,
+            first_token: Some(self.due.elapsed()),
+            ..Sample::new(Outcome::Answered, self.due, "")
         }
     }
 
     /// Follows a streamed answer to its end.
-    async fn events<S, E>(&self, mut events: Events<S>) -> Sample
+    async fn read_events<S, E>(&self, mut events: Events<S>) -> Sample
     where
         S: Stream<Item = Result<Bytes, E>> + StreamExt + Unpin,
     {
-        let mut first = None;
-        let mut between = Vec::new();
+        let mut first_token = None;
+        let mut token_gaps = Vec::new();
         let mut last = Instant::now();
         let mut content = String::new();
         let mut end = (Outcome::Unknown, "broken".to_owned());
@@ -160,8 +160,8 @@
             let data: Value = serde_json::from_str(&event.data).unwrap_or_default();
             if event.name == "error" {
                 let outcome = data["error"]["outcome"].as_str().unwrap_or_default();
-                let kind = data["error"]["type"].as_str().unwrap_or("broken");
-                end = (Outcome::parse(outcome), kind.to_owned());
+                let error_type = data["error"]["type"].as_str().unwrap_or("broken");
+                end = (Outcome::parse(outcome), error_type.to_owned());
                 break;
             }
             let Some(token) = data["choices"][0]["delta"]["content"].as_str() else {
@@ -169,17 +169,17 @@
             };
             content += token;
             let now = Instant::now();
-            match first {
-                None => first = Some(now.duration_since(self.due)),
-                Some(_) => between.push(now.duration_since(last)),
+            match first_token {
+                None => first_token = Some(now.duration_since(self.due)),
+                Some(_) => token_gaps.push(now.duration_since(last)),
             }
             last = now;
         }
         let sample = Sample {
-            right: end.0 == Outcome::Answered && self.matches(&content),
-            first,
-            between,
-            ..Sample::unanswered(end.0, self.due, &end.1)
+            correct: end.0 == Outcome::Answered && self.matches(&content),
+            first_token,
+            token_gaps,
+            ..Sample::new(end.0, self.due, &end.1)
         };
         // The HTTP library closes a connection whose body was not read to its end. Each stream would
         // then pay for a connection of its own, and that would be measured as time of the system.
@@ -190,21 +190,23 @@
     /// Returns whether a text is the stand-in's whole answer to this prompt.
     fn matches(&self, content: &str) -> bool {
         let mut tokens = content.split_ascii_whitespace();
-        let right = |index| {
+        let correct = |index| {
             let token = tokens.next()?;
-            let number = token.strip_prefix(&self.prompt.mark)?.strip_prefix('-')?;
+            let number = token
+                .strip_prefix(&self.prompt.token_prefix)?
+                .strip_prefix('-')?;
             (number.parse() == Ok(index)).then_some(())
         };
         let all = (0..self.source.tokens)
-            .map(right)
+            .map(correct)
             .all(|token| token.is_some());
         all && tokens.next().is_none()
     }
 }
 
 /// Returns the type of an error answer.
-fn kind(body: Option<Bytes>) -> String {
+fn error_type(body: Option<Bytes>) -> String {
     let body: Option<Value> = body.and_then(|body| serde_json::from_slice(&body).ok());
-    let kind = body.and_then(|body| Some(body["error"]["type"].as_str()?.to_owned()));
-    kind.unwrap_or_else(|| "untyped".to_owned())
+    let error_type = body.and_then(|body| Some(body["error"]["type"].as_str()?.to_owned()));
+    error_type.unwrap_or_else(|| "untyped".to_owned())
 }
--- a/crates/zinniastall-load/src/locate.rs
+++ b/crates/zinniastall-load/src/locate.rs
@@ -14,17 +14,17 @@
 /// Tickets asked for at once.
 const TICKETS: usize = 32;
 /// Least time for which an answer is kept, so that a wrong one is not asked for without end.
-const KEPT: Duration = Duration::from_millis(100);
+const MIN_VALIDITY: Duration = Duration::from_millis(100);
 
 /// Longest wait for one instance's answer.
-const BOUND: Duration = Duration::from_secs(1);
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// What the system answered to one source.
 #[derive(Debug, Default)]
 pub struct Directory {
     instances: Vec<Instance>,
     tickets: Vec<String>,
-    until: Option<Instant>,
+    valid_until: Option<Instant>,
 }
 
 #[derive(Debug, Deserialize)]
@@ -59,14 +59,16 @@
         client: &Client,
         entries: &[SocketAddr],
         source: &Source,
-        random: &mut StdRng,
+        rng: &mut StdRng,
     ) -> Option<Choice> {
-        let valid = self.until.is_some_and(|until| Instant::now() < until);
+        let valid = self
+            .valid_until
+            .is_some_and(|valid_until| Instant::now() < valid_until);
         let tickets = source.idempotent || !self.tickets.is_empty();
         if !valid || !tickets {
-            self.ask(client, entries, source).await;
+            self.refresh(client, entries, source).await;
         }
-        let address = self.pick(random)?;
+        let address = self.pick_weighted(rng)?;
         let ticket = if source.idempotent {
             None
         } else {
@@ -76,28 +78,30 @@
     }
 
     /// Asks the instances of the last answer, then those of the settings.
-    async fn ask(&mut self, client: &Client, entries: &[SocketAddr], source: &Source) {
+    async fn refresh(&mut self, client: &Client, entries: &[SocketAddr], source: &Source) {
         let known = self
             .instances
             .iter()
             .map(|instance| instance.callers.clone());
         let entries = entries.iter().map(SocketAddr::to_string);
         for address in known.chain(entries).collect::<Vec<_>>() {
-            let Some(mut answer) = question(client, &address, source).await else {
+            let Some(mut answer) = locate(client, &address, source).await else {
                 continue;
             };
             // A ticket is good at its issuer; one from another region would have to travel there
             // and back, where the request may not go.
-            let home = answer
+            let local = answer
                 .instances
                 .iter()
-                .find(|instance| source.at_home(&instance.region));
-            if let Some(home) = home.filter(|home| !source.idempotent && home.callers != address) {
-                let issued = question(client, &home.callers, source).await;
+                .find(|instance| source.is_local(&instance.region));
+            if let Some(local) =
+                local.filter(|local| !source.idempotent && local.callers != address)
+            {
+                let issued = locate(client, &local.callers, source).await;
                 answer.tickets = issued.map(|answer| answer.tickets).unwrap_or_default();
             }
-            let valid = Duration::from_millis(answer.valid_ms).max(KEPT);
-            self.until = Some(Instant::now() + valid);
+            let valid = Duration::from_millis(answer.valid_ms).max(MIN_VALIDITY);
+            self.valid_until = Some(Instant::now() + valid);
             self.instances = answer.instances;
             self.tickets = answer.tickets;
             return;
@@ -106,12 +110,13 @@
 
     /// Draws by weight among the nearest instances: the answer names them first, and its weights
     /// compare instances of one zone only.
-    fn pick(&self, random: &mut StdRng) -> Option<String> {
+    fn pick_weighted(&self, rng: &mut StdRng) -> Option<String> {
         let first = self.instances.first()?;
-        let near = |other: &&Instance| (&other.region, &other.zone) == (&first.region, &first.zone);
-        let nearest = || self.instances.iter().filter(near);
+        let in_first_zone =
+            |other: &&Instance| (&other.region, &other.zone) == (&first.region, &first.zone);
+        let nearest = || self.instances.iter().filter(in_first_zone);
         let sum: f64 = nearest().map(|instance| instance.weight).sum();
-        let mut point = random.random::<f64>() * sum;
+        let mut point = rng.random::<f64>() * sum;
         for instance in nearest() {
             point -= instance.weight;
             if point <= 0.0 {
@@ -122,14 +127,14 @@
     }
 }
 
-async fn question(client: &Client, address: &str, source: &Source) -> Option<Answer> {
+async fn locate(client: &Client, address: &str, source: &Source) -> Option<Answer> {
     let url = format!("http://{address}/v1/locate?{}", query(source));
-    let asking = async {
+    let request = async {
         let mut response = client.get(url).bearer_auth(&source.key).send().await.ok()?;
         response.json::<Answer>().await.ok()
     };
     // An instance that is frozen or cut off must not hold up the question to the next one.
-    tokio::time::timeout(BOUND, asking).await.ok()?
+    tokio::time::timeout(REQUEST_TIMEOUT, request).await.ok()?
 }
 
 fn query(source: &Source) -> String {
--- a/crates/zinniastall-load/src/main.rs
+++ b/crates/zinniastall-load/src/main.rs
@@ -17,7 +17,7 @@
 fn main() -> ExitCode {
     DAEMON.main::<Experiment>(|experiment| {
         let _log = log::start(&experiment.log);
-        match measure(&experiment) {
+        match run_experiment(&experiment) {
             Ok(true) => ExitCode::from(EXIT_OK),
             Ok(false) => ExitCode::from(EXIT_FAILED),
             Err(error) => {
@@ -29,7 +29,7 @@
 }
 
 /// Runs the experiment; true when no promise was seen broken.
-fn measure(experiment: &Experiment) -> eyre::Result<bool> {
+fn run_experiment(experiment: &Experiment) -> eyre::Result<bool> {
     let report = run::run(experiment)?;
     let text = serde_json::to_string_pretty(&report)?;
     match &experiment.report {
@@ -39,5 +39,5 @@
     if let Some(path) = &experiment.plot {
         plot::write(path, &report)?;
     }
-    Ok(report.variants.iter().all(report::Variant::clean))
+    Ok(report.variants.iter().all(report::Variant::is_clean))
 }
--- a/crates/zinniastall-load/src/plan.rs
+++ b/crates/zinniastall-load/src/plan.rs
@@ -35,7 +35,7 @@
 }
 
 fn arrivals(experiment: &Experiment, index: usize, source: &Source) -> Vec<Arrival> {
-    let mut random = StdRng::seed_from_u64(experiment.seed ^ ((index as u64 + 1) << 32));
+    let mut rng = StdRng::seed_from_u64(experiment.seed ^ ((index as u64 + 1) << 32));
     let end = experiment.warmup + experiment.duration;
     let end = source.until.map_or(end, |until| until.min(end));
     let mut at = source.from;
@@ -44,7 +44,7 @@
         return arrivals;
     }
     loop {
-        at += gap(source, &mut random);
+        at += interarrival_time(source, &mut rng);
         if at >= end {
             return arrivals;
         }
@@ -52,17 +52,17 @@
             number: 0,
             at,
             source: index,
-            prefix: random.random_range(0..source.prefixes.max(1)),
+            prefix: rng.random_range(0..source.prefixes.max(1)),
             measured: at >= experiment.warmup,
         });
     }
 }
 
 /// Returns the time to the next arrival: exponentially distributed for Poisson arrivals.
-fn gap(source: &Source, random: &mut StdRng) -> Duration {
+fn interarrival_time(source: &Source, rng: &mut StdRng) -> Duration {
     let mean = 1.0 / source.rate;
     if source.poisson {
-        let uniform: f64 = random.random();
+        let uniform: f64 = rng.random();
         Duration::from_secs_f64(-(1.0 - uniform).ln() * mean)
     } else {
         Duration::from_secs_f64(mean)
--- a/crates/zinniastall-load/src/plot.rs
+++ b/crates/zinniastall-load/src/plot.rs
@@ -7,9 +7,9 @@
 use crate::report::{Report, Variant};
 
 /// Size of the plot, in pixels.
-const SIZE: (u32, u32) = (900, 540);
+const SIZE_PX: (u32, u32) = (900, 540);
 /// Width of the margins for labels, in pixels.
-const LABELS: u32 = 60;
+const LABEL_MARGIN_PX: u32 = 60;
 
 /// Why a plot could not be written.
 #[derive(Debug, thiserror::Error)]
@@ -26,15 +26,15 @@
 }
 
 fn draw(path: &Path, report: &Report) -> Result<(), Box<dyn std::error::Error>> {
-    let root = SVGBackend::new(path, SIZE).into_drawing_area();
+    let root = SVGBackend::new(path, SIZE_PX).into_drawing_area();
     root.fill(&WHITE)?;
     let highest = report.variants.iter().flat_map(points).map(|point| point.1);
     let highest = highest.fold(1.0, f64::max);
     let mut chart = ChartBuilder::on(&root)
         .caption("time to the end of the answer", ("sans-serif", 20))
         .margin(10)
-        .x_label_area_size(LABELS)
-        .y_label_area_size(LABELS)
+        .x_label_area_size(LABEL_MARGIN_PX)
+        .y_label_area_size(LABEL_MARGIN_PX)
         .build_cartesian_2d(0.0..1.0, (0.01..highest * 1.1).log_scale())?;
     chart
         .configure_mesh()
--- a/crates/zinniastall-load/src/prompt.rs
+++ b/crates/zinniastall-load/src/prompt.rs
@@ -10,7 +10,7 @@
     /// Body.
     pub body: String,
     /// First part of every token of the answer.
-    pub mark: String,
+    pub token_prefix: String,
 }
 
 /// Makes the prompt of an arrival.
@@ -24,9 +24,9 @@
         );
     }
     let length = text.len() + source.suffix_bytes;
-    let own = format!("{seed}-{} ", arrival.number);
-    text += &own;
-    fill(&mut text, &own, length);
+    let unique = format!("{seed}-{} ", arrival.number);
+    text += &unique;
+    fill(&mut text, &unique, length);
     let body = json!({
         "model": source.model,
         "stream": source.stream,
@@ -36,7 +36,7 @@
     let digest = blake3::hash(text.as_bytes()).to_hex();
     Prompt {
         body: body.to_string(),
-        mark: digest[..8].to_owned(),
+        token_prefix: digest[..8].to_owned(),
     }
 }
 
--- a/crates/zinniastall-load/src/report.rs
+++ b/crates/zinniastall-load/src/report.rs
@@ -13,12 +13,12 @@
 };
 
 /// Points of a curve for the plot.
-const CURVE: [f64; 12] = [
+const CURVE_QUANTILES: [f64; 12] = [
     0.05, 0.1, 0.25, 0.5, 0.75, 0.9, 0.95, 0.98, 0.99, 0.995, 0.999, 1.0,
 ];
 
 /// Times for which the share of whole answers is given, in milliseconds.
-const WITHIN: [u64; 3] = [250, 500, 800];
+const WITHIN_THRESHOLDS_MS: [u64; 3] = [250, 500, 800];
 
 /// The report of an experiment.
 #[derive(Debug, Clone, Serialize)]
@@ -73,11 +73,11 @@
     /// Whole answers from another region.
     pub away: u64,
     /// Time to the first token.
-    pub first: Times,
+    pub first: Latency,
     /// Time between tokens.
-    pub between: Times,
+    pub between: Latency,
     /// Time to the end.
-    pub whole: Times,
+    pub whole: Latency,
     /// Errors by type.
     pub errors: IndexMap<String, u64>,
     /// Requests by receiving instance.
@@ -86,7 +86,7 @@
 
 /// Times, in microseconds.
 #[derive(Debug, Clone, Serialize)]
-pub struct Times {
+pub struct Latency {
     /// Values.
     pub count: u64,
     /// Median.
@@ -121,7 +121,7 @@
         variant: &settings::Variant,
         tally: &Tally,
         audit: Audit,
-        latest: Duration,
+        max_delay: Duration,
     ) -> Self {
         let row = |client: &str, class: &str, series: &Series| {
             Row::new(client, class, series, experiment.duration)
@@ -134,12 +134,12 @@
                 .map(|((client, class), series)| row(client, class, series))
                 .collect(),
             audit,
-            latest_start_us: latest.as_micros(),
+            latest_start_us: max_delay.as_micros(),
         }
     }
 
     /// Returns whether no promise was seen broken.
-    pub const fn clean(&self) -> bool {
+    pub const fn is_clean(&self) -> bool {
         self.audit.violations() == 0
     }
 }
@@ -157,21 +157,21 @@
             answered: series.answered,
             not_run: series.not_run,
             unknown: series.unknown,
-            goodput: series.in_time as f64 / duration.as_secs_f64(),
-            within: WITHIN
+            goodput: series.within_deadline as f64 / duration.as_secs_f64(),
+            within: WITHIN_THRESHOLDS_MS
                 .map(|millis| (millis, series.within(millis)))
                 .to_vec(),
-            away: series.away,
-            first: Times::new(&series.first),
-            between: Times::new(&series.between),
-            whole: Times::new(&series.whole),
+            away: series.remote,
+            first: Latency::new(&series.first_token),
+            between: Latency::new(&series.token_gaps),
+            whole: Latency::new(&series.total),
             errors: series.errors.clone(),
             instances: series.instances.clone(),
         }
     }
 }
 
-impl Times {
+impl Latency {
     fn new(histogram: &Histogram<u64>) -> Self {
         let at = |quantile| histogram.value_at_quantile(quantile);
         Self {
@@ -180,7 +180,9 @@
             p95: at(0.95),
             p99: at(0.99),
             max: histogram.max(),
-            curve: CURVE.map(|quantile| (quantile, at(quantile))).to_vec(),
+            curve: CURVE_QUANTILES
+                .map(|quantile| (quantile, at(quantile)))
+                .to_vec(),
         }
     }
 }
--- a/crates/zinniastall-load/src/run.rs
+++ b/crates/zinniastall-load/src/run.rs
@@ -14,7 +14,7 @@
     report::{Report, Variant},
     settings::{self, Experiment},
     tally::Tally,
-    worker::{self, Due},
+    worker::{self, DueArrival},
 };
 
 /// Why an experiment failed.
@@ -38,12 +38,14 @@
     let plan = plan::make(&experiment);
     let mut report = Report::new(&experiment, plan.len());
     for variant in &experiment.variants {
-        report.variants.push(measure(&experiment, variant, &plan)?);
+        report
+            .variants
+            .push(run_variant(&experiment, variant, &plan)?);
     }
     Ok(report)
 }
 
-fn measure(
+fn run_variant(
     experiment: &Arc<Experiment>,
     variant: &settings::Variant,
     plan: &[Arrival],
@@ -56,37 +58,40 @@
         let variant = variant.clone();
         threads.push(thread::spawn(move || {
             let system = actix_rt::System::new();
-            system.block_on(worker::work(experiment, variant, number, receiver))
+            system.block_on(worker::run(experiment, variant, number, receiver))
         }));
         channels.push(sender);
     }
-    let latest = pace(plan, &channels)?;
+    let max_delay = pace(plan, &channels)?;
     drop(channels);
     let mut tally = Tally::default();
     for thread in threads {
         tally.merge(thread.join().map_err(|_| Error::Worker)?);
     }
     let runs = actix_rt::System::new().block_on(audit::read(&variant.ledgers))?;
-    let audit = audit::compare(&tally.claims, &runs, variant.ledgers.len());
-    Ok(Variant::new(experiment, variant, &tally, audit, latest))
+    let audit = audit::compare(&tally.observations, &runs, variant.ledgers.len());
+    Ok(Variant::new(experiment, variant, &tally, audit, max_delay))
 }
 
 /// Hands each arrival over at its time; returns by how much the latest one was late.
 ///
 /// This thread sleeps by the operating system's timer: the timers of the sending threads only tell
 /// milliseconds apart, which is more than the latencies to be measured.
-fn pace(plan: &[Arrival], channels: &[mpsc::UnboundedSender<Due>]) -> Result<Duration, Error> {
+fn pace(
+    plan: &[Arrival],
+    channels: &[mpsc::UnboundedSender<DueArrival>],
+) -> Result<Duration, Error> {
     let start = Instant::now();
-    let mut latest = Duration::ZERO;
+    let mut max_delay = Duration::ZERO;
     for (arrival, channel) in plan.iter().zip(channels.iter().cycle()) {
         let due = start + arrival.at;
-        if let Some(left) = due.checked_duration_since(Instant::now()) {
-            thread::sleep(left);
+        if let Some(remaining) = due.checked_duration_since(Instant::now()) {
+            thread::sleep(remaining);
         }
-        latest = latest.max(due.elapsed());
+        max_delay = max_delay.max(due.elapsed());
         channel
             .send((arrival.clone(), due))
             .map_err(|_| Error::Worker)?;
     }
-    Ok(latest)
+    Ok(max_delay)
 }
--- a/crates/zinniastall-load/src/settings.rs
+++ b/crates/zinniastall-load/src/settings.rs
@@ -21,7 +21,7 @@
     /// Time within which an answer counts as goodput; sent along as the deadline.
     pub deadline: Duration,
     /// Longest wait for an answer; what has not ended by then is counted as unknown.
-    pub patience: Duration,
+    pub timeout: Duration,
     /// File of the report; standard output where absent.
     pub report: Option<PathBuf>,
     /// File of the plot.
@@ -84,7 +84,7 @@
 
 impl Source {
     /// Returns whether its callers are in this region, as far as it says where they are.
-    pub fn at_home(&self, region: &str) -> bool {
+    pub fn is_local(&self, region: &str) -> bool {
         self.region.as_deref().is_none_or(|home| home == region)
     }
 }
@@ -96,15 +96,15 @@
             log: reader
                 .optional_name("log")
                 .unwrap_or_else(|| "warn".to_owned()),
-            threads: count(reader.number("threads", 1..=64, 2)),
+            threads: to_usize(reader.number("threads", 1..=64, 2)),
             warmup: reader.millis("warmup_ms", 0..=3_600_000, 1_000),
             duration: reader.millis("duration_ms", 1..=86_400_000, 10_000),
             deadline: reader.millis("deadline_ms", 1..=3_600_000, 10_000),
-            patience: reader.millis("patience_ms", 1..=3_600_000, 60_000),
+            timeout: reader.millis("patience_ms", 1..=3_600_000, 60_000),
             report: reader.optional_text("report").map(PathBuf::from),
             plot: reader.optional_text("plot").map(PathBuf::from),
-            variants: reader.objects("variants", variant),
-            sources: reader.objects("sources", source),
+            variants: reader.objects("variants", read_variant),
+            sources: reader.objects("sources", read_source),
         };
         if experiment.variants.is_empty() {
             reader.fault("variants", Fault::Missing);
@@ -116,7 +116,7 @@
     }
 }
 
-fn variant(reader: &mut Reader<'_>) -> Variant {
+fn read_variant(reader: &mut Reader<'_>) -> Variant {
     let variant = Variant {
         name: reader.name("name"),
         entries: reader.addresses("entries"),
@@ -129,7 +129,7 @@
     variant
 }
 
-fn source(reader: &mut Reader<'_>) -> Source {
+fn read_source(reader: &mut Reader<'_>) -> Source {
     Source {
         client: reader.name("client"),
         key: reader.optional_text("key").unwrap_or_default(),
@@ -140,7 +140,7 @@
         zone: reader.optional_name("zone"),
         model: reader.name("model"),
         rate: reader.fraction("rate", 1e6, 10.0),
-        poisson: reader.word("arrivals", "poisson, fixed", arrivals, true),
+        poisson: reader.word("arrivals", "poisson, fixed", parse_arrivals, true),
         from: reader.millis("from_ms", 0..=86_400_000, 0),
         until: match reader.number("until_ms", 0..=86_400_000, 0) {
             0 => None,
@@ -150,12 +150,12 @@
         idempotent: reader.flag("idempotent", true),
         tokens: reader.number("tokens", 1..=100_000, 16),
         prefixes: reader.number("prefixes", 0..=1_000_000, 0),
-        prefix_bytes: count(reader.number("prefix_bytes", 0..=1 << 20, 2_048)),
-        suffix_bytes: count(reader.number("suffix_bytes", 0..=1 << 20, 64)),
+        prefix_bytes: to_usize(reader.number("prefix_bytes", 0..=1 << 20, 2_048)),
+        suffix_bytes: to_usize(reader.number("suffix_bytes", 0..=1 << 20, 64)),
     }
 }
 
-fn arrivals(word: &str) -> Option<bool> {
+fn parse_arrivals(word: &str) -> Option<bool> {
     match word {
         "poisson" => Some(true),
         "fixed" => Some(false),
@@ -164,6 +164,6 @@
 }
 
 /// Converts a checked number; its range keeps it within `usize`.
-fn count(number: u64) -> usize {
+fn to_usize(number: u64) -> usize {
     usize::try_from(number).unwrap_or(usize::MAX)
 }
--- a/crates/zinniastall-load/src/sse.rs
+++ b/crates/zinniastall-load/src/sse.rs
@@ -6,7 +6,7 @@
 /// Last event of a whole stream.
 pub const DONE: &str = "[DONE]";
 /// Longest event, in bytes; a longer one ends the stream.
-const LIMIT: usize = 1 << 20;
+const MAX_EVENT_BYTES: usize = 1 << 20;
 
 /// One event.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -21,7 +21,7 @@
 #[derive(Debug)]
 pub struct Events<S> {
     bytes: S,
-    rest: BytesMut,
+    buffer: BytesMut,
 }
 
 impl<S, E> Events<S>
@@ -32,7 +32,7 @@
     pub fn new(bytes: S) -> Self {
         Self {
             bytes,
-            rest: BytesMut::new(),
+            buffer: BytesMut::new(),
         }
     }
 
@@ -43,14 +43,14 @@
     /// Passes on the failure of the stream of bytes.
     pub async fn next(&mut self) -> Result<Option<Event>, E> {
         loop {
-            if let Some(event) = take(&mut self.rest) {
+            if let Some(event) = split_event(&mut self.buffer) {
                 return Ok(Some(event));
             }
-            if self.rest.len() > LIMIT {
+            if self.buffer.len() > MAX_EVENT_BYTES {
                 return Ok(None);
             }
             match self.bytes.next().await {
-                Some(chunk) => self.rest.extend_from_slice(&chunk?),
+                Some(chunk) => self.buffer.extend_from_slice(&chunk?),
                 None => return Ok(None),
             }
         }
@@ -58,11 +58,11 @@
 }
 
 /// Takes the first whole event off a buffer.
-fn take(rest: &mut BytesMut) -> Option<Event> {
-    let end = rest.windows(2).position(|pair| pair == b"\n\n")?;
-    let block = rest.split_to(end + 2);
+fn split_event(buffer: &mut BytesMut) -> Option<Event> {
+    let end = buffer.windows(2).position(|pair| pair == b"\n\n")?;
+    let block = buffer.split_to(end + 2);
     let text = String::from_utf8_lossy(&block);
-    let of = |field: &str| {
+    let field_text = |field: &str| {
         let lines = text.lines().filter_map(|line| line.strip_prefix(field));
         lines
             .map(|line| line.strip_prefix(' ').unwrap_or(line))
@@ -70,7 +70,7 @@
             .join("\n")
     };
     Some(Event {
-        name: of("event:"),
-        data: of("data:"),
+        name: field_text("event:"),
+        data: field_text("data:"),
     })
 }
--- a/crates/zinniastall-load/src/tally.rs
+++ b/crates/zinniastall-load/src/tally.rs
@@ -8,13 +8,13 @@
 use crate::{call::Sample, outcome::Outcome, settings::Source};
 
 /// Longest value kept, in microseconds: one hour.
-const LONGEST: u64 = 3_600_000_000;
+const MAX_MICROS: u64 = 3_600_000_000;
 /// Significant digits kept.
-const DIGITS: u8 = 3;
+const SIGNIFICANT_DIGITS: u8 = 3;
 
 /// What one request met, as far as the ledgers must agree with it.
 #[derive(Debug, Clone)]
-pub struct Claim {
+pub struct Observation {
     /// BLAKE3 digest of the body, as hex.
     pub digest: String,
     /// How it ended.
@@ -22,18 +22,18 @@
     /// Whether it may be repeated.
     pub idempotent: bool,
     /// Whether an answer counted as whole was the right one.
-    pub right: bool,
+    pub correct: bool,
 }
 
 /// Samples of one client and class.
 #[derive(Debug, Clone)]
 pub struct Series {
     /// Time to the first token, in microseconds.
-    pub first: Histogram<u64>,
+    pub first_token: Histogram<u64>,
     /// Time between tokens, in microseconds.
-    pub between: Histogram<u64>,
+    pub token_gaps: Histogram<u64>,
     /// Time to the end of whole answers, in microseconds.
-    pub whole: Histogram<u64>,
+    pub total: Histogram<u64>,
     /// Requests.
     pub requests: u64,
     /// Whole answers.
@@ -43,9 +43,9 @@
     /// Requests that may have run.
     pub unknown: u64,
     /// Whole answers within the deadline.
-    pub in_time: u64,
+    pub within_deadline: u64,
     /// Whole answers from another region than the source's.
-    pub away: u64,
+    pub remote: u64,
     /// Errors by type.
     pub errors: IndexMap<String, u64>,
     /// Requests by receiving instance.
@@ -58,21 +58,21 @@
     /// Measured samples.
     pub series: IndexMap<(String, String), Series>,
     /// All requests, also those of the warm-up.
-    pub claims: Vec<Claim>,
+    pub observations: Vec<Observation>,
 }
 
 impl Series {
     fn new() -> Self {
         Self {
-            first: histogram(),
-            between: histogram(),
-            whole: histogram(),
+            first_token: histogram(),
+            token_gaps: histogram(),
+            total: histogram(),
             requests: 0,
             answered: 0,
             not_run: 0,
             unknown: 0,
-            in_time: 0,
-            away: 0,
+            within_deadline: 0,
+            remote: 0,
             errors: IndexMap::new(),
             instances: IndexMap::new(),
         }
@@ -87,28 +87,28 @@
             *self.instances.entry(sample.instance.clone()).or_default() += 1;
         }
         match sample.outcome {
-            Outcome::Answered => self.answer(source, sample, deadline),
+            Outcome::Answered => self.add_answer(source, sample, deadline),
             Outcome::NotRun => self.not_run += 1,
             Outcome::Unknown => self.unknown += 1,
         }
     }
 
-    fn answer(&mut self, source: &Source, sample: &Sample, deadline: Duration) {
+    fn add_answer(&mut self, source: &Source, sample: &Sample, deadline: Duration) {
         self.answered += 1;
-        self.whole.saturating_record(micros(sample.whole));
-        if let Some(first) = sample.first {
-            self.first.saturating_record(micros(first));
+        self.total.saturating_record(micros(sample.total));
+        if let Some(first_token) = sample.first_token {
+            self.first_token.saturating_record(micros(first_token));
         }
-        for gap in &sample.between {
-            self.between.saturating_record(micros(*gap));
+        for gap in &sample.token_gaps {
+            self.token_gaps.saturating_record(micros(*gap));
         }
-        if sample.whole <= deadline {
-            self.in_time += 1;
+        if sample.total <= deadline {
+            self.within_deadline += 1;
         }
-        let served = sample.place.split('/').next().unwrap_or_default();
+        let region = sample.place.split('/').next().unwrap_or_default();
         let home = source.region.as_deref();
-        if !served.is_empty() && home.is_some_and(|home| home != served) {
-            self.away += 1;
+        if !region.is_empty() && home.is_some_and(|home| home != region) {
+            self.remote += 1;
         }
     }
 
@@ -118,22 +118,22 @@
         reason = "counts stay far below the 52 bits that are exact"
     )]
     pub fn within(&self, millis: u64) -> f64 {
-        let answered = self.whole.count_between(0, millis.saturating_mul(1_000));
+        let answered = self.total.count_between(0, millis.saturating_mul(1_000));
         answered as f64 / self.requests.max(1) as f64
     }
 
     /// Adds another series to this one.
     pub fn merge(&mut self, other: &Self) {
         // All histograms have the same bounds, so adding cannot fail.
-        let _ = self.first.add(&other.first);
-        let _ = self.between.add(&other.between);
-        let _ = self.whole.add(&other.whole);
+        let _ = self.first_token.add(&other.first_token);
+        let _ = self.token_gaps.add(&other.token_gaps);
+        let _ = self.total.add(&other.total);
         self.requests += other.requests;
         self.answered += other.answered;
         self.not_run += other.not_run;
         self.unknown += other.unknown;
-        self.in_time += other.in_time;
-        self.away += other.away;
+        self.within_deadline += other.within_deadline;
+        self.remote += other.remote;
         for (error, count) in &other.errors {
             *self.errors.entry(error.clone()).or_default() += count;
         }
@@ -153,7 +153,7 @@
 
     /// Adds another tally to this one.
     pub fn merge(&mut self, other: Self) {
-        self.claims.extend(other.claims);
+        self.observations.extend(other.observations);
         for (key, series) in other.series {
             match self.series.get_mut(&key) {
                 Some(sum) => sum.merge(&series),
@@ -171,9 +171,10 @@
 }
 
 fn histogram() -> Histogram<u64> {
-    Histogram::new_with_bounds(1, LONGEST, DIGITS).expect("constant bounds are valid")
+    Histogram::new_with_bounds(1, MAX_MICROS, SIGNIFICANT_DIGITS)
+        .expect("constant bounds are valid")
 }
 
 fn micros(time: Duration) -> u64 {
-    u64::try_from(time.as_micros()).unwrap_or(LONGEST)
+    u64::try_from(time.as_micros()).unwrap_or(MAX_MICROS)
 }
--- a/crates/zinniastall-load/src/worker.rs
+++ b/crates/zinniastall-load/src/worker.rs
@@ -19,15 +19,15 @@
     plan::Arrival,
     prompt,
     settings::{Experiment, Variant},
-    tally::{Claim, Tally},
+    tally::{Observation, Tally},
 };
 
 /// Idle connections are closed after this time; shorter than what HTTP servers commonly keep, so that
 /// a request rarely meets one that the other end is closing.
-const IDLE: Duration = Duration::from_secs(4);
+const IDLE_TIMEOUT: Duration = Duration::from_secs(4);
 
 /// A request that is due.
-pub(crate) type Due = (Arrival, Instant);
+pub(crate) type DueArrival = (Arrival, Instant);
 
 /// What a worker knows.
 struct Worker {
@@ -40,19 +40,19 @@
 }
 
 /// Sends requests as they come until the channel is closed and all have ended.
-pub(crate) async fn work(
+pub(crate) async fn run(
     experiment: Arc<Experiment>,
     variant: Variant,
     number: u64,
-    mut due: mpsc::UnboundedReceiver<Due>,
+    mut due: mpsc::UnboundedReceiver<DueArrival>,
 ) -> Tally {
     let connector = Connector::new()
         .limit(0)
-        .timeout(experiment.patience)
-        .conn_keep_alive(IDLE);
+        .timeout(experiment.timeout)
+        .conn_keep_alive(IDLE_TIMEOUT);
     let client = Client::builder()
         .connector(connector)
-        .timeout(experiment.patience)
+        .timeout(experiment.timeout)
         .disable_redirects()
         .finish();
     let sources = experiment.sources.len();
@@ -64,28 +64,28 @@
         variant,
         experiment,
     });
-    let mut open = FuturesUnordered::new();
+    let mut in_flight = FuturesUnordered::new();
     loop {
         tokio::select! {
             next = due.recv() => match next {
-                Some(next) => open.push(Rc::clone(&worker).serve(next)),
+                Some(next) => in_flight.push(Rc::clone(&worker).send(next)),
                 None => break,
             },
-            Some(()) = open.next() => {}
+            Some(()) = in_flight.next() => {}
         }
     }
-    while open.next().await.is_some() {}
+    while in_flight.next().await.is_some() {}
     worker.tally.take()
 }
 
 impl Worker {
-    async fn serve(self: Rc<Self>, (arrival, due): Due) {
+    async fn send(self: Rc<Self>, (arrival, due): DueArrival) {
         let experiment = &self.experiment;
         let source = &experiment.sources[arrival.source];
         let prompt = prompt::make(source, &arrival, experiment.seed);
         let digest = blake3::hash(prompt.body.as_bytes()).to_hex().to_string();
         let sample = match self.choose(arrival.source).await {
-            None => Sample::unanswered(Outcome::NotRun, due, "no-instance"),
+            None => Sample::new(Outcome::NotRun, due, "no-instance"),
             Some(choice) => {
                 let call = Call {
                     url: format!("http://{}/v1/chat/completions", choice.address),
@@ -96,19 +96,19 @@
                     due,
                 };
                 let sent = call.send(&self.client);
-                let timed = tokio::time::timeout(experiment.patience, sent).await;
-                timed.unwrap_or_else(|_| Sample::unanswered(Outcome::Unknown, due, "late"))
+                let timed = tokio::time::timeout(experiment.timeout, sent).await;
+                timed.unwrap_or_else(|_| Sample::new(Outcome::Unknown, due, "late"))
             }
         };
         let mut tally = self.tally.borrow_mut();
         if arrival.measured {
             tally.add(source, &sample, experiment.deadline);
         }
-        tally.claims.push(Claim {
+        tally.observations.push(Observation {
             digest,
             outcome: sample.outcome,
             idempotent: source.idempotent,
-            right: sample.right,
+            correct: sample.correct,
         });
     }
 
--- a/crates/zinniastall-load/tests/load.rs
+++ b/crates/zinniastall-load/tests/load.rs
@@ -7,7 +7,7 @@
     outcome::Outcome,
     plan,
     settings::Experiment,
-    tally::Claim,
+    tally::Observation,
 };
 use zinniastall_settings::load;
 
@@ -63,15 +63,15 @@
     assert!((433..667).contains(&poisson), "{poisson}");
 }
 
-macro_rules! verdicts {
-    ($($name:ident: $outcome:expr, $idempotent:expr, runs $runs:expr => $broken:expr;)*) => {$(
+macro_rules! audit_cases {
+    ($($name:ident: $outcome:expr, $idempotent:expr, runs $runs:expr => $violations:expr;)*) => {$(
         #[test]
         fn $name() {
-            let claim = Claim {
+            let observation = Observation {
                 digest: "d".to_owned(),
                 outcome: $outcome,
                 idempotent: $idempotent,
-                right: true,
+                correct: true,
             };
             let run = Run {
                 body_digest: "d".to_owned(),
@@ -81,13 +81,13 @@
                 cached: 0,
                 blocks: 0,
             };
-            let audit = audit::compare(&[claim], &vec![run; $runs], 1);
-            assert_eq!(audit.violations(), $broken);
+            let audit = audit::compare(&[observation], &vec![run; $runs], 1);
+            assert_eq!(audit.violations(), $violations);
         }
     )*};
 }
 
-verdicts! {
+audit_cases! {
     answered_and_ran: Outcome::Answered, false, runs 1 => 0;
     answered_without_a_run: Outcome::Answered, true, runs 0 => 1;
     not_run_and_did_not: Outcome::NotRun, false, runs 0 => 0;
@@ -99,13 +99,13 @@
 
 #[test]
 fn an_answer_to_another_prompt_is_wrong() {
-    let claim = Claim {
+    let observation = Observation {
         digest: "d".to_owned(),
         outcome: Outcome::Answered,
         idempotent: true,
-        right: false,
+        correct: false,
     };
-    assert_eq!(audit::compare(&[claim], &[], 0).violations(), 1);
+    assert_eq!(audit::compare(&[observation], &[], 0).violations(), 1);
 }
 
 #[test]
--- a/crates/zinniastall-standin/src/announce.rs
+++ b/crates/zinniastall-standin/src/announce.rs
@@ -15,17 +15,17 @@
 use serde::{Deserialize, Serialize};
 use serde_json::{Value, json};
 
-use crate::{ledger::now, settings::Announce, slots::Slots};
+use crate::{ledger::unix_ms, settings::Announce, slots::Slots};
 
 /// Longest wait for an answer.
-const BOUND: Duration = Duration::from_secs(1);
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(1);
 /// Pause after a round of instances that did not answer.
-const PAUSE: Duration = Duration::from_millis(100);
+const RETRY_DELAY: Duration = Duration::from_millis(100);
 /// Least and greatest time between two announcements.
-const RENEW: (u64, u64) = (10, 60_000);
+const RENEWAL_BOUNDS_MS: (u64, u64) = (10, 60_000);
 
 /// What a target says of itself beside its load.
-pub trait Offer: Send + Sync {
+pub trait Capabilities: Send + Sync {
     /// Returns the role.
     fn role(&self) -> String;
     /// Returns models or services, in the form of the announcement.
@@ -40,7 +40,7 @@
     settings: Announce,
     address: SocketAddr,
     slots: Slots,
-    offer: Arc<dyn Offer>,
+    capabilities: Arc<dyn Capabilities>,
     incarnation: u64,
     leaving: Arc<AtomicBool>,
 }
@@ -65,14 +65,14 @@
         settings: &Announce,
         address: SocketAddr,
         slots: Slots,
-        offer: Arc<dyn Offer>,
+        capabilities: Arc<dyn Capabilities>,
     ) -> Self {
         Self {
             address: settings.advertise.unwrap_or(address),
             settings: settings.clone(),
             slots,
-            offer,
-            incarnation: now(),
+            capabilities,
+            incarnation: unix_ms(),
             leaving: Arc::default(),
         }
     }
@@ -81,22 +81,24 @@
     pub async fn run(self) {
         let mut instances = self.settings.instances.clone();
         let mut sequence = 0;
-        let mut known = false;
+        let mut announced = false;
         while !instances.is_empty() {
             sequence += 1;
             let Some(answer) = self.announce(instances[0], sequence).await else {
                 instances.rotate_left(1);
-                known = false;
-                tokio::time::sleep(PAUSE).await;
+                announced = false;
+                tokio::time::sleep(RETRY_DELAY).await;
                 continue;
             };
-            if !known {
-                known = true;
+            if !announced {
+                announced = true;
                 tracing::info!(event = "announced", instance = %instances[0]);
             }
-            instances = self.merge(instances[0], answer.instances);
-            let renew = answer.renew_ms.clamp(RENEW.0, RENEW.1);
-            tokio::time::sleep(Duration::from_millis(renew)).await;
+            instances = self.candidates(instances[0], answer.instances);
+            let renew_ms = answer
+                .renew_ms
+                .clamp(RENEWAL_BOUNDS_MS.0, RENEWAL_BOUNDS_MS.1);
+            tokio::time::sleep(Duration::from_millis(renew_ms)).await;
         }
     }
 
@@ -120,27 +122,27 @@
 
     fn body(&self, sequence: u64) -> Value {
         let hex = |digest: &u64| format!("{digest:016x}");
-        let prefixes: Vec<String> = self.offer.prefixes().iter().map(hex).collect();
+        let prefixes: Vec<String> = self.capabilities.prefixes().iter().map(hex).collect();
         json!({
             "target": self.settings.target,
             "incarnation": self.incarnation,
             "sequence": sequence,
             "address": self.address,
             "kind": self.settings.kind,
-            "role": self.offer.role(),
-            "serves": self.offer.serves(),
+            "role": self.capabilities.role(),
+            "serves": self.capabilities.serves(),
             "slots": self.slots.slots(),
-            "busy": self.slots.report(self.settings.lag),
+            "busy": self.slots.lagged_load(self.settings.report_lag),
             "price": self.settings.price,
             "leaving": self.leaving.load(Ordering::Acquire),
-            "cache": {"gap": self.settings.gap, "prefixes": prefixes},
+            "cache": {"gap": self.settings.cache_gap, "prefixes": prefixes},
         })
     }
 
     /// Keeps the instance that answered first, then those it named, then those of the settings.
-    fn merge(&self, first: SocketAddr, named: Vec<SocketAddr>) -> Vec<SocketAddr> {
+    fn candidates(&self, first: SocketAddr, known: Vec<SocketAddr>) -> Vec<SocketAddr> {
         let mut instances = vec![first];
-        for instance in named.into_iter().chain(self.settings.instances.clone()) {
+        for instance in known.into_iter().chain(self.settings.instances.clone()) {
             if !instances.contains(&instance) {
                 instances.push(instance);
             }
@@ -150,7 +152,7 @@
 }
 
 async fn post(instance: SocketAddr, path: &str, body: &Value) -> Option<Value> {
-    let client = awc::Client::builder().timeout(BOUND).finish();
+    let client = awc::Client::builder().timeout(REQUEST_TIMEOUT).finish();
     let request = client.post(format!("http://{instance}{path}"));
     let mut answer = match request.force_close().send_json(body).await {
         Ok(answer) => answer,
--- a/crates/zinniastall-standin/src/answer.rs
+++ b/crates/zinniastall-standin/src/answer.rs
@@ -4,7 +4,7 @@
 use serde_json::{Value, json};
 
 /// Tokens of an answer when the request sets no limit.
-pub const TOKENS: usize = 16;
+pub const DEFAULT_TOKENS: usize = 16;
 
 /// A chat request, as far as a stand-in reads it.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -33,7 +33,9 @@
             model: body.get("model")?.as_str()?.to_owned(),
             prompt: contents?.join("\n"),
             stream: body.get("stream").and_then(Value::as_bool).unwrap_or(false),
-            tokens: tokens.map_or(TOKENS, |tokens| usize::try_from(tokens).unwrap_or(TOKENS)),
+            tokens: tokens.map_or(DEFAULT_TOKENS, |tokens| {
+                usize::try_from(tokens).unwrap_or(DEFAULT_TOKENS)
+            }),
         })
     }
 
@@ -49,7 +51,7 @@
     }
 
     /// Returns a whole answer.
-    pub fn whole(&self, request: &str) -> Value {
+    pub fn completion(&self, request: &str) -> Value {
         json!({
             "id": request,
             "object": "chat.completion",
@@ -64,8 +66,8 @@
     }
 
     /// Returns one event of a streamed answer; the one after the last token says why it ends.
-    pub fn event(&self, request: &str, index: usize) -> Value {
-        let (delta, reason) = if index < self.tokens {
+    pub fn chunk(&self, request: &str, index: usize) -> Value {
+        let (delta, finish_reason) = if index < self.tokens {
             (json!({"content": self.token(index)}), Value::Null)
         } else {
             (json!({}), "stop".into())
@@ -74,7 +76,7 @@
             "id": request,
             "object": "chat.completion.chunk",
             "model": self.model,
-            "choices": [{"index": 0, "delta": delta, "finish_reason": reason}],
+            "choices": [{"index": 0, "delta": delta, "finish_reason": finish_reason}],
         })
     }
 }
--- a/crates/zinniastall-standin/src/daemon.rs
+++ b/crates/zinniastall-standin/src/daemon.rs
@@ -15,9 +15,9 @@
 use zinniastall_settings::{cli, log};
 
 use crate::{
-    announce::{Announcer, Offer},
+    announce::{Announcer, Capabilities},
     engine::Engine,
-    failure::{Failure, Switch},
+    failure::{Failure, Injector},
     ledger::Ledger,
     service::Service,
     settings::{Kind, Standin},
@@ -27,9 +27,9 @@
 };
 
 /// Longest body that a stand-in takes, in bytes.
-const BODY: usize = 64 << 20;
+const MAX_BODY_BYTES: usize = 64 << 20;
 /// Longest wait for requests in progress at a shutdown, in seconds.
-const DRAIN: u64 = 600;
+const DRAIN_TIMEOUT_SECS: u64 = 600;
 
 /// Runs a stand-in until it is told to stop.
 pub fn run(settings: Standin) -> ExitCode {
@@ -46,11 +46,11 @@
 async fn serve(settings: Standin) -> eyre::Result<()> {
     let slots = Slots::new(settings.slots, settings.queue);
     let ledger = match &settings.ledger_file {
-        Some(path) => Ledger::open(settings.ledger, path)?,
-        None => Ledger::new(settings.ledger),
+        Some(path) => Ledger::open(settings.max_ledger_entries, path)?,
+        None => Ledger::new(settings.max_ledger_entries),
     };
-    let failure = Switch::new(settings.failure);
-    let base = Base {
+    let failure = Injector::new(settings.failure);
+    let shared = Shared {
         ledger: ledger.clone(),
         failure: failure.clone(),
     };
@@ -61,8 +61,8 @@
             let configure = move |config: &mut web::ServiceConfig| {
                 config.app_data(data.clone()).configure(Engine::configure);
             };
-            let (server, address) = bind(&settings, base, configure)?;
-            announce(&settings, server, address, slots, engine).await
+            let (server, address) = bind(&settings, shared, configure)?;
+            serve_announced(&settings, server, address, slots, engine).await
         }
         Kind::Service => {
             let service = Service::new(&settings, slots.clone(), ledger, failure);
@@ -70,96 +70,99 @@
             let configure = move |config: &mut web::ServiceConfig| {
                 config.app_data(data.clone()).configure(Service::configure);
             };
-            let (server, address) = bind(&settings, base, configure)?;
-            let offer = Arc::new(Plain(settings.service.name.clone()));
-            announce(&settings, server, address, slots, offer).await
+            let (server, address) = bind(&settings, shared, configure)?;
+            let capabilities = Arc::new(PlainService(settings.service.name.clone()));
+            serve_announced(&settings, server, address, slots, capabilities).await
         }
         Kind::Weights => {
             let data = web::Data::new(Store::new(&settings.weights));
             let configure = move |config: &mut web::ServiceConfig| {
                 config.app_data(data.clone()).configure(Store::configure);
             };
-            let (server, _) = bind(&settings, base, configure)?;
-            until_told(server, async |handle| handle.stop(false).await).await
+            let (server, _) = bind(&settings, shared, configure)?;
+            run_until_terminated(server, async |handle| handle.stop(false).await).await
         }
         Kind::Statsd => {
             let sink = Sink::default();
             let socket = UdpSocket::bind(settings.listen).await?;
-            listening("statsd", socket.local_addr()?);
+            log_address("statsd", socket.local_addr()?);
             actix_web::rt::spawn(sink.clone().receive(socket));
             let data = web::Data::new(sink);
             let configure = move |config: &mut web::ServiceConfig| {
                 config.app_data(data.clone()).configure(Sink::configure);
             };
-            let (server, _) = bind(&settings, base, configure)?;
-            until_told(server, async |handle| handle.stop(false).await).await
+            let (server, _) = bind(&settings, shared, configure)?;
+            run_until_terminated(server, async |handle| handle.stop(false).await).await
         }
     }
 }
 
 /// What every kind of stand-in offers to tests.
 #[derive(Clone)]
-struct Base {
+struct Shared {
     ledger: Ledger,
-    failure: Switch,
+    failure: Injector,
 }
 
 fn bind(
     settings: &Standin,
-    base: Base,
+    shared: Shared,
     configure: impl Fn(&mut web::ServiceConfig) + Clone + Send + 'static,
 ) -> std::io::Result<(Server, SocketAddr)> {
-    let base = web::Data::new(base);
+    let shared = web::Data::new(shared);
     let server = HttpServer::new(move || {
         App::new()
-            .app_data(base.clone())
-            .app_data(web::PayloadConfig::new(BODY))
-            .route("/ledger", web::get().to(ledger))
-            .route("/failure", web::post().to(fail))
+            .app_data(shared.clone())
+            .app_data(web::PayloadConfig::new(MAX_BODY_BYTES))
+            .route("/ledger", web::get().to(list_ledger))
+            .route("/failure", web::post().to(set_failure))
             .configure(configure.clone())
     })
     // A caller that goes away cancels its request, also while the answer has not begun.
     .h1_allow_half_closed(false)
     .workers(settings.threads)
     .disable_signals()
-    .shutdown_timeout(DRAIN)
+    .shutdown_timeout(DRAIN_TIMEOUT_SECS)
     .bind(settings.listen)?;
     let address = server.addrs()[0];
-    listening("http", address);
+    log_address("http", address);
     Ok((server.run(), address))
 }
 
-async fn ledger(base: web::Data<Base>) -> HttpResponse {
-    HttpResponse::Ok().json(base.ledger.entries())
+async fn list_ledger(shared: web::Data<Shared>) -> HttpResponse {
+    HttpResponse::Ok().json(shared.ledger.entries())
 }
 
-async fn fail(base: web::Data<Base>, failure: web::Json<Failure>) -> HttpResponse {
-    base.failure.set(failure.into_inner());
+async fn set_failure(shared: web::Data<Shared>, failure: web::Json<Failure>) -> HttpResponse {
+    shared.failure.set(failure.into_inner());
     HttpResponse::Ok().json(json!({}))
 }
 
-async fn announce(
+async fn serve_announced(
     settings: &Standin,
     server: Server,
     address: SocketAddr,
     slots: Slots,
-    offer: Arc<dyn Offer>,
+    capabilities: Arc<dyn Capabilities>,
 ) -> eyre::Result<()> {
-    let announcer = Announcer::new(&settings.announce, address, slots.clone(), offer);
-    let renewing = actix_web::rt::spawn(announcer.clone().run());
+    let announcer = Announcer::new(&settings.announce, address, slots.clone(), capabilities);
+    let renewal = actix_web::rt::spawn(announcer.clone().run());
     let leave = async |handle: ServerHandle| {
         announcer.leave().await;
-        renewing.abort();
+        renewal.abort();
         // New work may still arrive for a moment; it is served, since leaving must not lose any.
-        while slots.busy() > 0 {
+        while slots.in_flight() > 0 {
             tokio::time::sleep(std::time::Duration::from_millis(10)).await;
         }
         handle.stop(true).await;
     };
-    until_told(server, leave).await
+    run_until_terminated(server, leave).await
 }
 
-async fn until_told(server: Server, stop: impl AsyncFnOnce(ServerHandle)) -> eyre::Result<()> {
+async fn run_until_terminated(
+    server: Server,
+    stop: impl AsyncFnOnce(ServerHandle),
+) -> eyre::Result<()> {
     let handle = server.handle();
     let task = actix_web::rt::spawn(server);
     signal(SignalKind::terminate())?.recv().await;
@@ -171,18 +174,18 @@
 }
 
 /// Reports a bound address: with port 0 nobody could know it otherwise.
-fn listening(role: &str, address: SocketAddr) {
+fn log_address(role: &str, address: SocketAddr) {
     tracing::info!(event = "listening", role, address = %address);
 }
 
-impl Offer for Engine {
+impl Capabilities for Engine {
     fn role(&self) -> String {
         self.state().role
     }
 
     fn serves(&self) -> Value {
-        let serving = |held: &crate::settings::Model| json!({"model": held.model, "version": held.version, "adapters": held.adapters});
-        self.state().models.iter().map(serving).collect()
+        let describe = |model: &crate::settings::Model| json!({"model": model.model, "version": model.version, "adapters": model.adapters});
+        self.state().models.iter().map(describe).collect()
     }
 
     fn prefixes(&self) -> Vec<u64> {
@@ -194,9 +197,9 @@
 }
 
 /// A plain service's offer.
-struct Plain(String);
+struct PlainService(String);
 
-impl Offer for Plain {
+impl Capabilities for PlainService {
     fn role(&self) -> String {
         "both".to_owned()
     }
--- a/crates/zinniastall-standin/src/engine/cache.rs
+++ b/crates/zinniastall-standin/src/engine/cache.rs
@@ -3,43 +3,43 @@
 use indexmap::IndexSet;
 
 /// Digests that an announcement carries at most, newest last.
-const PUBLISHED: usize = 512;
+const MAX_ANNOUNCED_DIGESTS: usize = 512;
 
 /// A prefix cache of limited memory.
 #[derive(Debug)]
 pub struct Cache {
     blocks: IndexSet<u64>,
-    limit: usize,
+    max_blocks: usize,
 }
 
 impl Cache {
     /// Creates a cache that holds `limit` blocks.
-    pub fn new(limit: usize) -> Self {
+    pub fn new(max_blocks: usize) -> Self {
         Self {
             blocks: IndexSet::new(),
-            limit,
+            max_blocks,
         }
     }
 
     /// Returns how many leading blocks of a prompt are held, then holds all of it.
-    pub fn use_chain(&mut self, chain: &[u64]) -> usize {
-        let held = chain
+    pub fn lookup_and_insert(&mut self, chain: &[u64]) -> usize {
+        let hits = chain
             .iter()
             .take_while(|block| self.blocks.contains(*block));
-        let cached = held.count();
+        let cached = hits.count();
         // Blocks become the newest, last ones first, so that a prefix outlives what follows it.
         for block in chain.iter().rev() {
             self.blocks.shift_remove(block);
             self.blocks.insert(*block);
         }
-        let surplus = self.blocks.len().saturating_sub(self.limit);
-        self.blocks.drain(..surplus);
+        let excess = self.blocks.len().saturating_sub(self.max_blocks);
+        self.blocks.drain(..excess);
         cached
     }
 
     /// Returns the newest digests, newest last.
     pub fn newest(&self) -> Vec<u64> {
-        let skipped = self.blocks.len().saturating_sub(PUBLISHED);
+        let skipped = self.blocks.len().saturating_sub(MAX_ANNOUNCED_DIGESTS);
         self.blocks.iter().skip(skipped).copied().collect()
     }
 }
--- a/crates/zinniastall-standin/src/engine/chat.rs
+++ b/crates/zinniastall-standin/src/engine/chat.rs
@@ -12,12 +12,12 @@
 use crate::{
     answer::Chat,
     failure::{Action, Point},
-    ledger::{Entry, Run, now},
+    ledger::{Entry, Run, unix_ms},
     slots::Slot,
 };
 
 /// When to come back to a full engine, in milliseconds.
-const RETRY: u64 = 100;
+const RETRY_AFTER_MS: u64 = 100;
 
 /// One request as it runs: its slot and its line of the ledger end with it.
 #[derive(Debug)]
@@ -26,9 +26,9 @@
     pub(super) chat: Chat,
     pub(super) request: String,
     pub(super) offset: usize,
-    pub(super) uncached: usize,
+    pub(super) uncached_blocks: usize,
     /// When the last token was due.
-    pub(super) due: Instant,
+    pub(super) token_due: Instant,
     pub(super) run: Run,
     pub(super) _slot: Slot,
 }
@@ -40,29 +40,32 @@
     body: Bytes,
 ) -> HttpResponse {
     let Some(chat) = Chat::parse(&body) else {
-        return HttpResponse::BadRequest().json(error("malformed", "not a chat request"));
+        return HttpResponse::BadRequest().json(error_body("malformed", "not a chat request"));
     };
-    if !engine.holds(&chat.model) {
-        return refuse(&engine, &error("not-held", "model not held"));
+    if !engine.serves_model(&chat.model) {
+        return refuse(&engine, &error_body("not-held", "model not held"));
     }
-    let Some(slot) = engine.slots.take().await else {
-        return refuse(&engine, &error("full", "no slot and no place in the queue"));
+    let Some(slot) = engine.slots.acquire().await else {
+        return refuse(
+            &engine,
+            &error_body("full", "no slot and no place in the queue"),
+        );
     };
     let engine = engine.into_inner();
-    let text = |name: &str| {
+    let header_text = |name: &str| {
         let value = request.headers().get(name);
         value
             .and_then(|value| value.to_str().ok())
             .unwrap_or_default()
     };
-    let offset = text(header::OFFSET).parse().unwrap_or(0);
-    let (cached, blocks) = engine.warm(&chat.prompt);
+    let offset = header_text(header::OFFSET).parse().unwrap_or(0);
+    let (cached, blocks) = engine.cache_prompt(&chat.prompt);
     let run = engine.ledger.start(Entry {
-        request: text(header::REQUEST).to_owned(),
-        client: text(header::CLIENT).to_owned(),
-        class: text(header::CLASS).to_owned(),
+        request: header_text(header::REQUEST).to_owned(),
+        client: header_text(header::CLIENT).to_owned(),
+        class: header_text(header::CLASS).to_owned(),
         body_digest: blake3::hash(&body).to_hex().to_string(),
-        started: now(),
+        started: unix_ms(),
         finished: None,
         cancelled: false,
         offset,
@@ -71,56 +74,62 @@
         call: "POST /v1/chat/completions".to_owned(),
     });
     let job = Job {
-        request: text(header::REQUEST).to_owned(),
+        request: header_text(header::REQUEST).to_owned(),
         engine,
         chat,
         offset,
-        uncached: blocks - cached,
-        due: Instant::now(),
+        uncached_blocks: blocks - cached,
+        token_due: Instant::now(),
         run,
         _slot: slot,
     };
-    match job.engine.failure.meet(Point::First, 0) {
+    match job.engine.failure.trigger(Point::First, 0) {
         None => {}
         Some(Action::Hang) => std::future::pending().await,
-        Some(Action::Cut) => return stream::cut(),
+        Some(Action::Cut) => return stream::cut_connection(),
         Some(Action::Error | Action::Die) => {
-            return HttpResponse::InternalServerError().json(error("failed", "engine failed"));
+            return HttpResponse::InternalServerError().json(error_body("failed", "engine failed"));
         }
     }
     if job.chat.stream {
-        stream::answer(job)
+        stream::respond(job)
     } else {
-        whole(job).await
+        respond_whole(job).await
     }
 }
 
-async fn whole(mut job: Job) -> HttpResponse {
+async fn respond_whole(mut job: Job) -> HttpResponse {
     let tokens = u32::try_from(job.chat.tokens).unwrap_or(u32::MAX);
-    let first = job.engine.first(job.uncached);
-    let all = first + job.engine.settings.engine.token.saturating_mul(tokens);
-    if !all.is_zero() {
-        tokio::time::sleep(all).await;
+    let first = job.engine.first_token_latency(job.uncached_blocks);
+    let total = first
+        + job
+            .engine
+            .settings
+            .engine
+            .inter_token_latency
+            .saturating_mul(tokens);
+    if !total.is_zero() {
+        tokio::time::sleep(total).await;
     }
-    match job.engine.failure.meet(Point::End, 0) {
+    match job.engine.failure.trigger(Point::End, 0) {
         None => {}
         Some(Action::Hang) => std::future::pending().await,
-        Some(_) => return stream::cut(),
+        Some(_) => return stream::cut_connection(),
     }
-    let answer = job.chat.whole(&job.request);
+    let answer = job.chat.completion(&job.request);
     job.run.finish();
     HttpResponse::Ok().json(answer)
 }
 
 /// Refuses a request that did not run.
 fn refuse(engine: &Engine, body: &serde_json::Value) -> HttpResponse {
-    tracing::debug!(event = "refused", busy = engine.slots.busy());
+    tracing::debug!(event = "refused", busy = engine.slots.in_flight());
     HttpResponse::ServiceUnavailable()
         .insert_header((header::OUTCOME, "not-run"))
-        .insert_header((header::RETRY, RETRY.to_string()))
+        .insert_header((header::RETRY, RETRY_AFTER_MS.to_string()))
         .json(body)
 }
 
-pub(super) fn error(kind: &str, message: &str) -> serde_json::Value {
+pub(super) fn error_body(kind: &str, message: &str) -> serde_json::Value {
     json!({"error": {"type": kind, "message": message}})
 }
--- a/crates/zinniastall-standin/src/engine/mod.rs
+++ b/crates/zinniastall-standin/src/engine/mod.rs
@@ -14,7 +14,7 @@
 use zinniastall_model::id;
 
 use crate::{
-    failure::Switch,
+    failure::Injector,
     ledger::Ledger,
     settings::{Model, Standin},
     slots::Slots,
@@ -28,7 +28,7 @@
     pub(crate) settings: Standin,
     pub(crate) slots: Slots,
     pub(crate) ledger: Ledger,
-    pub(crate) failure: Switch,
+    pub(crate) failure: Injector,
     pub(crate) cache: Mutex<Cache>,
     pub(crate) state: Mutex<State>,
 }
@@ -41,19 +41,19 @@
     /// Models held.
     pub models: Vec<Model>,
     /// Highest fencing number seen.
-    pub fence: u64,
+    pub highest_fence: u64,
     pub(crate) orders: Vec<Order>,
 }
 
 impl Engine {
     /// Creates an engine.
-    pub fn new(settings: &Standin, slots: Slots, ledger: Ledger, failure: Switch) -> Arc<Self> {
+    pub fn new(settings: &Standin, slots: Slots, ledger: Ledger, failure: Injector) -> Arc<Self> {
         Arc::new(Self {
-            cache: Mutex::new(Cache::new(settings.engine.cache)),
+            cache: Mutex::new(Cache::new(settings.engine.cache_blocks)),
             state: Mutex::new(State {
                 role: settings.engine.role.clone(),
                 models: settings.engine.models.clone(),
-                fence: 0,
+                highest_fence: 0,
                 orders: Vec::new(),
             }),
             settings: settings.clone(),
@@ -67,7 +67,7 @@
     pub fn configure(config: &mut web::ServiceConfig) {
         config
             .route("/v1/chat/completions", web::post().to(chat::complete))
-            .route("/v1/orders", web::post().to(orders::order))
+            .route("/v1/orders", web::post().to(orders::receive))
             .route("/orders", web::get().to(orders::list));
     }
 
@@ -77,7 +77,7 @@
     }
 
     /// Returns whether it holds a model.
-    fn holds(&self, model: &id::Model) -> bool {
+    fn serves_model(&self, model: &id::Model) -> bool {
         self.lock_state()
             .models
             .iter()
@@ -85,16 +85,21 @@
     }
 
     /// Looks a prompt up in the cache, keeps it there, and returns cached and all blocks.
-    fn warm(&self, prompt: &str) -> (usize, usize) {
+    fn cache_prompt(&self, prompt: &str) -> (usize, usize) {
         let chain = zinniastall_route::prefix::chain(prompt);
         let mut cache = self.cache.lock().unwrap_or_else(PoisonError::into_inner);
-        (cache.use_chain(&chain), chain.len())
+        (cache.lookup_and_insert(&chain), chain.len())
     }
 
     /// Returns the time to the first token for a number of uncached blocks.
-    fn first(&self, uncached: usize) -> Duration {
+    fn first_token_latency(&self, uncached: usize) -> Duration {
         let blocks = u32::try_from(uncached).unwrap_or(u32::MAX);
-        self.settings.engine.first + self.settings.engine.block.saturating_mul(blocks)
+        self.settings.engine.first_token_latency
+            + self
+                .settings
+                .engine
+                .block_prefill_time
+                .saturating_mul(blocks)
     }
 
     fn lock_state(&self) -> std::sync::MutexGuard<'_, State> {
--- a/crates/zinniastall-standin/src/engine/orders.rs
+++ b/crates/zinniastall-standin/src/engine/orders.rs
@@ -4,7 +4,7 @@
 use serde::{Deserialize, Serialize};
 use zinniastall_model::{header, id};
 
-use super::{Engine, chat::error};
+use super::{Engine, chat::error_body};
 use crate::{settings::Model, weights};
 
 /// An order's body.
@@ -12,14 +12,14 @@
 #[serde(deny_unknown_fields)]
 pub(super) struct Body {
     role: String,
-    models: Vec<Wanted>,
+    models: Vec<ModelVersion>,
     #[serde(default)]
     adapters: Vec<serde_json::Value>,
 }
 
 /// A model to hold.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-struct Wanted {
+struct ModelVersion {
     id: id::Model,
     version: String,
 }
@@ -34,7 +34,7 @@
 }
 
 /// Takes one order.
-pub(super) async fn order(
+pub(super) async fn receive(
     engine: web::Data<Engine>,
     request: HttpRequest,
     body: web::Json<Body>,
@@ -42,21 +42,21 @@
     let fence = request.headers().get(header::FENCE);
     let fence = fence.and_then(|value| value.to_str().ok()?.parse().ok());
     let Some(fence) = fence else {
-        return HttpResponse::BadRequest().json(error("malformed", "fencing number required"));
+        return HttpResponse::BadRequest().json(error_body("malformed", "fencing number required"));
     };
     let body = body.into_inner();
-    if !engine.judge(fence, &body) {
-        return HttpResponse::Conflict().json(error("old-fence", "a newer order is known"));
+    if !engine.admit(fence, &body) {
+        return HttpResponse::Conflict().json(error_body("old-fence", "a newer order is known"));
     }
     tracing::info!(event = "ordered", fence, role = body.role);
-    if engine.missing(&body) {
-        load(&engine, &body).await;
+    if engine.needs_load(&body) {
+        load_models(&engine, &body).await;
     }
-    let done = engine.obey(fence, &body);
-    if done {
+    let applied = engine.apply(fence, &body);
+    if applied {
         HttpResponse::Ok().json(serde_json::json!({}))
     } else {
-        HttpResponse::Conflict().json(error("old-fence", "a newer order came while loading"))
+        HttpResponse::Conflict().json(error_body("old-fence", "a newer order came while loading"))
     }
 }
 
@@ -65,14 +65,14 @@
     HttpResponse::Ok().json(&engine.state().orders)
 }
 
-async fn load(engine: &Engine, body: &Body) {
+async fn load_models(engine: &Engine, body: &Body) {
     let settings = &engine.settings.engine;
-    let Some(store) = settings.store else {
-        tokio::time::sleep(settings.load).await;
+    let Some(store) = settings.weight_store else {
+        tokio::time::sleep(settings.load_time).await;
         return;
     };
     for model in &body.models {
-        if !engine.has(model) {
+        if !engine.has_version(model) {
             let name = format!("{}/{}", model.id, model.version);
             if let Err(error) = weights::fetch(store, &name).await {
                 tracing::warn!(event = "load-failed", model = name, error = %error);
@@ -83,37 +83,37 @@
 
 impl Engine {
     /// Notes an order; one with an old number is refused by an engine that checks.
-    fn judge(&self, fence: u64, body: &Body) -> bool {
+    fn admit(&self, fence: u64, body: &Body) -> bool {
         let mut state = self.lock_state();
-        let obeyed = !self.settings.engine.checks_fence || fence >= state.fence;
-        state.fence = state.fence.max(fence);
+        let obeyed = !self.settings.engine.checks_fence || fence >= state.highest_fence;
+        state.highest_fence = state.highest_fence.max(fence);
         state.orders.push(Order {
             fence,
             obeyed,
-            at: crate::ledger::now(),
+            at: crate::ledger::unix_ms(),
             body: body.clone(),
         });
         obeyed
     }
 
-    fn missing(&self, body: &Body) -> bool {
-        body.models.iter().any(|model| !self.has(model))
+    fn needs_load(&self, body: &Body) -> bool {
+        body.models.iter().any(|model| !self.has_version(model))
     }
 
-    fn has(&self, wanted: &Wanted) -> bool {
+    fn has_version(&self, wanted: &ModelVersion) -> bool {
         let state = self.lock_state();
-        let same = |held: &Model| held.model == wanted.id && held.version == wanted.version;
-        state.models.iter().any(same)
+        let matches = |held: &Model| held.model == wanted.id && held.version == wanted.version;
+        state.models.iter().any(matches)
     }
 
     /// Does what an order says, unless a newer one came while it was loading.
-    fn obey(&self, fence: u64, body: &Body) -> bool {
+    fn apply(&self, fence: u64, body: &Body) -> bool {
         let mut state = self.lock_state();
-        if self.settings.engine.checks_fence && fence < state.fence {
+        if self.settings.engine.checks_fence && fence < state.highest_fence {
             return false;
         }
         state.role.clone_from(&body.role);
-        let held = |wanted: &Wanted| Model {
+        let held = |wanted: &ModelVersion| Model {
             model: wanted.id.clone(),
             version: wanted.version.clone(),
             adapters: body
--- a/crates/zinniastall-standin/src/engine/stream.rs
+++ b/crates/zinniastall-standin/src/engine/stream.rs
@@ -11,7 +11,7 @@
 use crate::failure::{Action, Point};
 
 /// Time in which the server sends what it holds.
-const FLUSH: Duration = Duration::from_millis(5);
+const FLUSH_DELAY: Duration = Duration::from_millis(5);
 
 /// Why a streamed answer breaks.
 #[derive(Debug, thiserror::Error)]
@@ -22,24 +22,24 @@
 enum Step {
     Event(usize),
     Done,
-    Over,
+    Ended,
 }
 
 /// Answers with the events of a job, from its offset on.
-pub(super) fn answer(job: Job) -> HttpResponse {
+pub(super) fn respond(job: Job) -> HttpResponse {
     let first = Step::Event(job.offset);
     let offset = job.offset.to_string();
     let events = stream::unfold((job, first), |(mut job, step)| async move {
         match step {
-            Step::Event(index) => Some(event(job, index).await),
+            Step::Event(index) => Some(next_event(job, index).await),
             Step::Done => {
                 job.run.finish();
                 Some((
                     Ok(Bytes::from_static(b"data: [DONE]\n\n")),
-                    (job, Step::Over),
+                    (job, Step::Ended),
                 ))
             }
-            Step::Over => None,
+            Step::Ended => None,
         }
     });
     HttpResponse::Ok()
@@ -48,34 +48,34 @@
         .streaming(events)
 }
 
-async fn event(mut job: Job, index: usize) -> (Result<Bytes, Cut>, (Job, Step)) {
+async fn next_event(mut job: Job, index: usize) -> (Result<Bytes, Cut>, (Job, Step)) {
     let wait = match index {
-        _ if index == job.offset => job.engine.first(job.uncached),
-        _ => job.engine.settings.engine.token,
+        _ if index == job.offset => job.engine.first_token_latency(job.uncached_blocks),
+        _ => job.engine.settings.engine.inter_token_latency,
     };
     if !wait.is_zero() && index < job.chat.tokens.max(1) {
         // Timers end up to a millisecond late; waiting from token to token would add that up.
-        job.due += wait;
-        tokio::time::sleep_until(job.due).await;
+        job.token_due += wait;
+        tokio::time::sleep_until(job.token_due).await;
     }
-    if job.engine.failure.armed() {
+    if job.engine.failure.is_armed() {
         // A failing body takes what the server has not yet sent with it; the events before the
         // failure point must be out first.
-        tokio::time::sleep(FLUSH).await;
+        tokio::time::sleep(FLUSH_DELAY).await;
     }
     let sent = index - job.offset;
     let last = index >= job.chat.tokens;
-    let met = job.engine.failure.meet(Point::Events, sent);
-    let met = met.or_else(|| {
-        last.then(|| job.engine.failure.meet(Point::End, 0))
+    let action = job.engine.failure.trigger(Point::Events, sent);
+    let action = action.or_else(|| {
+        last.then(|| job.engine.failure.trigger(Point::End, 0))
             .flatten()
     });
-    match met {
+    match action {
         None => {}
         Some(Action::Hang) => std::future::pending().await,
-        Some(_) => return (Err(Cut), (job, Step::Over)),
+        Some(_) => return (Err(Cut), (job, Step::Ended)),
     }
-    let data = job.chat.event(&job.request, index);
+    let data = job.chat.chunk(&job.request, index);
     let next = if last {
         Step::Done
     } else {
@@ -85,7 +85,7 @@
 }
 
 /// Breaks the connection: the answer promises a byte that never comes.
-pub(super) fn cut() -> HttpResponse {
+pub(super) fn cut_connection() -> HttpResponse {
     let broken = stream::once(std::future::ready(Err::<Bytes, _>(Cut)));
     HttpResponse::Ok().body(SizedStream::new(1, Box::pin(broken)))
 }
--- a/crates/zinniastall-standin/src/failure.rs
+++ b/crates/zinniastall-standin/src/failure.rs
@@ -49,11 +49,11 @@
 
 /// The failure in force; tests replace it while the process runs.
 #[derive(Debug, Clone)]
-pub struct Switch {
+pub struct Injector {
     failure: Arc<Mutex<Failure>>,
 }
 
-impl Switch {
+impl Injector {
     /// Creates a switch.
     pub fn new(failure: Failure) -> Self {
         Self {
@@ -67,16 +67,17 @@
     }
 
     /// Returns whether a failure is still to come.
-    pub fn armed(&self) -> bool {
+    pub fn is_armed(&self) -> bool {
         let failure = self.lock();
         failure.point != Point::None && failure.times > 0
     }
 
     /// Returns what a request that has reached a point after some events meets, and counts it.
-    pub fn meet(&self, point: Point, events: usize) -> Option<Action> {
+    pub fn trigger(&self, point: Point, events: usize) -> Option<Action> {
         let mut failure = self.lock();
-        let here = failure.point == point && (point != Point::Events || failure.events == events);
-        if !here || failure.times == 0 {
+        let reached =
+            failure.point == point && (point != Point::Events || failure.events == events);
+        if !reached || failure.times == 0 {
             return None;
         }
         failure.times -= 1;
@@ -95,8 +96,13 @@
 /// Reads a failure from settings.
 pub(crate) fn read(reader: &mut Reader<'_>) -> Failure {
     let failure = Failure {
-        point: reader.word("point", "none, first, events, end", point, Point::None),
-        action: reader.word("action", "die, cut, hang, error", action, Action::Die),
+        point: reader.word(
+            "point",
+            "none, first, events, end",
+            parse_point,
+            Point::None,
+        ),
+        action: reader.word("action", "die, cut, hang, error", parse_action, Action::Die),
         events: usize::try_from(reader.number("events", 0..=1_000_000, 0)).unwrap_or(usize::MAX),
         times: reader.number("times", 0..=1_000_000, 1),
     };
@@ -106,10 +112,10 @@
     failure
 }
 
-fn point(word: &str) -> Option<Point> {
+fn parse_point(word: &str) -> Option<Point> {
     serde_json::from_value(word.into()).ok()
 }
 
-fn action(word: &str) -> Option<Action> {
+fn parse_action(word: &str) -> Option<Action> {
     serde_json::from_value(word.into()).ok()
 }
--- a/crates/zinniastall-standin/src/ledger.rs
+++ b/crates/zinniastall-standin/src/ledger.rs
@@ -44,22 +44,22 @@
 /// A shared ledger.
 #[derive(Debug, Clone)]
 pub struct Ledger {
-    book: Arc<Mutex<Book>>,
+    state: Arc<Mutex<State>>,
 }
 
 #[derive(Debug)]
-struct Book {
+struct State {
     entries: VecDeque<Entry>,
     /// Entries dropped from the front.
     dropped: usize,
-    limit: usize,
+    max_entries: usize,
     file: Option<File>,
 }
 
 /// One line of a ledger's file.
 #[derive(Debug, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-enum Line {
+enum Record {
     Started(Entry),
     Finished(usize, u64),
 }
@@ -74,15 +74,15 @@
 
 impl Ledger {
     /// Creates a ledger of at most `limit` entries.
-    pub fn new(limit: usize) -> Self {
-        let book = Book {
+    pub fn new(max_entries: usize) -> Self {
+        let state = State {
             entries: VecDeque::new(),
             dropped: 0,
-            limit,
+            max_entries,
             file: None,
         };
         Self {
-            book: Arc::new(Mutex::new(book)),
+            state: Arc::new(Mutex::new(state)),
         }
     }
 
@@ -92,37 +92,37 @@
     /// # Errors
     ///
     /// Fails when the file cannot be read or written.
-    pub fn open(limit: usize, path: &Path) -> std::io::Result<Self> {
-        let ledger = Self::new(limit);
+    pub fn open(max_entries: usize, path: &Path) -> std::io::Result<Self> {
+        let ledger = Self::new(max_entries);
         let options = File::options().create(true).append(true).read(true).clone();
         let file = options.open(path)?;
         for line in BufReader::new(&file).lines() {
             // A line that the end of the process cut short is the last one and tells nothing.
             match serde_json::from_str(&line?) {
-                Ok(Line::Started(entry)) => {
+                Ok(Record::Started(entry)) => {
                     ledger.lock().add(entry);
                 }
-                Ok(Line::Finished(number, at)) => ledger.change(number, |entry| {
+                Ok(Record::Finished(number, at)) => ledger.update(number, |entry| {
                     entry.finished = Some(at);
                 }),
                 Err(_) => {}
             }
         }
-        let mut book = ledger.lock();
-        for entry in &mut book.entries {
+        let mut state = ledger.lock();
+        for entry in &mut state.entries {
             entry.cancelled = entry.finished.is_none();
         }
-        book.file = Some(file);
-        drop(book);
+        state.file = Some(file);
+        drop(state);
         Ok(ledger)
     }
 
     /// Notes that a request starts to run.
     pub fn start(&self, entry: Entry) -> Run {
-        let mut book = self.lock();
-        book.write(&Line::Started(entry.clone()));
-        let number = book.add(entry);
-        drop(book);
+        let mut state = self.lock();
+        state.write(&Record::Started(entry.clone()));
+        let number = state.add(entry);
+        drop(state);
         Run {
             ledger: self.clone(),
             number,
@@ -135,23 +135,23 @@
         self.lock().entries.iter().cloned().collect()
     }
 
-    fn change(&self, number: usize, change: impl FnOnce(&mut Entry)) {
-        let mut book = self.lock();
-        let index = number.checked_sub(book.dropped);
-        if let Some(entry) = index.and_then(|index| book.entries.get_mut(index)) {
-            change(entry);
+    fn update(&self, number: usize, edit: impl FnOnce(&mut Entry)) {
+        let mut state = self.lock();
+        let index = number.checked_sub(state.dropped);
+        if let Some(entry) = index.and_then(|index| state.entries.get_mut(index)) {
+            edit(entry);
         }
     }
 
-    fn lock(&self) -> std::sync::MutexGuard<'_, Book> {
-        self.book.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock(&self) -> std::sync::MutexGuard<'_, State> {
+        self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-impl Book {
+impl State {
     /// Adds an entry and returns its number.
     fn add(&mut self, entry: Entry) -> usize {
-        if self.entries.len() == self.limit {
+        if self.entries.len() == self.max_entries {
             self.entries.pop_front();
             self.dropped += 1;
         }
@@ -159,11 +159,11 @@
         self.dropped + self.entries.len() - 1
     }
 
-    fn write(&mut self, line: &Line) {
+    fn write(&mut self, record: &Record) {
         let Some(file) = &mut self.file else {
             return;
         };
-        let text = serde_json::to_string(line).unwrap_or_default() + "\n";
+        let text = serde_json::to_string(record).unwrap_or_default() + "\n";
         if let Err(error) = file.write_all(text.as_bytes()) {
             // A ledger that misses runs would prove promises that were not kept.
             tracing::error!(event = "ledger-failed", error = %error);
@@ -176,10 +176,10 @@
     /// Notes that the whole answer was handed over.
     pub fn finish(&mut self) {
         self.finished = true;
-        let at = now();
-        self.ledger.lock().write(&Line::Finished(self.number, at));
+        let at = unix_ms();
+        self.ledger.lock().write(&Record::Finished(self.number, at));
         self.ledger
-            .change(self.number, |entry| entry.finished = Some(at));
+            .update(self.number, |entry| entry.finished = Some(at));
     }
 }
 
@@ -187,13 +187,13 @@
     fn drop(&mut self) {
         if !self.finished {
             self.ledger
-                .change(self.number, |entry| entry.cancelled = true);
+                .update(self.number, |entry| entry.cancelled = true);
         }
     }
 }
 
 /// Returns milliseconds since the epoch.
-pub fn now() -> u64 {
-    let since = SystemTime::now().duration_since(UNIX_EPOCH);
-    u64::try_from(since.unwrap_or_default().as_millis()).unwrap_or(u64::MAX)
+pub fn unix_ms() -> u64 {
+    let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH);
+    u64::try_from(since_epoch.unwrap_or_default().as_millis()).unwrap_or(u64::MAX)
 }
--- a/crates/zinniastall-standin/src/service.rs
+++ b/crates/zinniastall-standin/src/service.rs
@@ -6,8 +6,8 @@
 use zinniastall_model::header;
 
 use crate::{
-    failure::{Action, Point, Switch},
-    ledger::{Entry, Ledger, now},
+    failure::{Action, Injector, Point},
+    ledger::{Entry, Ledger, unix_ms},
     settings::Standin,
     slots::Slots,
 };
@@ -18,12 +18,12 @@
     settings: Standin,
     slots: Slots,
     ledger: Ledger,
-    failure: Switch,
+    failure: Injector,
 }
 
 impl Service {
     /// Creates a service.
-    pub fn new(settings: &Standin, slots: Slots, ledger: Ledger, failure: Switch) -> Self {
+    pub fn new(settings: &Standin, slots: Slots, ledger: Ledger, failure: Injector) -> Self {
         Self {
             settings: settings.clone(),
             slots,
@@ -34,17 +34,17 @@
 
     /// Adds the service's calls to a server.
     pub fn configure(config: &mut web::ServiceConfig) {
-        config.default_service(web::to(call));
+        config.default_service(web::to(handle));
     }
 }
 
-async fn call(service: web::Data<Service>, request: HttpRequest, body: Bytes) -> HttpResponse {
-    let Some(slot) = service.slots.take().await else {
+async fn handle(service: web::Data<Service>, request: HttpRequest, body: Bytes) -> HttpResponse {
+    let Some(slot) = service.slots.acquire().await else {
         return HttpResponse::ServiceUnavailable()
             .insert_header((header::OUTCOME, "not-run"))
             .json(json!({"error": {"type": "full", "message": "no place in the queue"}}));
     };
-    let text = |name: &str| {
+    let header_text = |name: &str| {
         let value = request.headers().get(name);
         value
             .and_then(|value| value.to_str().ok())
@@ -53,11 +53,11 @@
     let call = format!("{} {}", request.method(), request.uri());
     let body_digest = blake3::hash(&body).to_hex().to_string();
     let mut run = service.ledger.start(Entry {
-        request: text(header::REQUEST).to_owned(),
-        client: text(header::CLIENT).to_owned(),
-        class: text(header::CLASS).to_owned(),
+        request: header_text(header::REQUEST).to_owned(),
+        client: header_text(header::CLIENT).to_owned(),
+        class: header_text(header::CLASS).to_owned(),
         body_digest: body_digest.clone(),
-        started: now(),
+        started: unix_ms(),
         finished: None,
         cancelled: false,
         offset: 0,
@@ -65,13 +65,13 @@
         blocks: 0,
         call: call.clone(),
     });
-    match service.failure.meet(Point::First, 0) {
+    match service.failure.trigger(Point::First, 0) {
         None => {}
         Some(Action::Hang) => std::future::pending().await,
         Some(_) => return HttpResponse::InternalServerError().json(json!({"error": {}})),
     }
-    if !service.settings.service.busy.is_zero() {
-        tokio::time::sleep(service.settings.service.busy).await;
+    if !service.settings.service.service_time.is_zero() {
+        tokio::time::sleep(service.settings.service.service_time).await;
     }
     run.finish();
     drop(slot);
--- a/crates/zinniastall-standin/src/settings.rs
+++ b/crates/zinniastall-standin/src/settings.rs
@@ -32,7 +32,7 @@
     /// Threads that serve requests.
     pub threads: usize,
     /// Most entries of its ledger; the oldest go first.
-    pub ledger: usize,
+    pub max_ledger_entries: usize,
     /// File that keeps its ledger over restarts; none is kept where absent.
     pub ledger_file: Option<PathBuf>,
     /// Requests that it runs at once.
@@ -63,11 +63,11 @@
     /// Kind of target, as the deployment names it.
     pub kind: String,
     /// Age of the load that it reports.
-    pub lag: Duration,
+    pub report_lag: Duration,
     /// Price of one busy second.
     pub price: f64,
     /// Whether its cache events have gaps.
-    pub gap: bool,
+    pub cache_gap: bool,
 }
 
 /// Settings of a model engine.
@@ -78,19 +78,19 @@
     /// Role at the start.
     pub role: String,
     /// Time to the first token without uncached blocks of prompt.
-    pub first: Duration,
+    pub first_token_latency: Duration,
     /// Further time to the first token for each uncached block of prompt.
-    pub block: Duration,
+    pub block_prefill_time: Duration,
     /// Time from token to token.
-    pub token: Duration,
+    pub inter_token_latency: Duration,
     /// Blocks of prompt that its cache holds.
-    pub cache: usize,
+    pub cache_blocks: usize,
     /// Whether it refuses orders with an old fencing number.
     pub checks_fence: bool,
     /// Time to load a model when ordered, without a weight store.
-    pub load: Duration,
+    pub load_time: Duration,
     /// Weight store from which ordered models come.
-    pub store: Option<SocketAddr>,
+    pub weight_store: Option<SocketAddr>,
 }
 
 /// A model that an engine holds.
@@ -110,16 +110,16 @@
     /// Service.
     pub name: id::Service,
     /// Time that one request takes.
-    pub busy: Duration,
+    pub service_time: Duration,
 }
 
 /// Settings of the weight store.
 #[derive(Debug, Clone)]
 pub struct Weights {
     /// Bytes a second, over all downloads.
-    pub rate: u64,
+    pub bytes_per_second: u64,
     /// Size of one file.
-    pub size: u64,
+    pub file_bytes: u64,
 }
 
 impl Settings for Standin {
@@ -128,36 +128,36 @@
             kind: reader.word(
                 "kind",
                 "engine, service, weights, statsd",
-                kind,
+                parse_kind,
                 Kind::Engine,
             ),
             listen: reader.address("listen"),
             log: reader
                 .optional_name("log")
                 .unwrap_or_else(|| "info".to_owned()),
-            threads: count(reader.number("threads", 1..=64, 1)),
-            ledger: count(reader.number("ledger", 1..=10_000_000, 100_000)),
+            threads: to_usize(reader.number("threads", 1..=64, 1)),
+            max_ledger_entries: to_usize(reader.number("ledger", 1..=10_000_000, 100_000)),
             ledger_file: reader.optional_text("ledger_file").map(PathBuf::from),
-            slots: count(reader.number("slots", 1..=100_000, 8)),
-            queue: count(reader.number("queue", 0..=100_000, 64)),
+            slots: to_usize(reader.number("slots", 1..=100_000, 8)),
+            queue: to_usize(reader.number("queue", 0..=100_000, 64)),
             failure: reader.nested("failure", failure::read),
-            announce: reader.nested("announce", announce),
-            engine: reader.nested("engine", engine),
+            announce: reader.nested("announce", read_announce),
+            engine: reader.nested("engine", read_engine),
             service: reader.nested("service", |reader| Service {
                 name: reader
                     .optional_name("name")
                     .unwrap_or_else(|| "service".to_owned()),
-                busy: reader.millis("busy_ms", 0..=600_000, 0),
+                service_time: reader.millis("busy_ms", 0..=600_000, 0),
             }),
             weights: reader.nested("weights", |reader| Weights {
-                rate: reader.number("rate", 1..=1 << 40, 1 << 30),
-                size: reader.number("size", 1..=1 << 40, 1 << 20),
+                bytes_per_second: reader.number("rate", 1..=1 << 40, 1 << 30),
+                file_bytes: reader.number("size", 1..=1 << 40, 1 << 20),
             }),
         }
     }
 }
 
-fn kind(word: &str) -> Option<Kind> {
+fn parse_kind(word: &str) -> Option<Kind> {
     match word {
         "engine" => Some(Kind::Engine),
         "service" => Some(Kind::Service),
@@ -167,7 +167,7 @@
     }
 }
 
-fn announce(reader: &mut Reader<'_>) -> Announce {
+fn read_announce(reader: &mut Reader<'_>) -> Announce {
     Announce {
         instances: reader.addresses("instances"),
         target: reader
@@ -177,13 +177,13 @@
         kind: reader
             .optional_name("kind")
             .unwrap_or_else(|| "standin".to_owned()),
-        lag: reader.millis("lag_ms", 0..=600_000, 0),
+        report_lag: reader.millis("lag_ms", 0..=600_000, 0),
         price: reader.fraction("price", 1e9, 1.0),
-        gap: reader.flag("gap", false),
+        cache_gap: reader.flag("gap", false),
     }
 }
 
-fn engine(reader: &mut Reader<'_>) -> Engine {
+fn read_engine(reader: &mut Reader<'_>) -> Engine {
     Engine {
         models: reader.objects("models", |reader| Model {
             model: reader.name("model"),
@@ -193,17 +193,17 @@
         role: reader
             .optional_name("role")
             .unwrap_or_else(|| "both".to_owned()),
-        first: reader.millis("first_ms", 0..=600_000, 0),
-        block: Duration::from_micros(reader.number("block_us", 0..=10_000_000, 0)),
-        token: Duration::from_micros(reader.number("token_us", 0..=60_000_000, 0)),
-        cache: count(reader.number("cache_blocks", 0..=10_000_000, 4096)),
+        first_token_latency: reader.millis("first_ms", 0..=600_000, 0),
+        block_prefill_time: Duration::from_micros(reader.number("block_us", 0..=10_000_000, 0)),
+        inter_token_latency: Duration::from_micros(reader.number("token_us", 0..=60_000_000, 0)),
+        cache_blocks: to_usize(reader.number("cache_blocks", 0..=10_000_000, 4096)),
         checks_fence: reader.flag("checks_fence", true),
-        load: reader.millis("load_ms", 0..=600_000, 0),
-        store: reader.optional_address("store"),
+        load_time: reader.millis("load_ms", 0..=600_000, 0),
+        weight_store: reader.optional_address("store"),
     }
 }
 
 /// Converts a checked number; its range keeps it within `usize`.
-fn count(number: u64) -> usize {
+fn to_usize(number: u64) -> usize {
     usize::try_from(number).unwrap_or(usize::MAX)
 }
--- a/crates/zinniastall-standin/src/slots.rs
+++ b/crates/zinniastall-standin/src/slots.rs
@@ -14,11 +14,11 @@
 /// Slots of a stand-in.
 #[derive(Debug, Clone)]
 pub struct Slots {
-    free: Arc<Semaphore>,
+    semaphore: Arc<Semaphore>,
     /// Requests that run or wait.
-    busy: Arc<AtomicUsize>,
-    limit: usize,
-    most: usize,
+    in_flight: Arc<AtomicUsize>,
+    max_in_flight: usize,
+    slots: usize,
     history: Arc<Mutex<VecDeque<(Instant, usize)>>>,
 }
 
@@ -26,14 +26,14 @@
 #[derive(Debug)]
 pub struct Slot {
     _permit: OwnedSemaphorePermit,
-    _place: Place,
+    _guard: Guard,
 }
 
 /// A place among running and waiting requests.
 #[derive(Debug)]
-struct Place(Arc<AtomicUsize>);
+struct Guard(Arc<AtomicUsize>);
 
-impl Drop for Place {
+impl Drop for Guard {
     fn drop(&mut self) {
         self.0.fetch_sub(1, Ordering::AcqRel);
     }
@@ -43,51 +43,51 @@
     /// Creates slots with a queue before them.
     pub fn new(slots: usize, queue: usize) -> Self {
         Self {
-            free: Arc::new(Semaphore::new(slots)),
-            busy: Arc::default(),
-            limit: slots + queue,
-            most: slots,
+            semaphore: Arc::new(Semaphore::new(slots)),
+            in_flight: Arc::default(),
+            max_in_flight: slots + queue,
+            slots,
             history: Arc::default(),
         }
     }
 
     /// Waits for a slot; `None` at once when the queue is full.
-    pub async fn take(&self) -> Option<Slot> {
-        let place = Place(Arc::clone(&self.busy));
+    pub async fn acquire(&self) -> Option<Slot> {
+        let guard = Guard(Arc::clone(&self.in_flight));
         // The place counts before it is judged, so that two at once cannot both be the last.
-        let before = self.busy.fetch_add(1, Ordering::AcqRel);
-        if before >= self.limit {
+        let in_flight = self.in_flight.fetch_add(1, Ordering::AcqRel);
+        if in_flight >= self.max_in_flight {
             return None;
         }
-        let permit = Arc::clone(&self.free).acquire_owned().await.ok()?;
+        let permit = Arc::clone(&self.semaphore).acquire_owned().await.ok()?;
         Some(Slot {
             _permit: permit,
-            _place: place,
+            _guard: guard,
         })
     }
 
     /// Returns how many there are.
     pub const fn slots(&self) -> usize {
-        self.most
+        self.slots
     }
 
     /// Returns how many requests run or wait.
-    pub fn busy(&self) -> usize {
-        self.busy.load(Ordering::Acquire)
+    pub fn in_flight(&self) -> usize {
+        self.in_flight.load(Ordering::Acquire)
     }
 
     /// Notes the load now and returns the newest that is at least `lag` old.
-    pub fn report(&self, lag: Duration) -> usize {
+    pub fn lagged_load(&self, lag: Duration) -> usize {
         let now = Instant::now();
         let mut history = self.history.lock().unwrap_or_else(PoisonError::into_inner);
-        history.push_back((now, self.busy()));
-        let old = |entry: &(Instant, usize)| now.duration_since(entry.0) >= lag;
-        while history.get(1).is_some_and(old) {
+        history.push_back((now, self.in_flight()));
+        let old_enough = |sample: &(Instant, usize)| now.duration_since(sample.0) >= lag;
+        while history.get(1).is_some_and(old_enough) {
             history.pop_front();
         }
         history
             .front()
-            .filter(|entry| old(entry))
-            .map_or(0, |entry| entry.1)
+            .filter(|sample| old_enough(sample))
+            .map_or(0, |sample| sample.1)
     }
 }
--- a/crates/zinniastall-standin/src/statsd.rs
+++ b/crates/zinniastall-standin/src/statsd.rs
@@ -7,9 +7,9 @@
 use tokio::net::UdpSocket;
 
 /// Most names that are kept.
-const NAMES: usize = 10_000;
+const MAX_SERIES: usize = 10_000;
 /// Longest datagram.
-const DATAGRAM: usize = 64 * 1024;
+const MAX_DATAGRAM_BYTES: usize = 64 * 1024;
 
 /// What arrived, by line without its value.
 #[derive(Debug, Clone, Default)]
@@ -25,7 +25,7 @@
 
     /// Counts datagrams until the socket fails.
     pub async fn receive(self, socket: UdpSocket) {
-        let mut buffer = vec![0; DATAGRAM];
+        let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
         while let Ok(length) = socket.recv(&mut buffer).await {
             let text = String::from_utf8_lossy(&buffer[..length]);
             text.lines().for_each(|line| self.count(line));
@@ -39,7 +39,7 @@
         let tags = rest.split_once('|').map_or("", |(_, tags)| tags);
         let mut counts = self.counts.lock().unwrap_or_else(PoisonError::into_inner);
         let key = format!("{name}|{tags}");
-        if counts.len() < NAMES || counts.contains_key(&key) {
+        if counts.len() < MAX_SERIES || counts.contains_key(&key) {
             *counts.entry(key).or_default() += 1;
         }
     }
--- a/crates/zinniastall-standin/src/weights.rs
+++ b/crates/zinniastall-standin/src/weights.rs
@@ -18,7 +18,7 @@
 use crate::settings::Weights;
 
 /// Bytes of one part of a file.
-const PART: u64 = 64 * 1024;
+const CHUNK_BYTES: u64 = 64 * 1024;
 static ZEROS: [u8; 64 * 1024] = [0; 64 * 1024];
 
 /// The weight store; all threads share it.
@@ -26,9 +26,9 @@
 pub struct Store {
     settings: Weights,
     /// When the rate permits the next part.
-    next: Mutex<Instant>,
+    next_chunk_at: Mutex<Instant>,
     active: AtomicUsize,
-    busiest: AtomicUsize,
+    peak_active: AtomicUsize,
     downloads: AtomicUsize,
 }
 
@@ -43,7 +43,7 @@
 /// A download in progress.
 struct Download {
     store: Arc<Store>,
-    left: u64,
+    remaining: u64,
 }
 
 impl Drop for Download {
@@ -57,9 +57,9 @@
     pub fn new(settings: &Weights) -> Self {
         Self {
             settings: settings.clone(),
-            next: Mutex::new(Instant::now()),
+            next_chunk_at: Mutex::new(Instant::now()),
             active: AtomicUsize::new(0),
-            busiest: AtomicUsize::new(0),
+            peak_active: AtomicUsize::new(0),
             downloads: AtomicUsize::new(0),
         }
     }
@@ -72,10 +72,14 @@
     }
 
     fn reserve(&self, bytes: u64) -> Instant {
-        let mut next = self.next.lock().unwrap_or_else(PoisonError::into_inner);
-        let start = (*next).max(Instant::now());
-        *next = start + Duration::from_micros(bytes * 1_000_000 / self.settings.rate);
-        *next
+        let mut next_chunk_at = self
+            .next_chunk_at
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner);
+        let start = (*next_chunk_at).max(Instant::now());
+        *next_chunk_at =
+            start + Duration::from_micros(bytes * 1_000_000 / self.settings.bytes_per_second);
+        *next_chunk_at
     }
 }
 
@@ -83,26 +87,26 @@
     let store = store.into_inner();
     store.downloads.fetch_add(1, Ordering::AcqRel);
     let active = store.active.fetch_add(1, Ordering::AcqRel) + 1;
-    store.busiest.fetch_max(active, Ordering::AcqRel);
-    let left = store.settings.size;
-    let parts = stream::unfold(Download { store, left }, |mut download| async move {
-        let part = download.left.min(PART);
-        if part == 0 {
+    store.peak_active.fetch_max(active, Ordering::AcqRel);
+    let remaining = store.settings.file_bytes;
+    let chunks = stream::unfold(Download { store, remaining }, |mut download| async move {
+        let chunk = download.remaining.min(CHUNK_BYTES);
+        if chunk == 0 {
             return None;
         }
-        tokio::time::sleep_until(download.store.reserve(part)).await;
-        download.left -= part;
-        let bytes = &ZEROS[..usize::try_from(part).unwrap_or(0)];
+        tokio::time::sleep_until(download.store.reserve(chunk)).await;
+        download.remaining -= chunk;
+        let bytes = &ZEROS[..usize::try_from(chunk).unwrap_or(0)];
         let bytes = Ok::<_, std::convert::Infallible>(Bytes::from_static(bytes));
         Some((bytes, download))
     });
-    HttpResponse::Ok().streaming(parts)
+    HttpResponse::Ok().streaming(chunks)
 }
 
 async fn report(store: web::Data<Store>) -> HttpResponse {
     HttpResponse::Ok().json(Report {
         active: store.active.load(Ordering::Acquire),
-        busiest: store.busiest.load(Ordering::Acquire),
+        busiest: store.peak_active.load(Ordering::Acquire),
         downloads: store.downloads.load(Ordering::Acquire),
     })
 }
@@ -112,10 +116,10 @@
 pub enum Error {
     /// The store did not answer.
     #[error("weight store did not answer: {0}")]
-    Unanswered(String),
+    Request(String),
     /// The file broke off.
     #[error("weights broke off: {0}")]
-    Broken(String),
+    Incomplete(String),
 }
 
 /// Fetches one file and throws it away.
@@ -127,9 +131,9 @@
     let client = awc::Client::builder().disable_timeout().finish();
     let request = client.get(format!("http://{store}/weights/{name}"));
     let sent = request.send().await;
-    let mut answer = sent.map_err(|error| Error::Unanswered(error.to_string()))?;
-    while let Some(part) = answer.next().await {
-        part.map_err(|error| Error::Broken(error.to_string()))?;
+    let mut answer = sent.map_err(|error| Error::Request(error.to_string()))?;
+    while let Some(chunk) = answer.next().await {
+        chunk.map_err(|error| Error::Incomplete(error.to_string()))?;
     }
     Ok(())
 }
