--- a/crates/zinniastall-load/src/audit.rs
+++ b/crates/zinniastall-load/src/audit.rs
@@ -1,4 +1,4 @@
-//! Compares what callers were told with what the targets' ledgers say.
+//! Compares what callers were told with the targets' ledgers.
 
 use std::{collections::HashMap, net::SocketAddr, time::Duration};
 
@@ -7,59 +7,59 @@
 
 use crate::{outcome::Outcome, tally::Observation};
 
-/// Longest ledger, in bytes.
+/// Longest ledger that is read.
 const MAX_LEDGER_BYTES: usize = 1 << 30;
 /// Longest wait for a ledger.
 const READ_TIMEOUT: Duration = Duration::from_mins(1);
 
-/// One run of a request, as a ledger has it.
+/// One run of a request, as a ledger lists it.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Run {
     /// BLAKE3 digest of the body, as hex.
     pub body_digest: String,
-    /// When it started, in milliseconds since the epoch.
+    /// When it started, in milliseconds since the Unix epoch.
     pub started: u64,
-    /// When it ended whole.
+    /// When its whole answer was ready, in milliseconds since the Unix epoch.
     pub finished: Option<u64>,
-    /// Event at which it resumed.
+    /// Event at which it resumed a stream; 0 for a run from the start.
     pub offset: usize,
-    /// Blocks of its prompt that were cached.
+    /// Prompt blocks that were found in the cache.
     pub cached: usize,
-    /// Blocks of its prompt.
+    /// Prompt blocks in total.
     pub blocks: usize,
 }
 
-/// The verdict.
+/// Result of an audit.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize)]
 pub struct Audit {
     /// Ledgers that were read.
     pub ledgers: usize,
     /// Runs in them.
     pub runs: u64,
-    /// Answers that were called whole but were not the right ones.
+    /// Answers reported as whole that were not the ones to their prompts.
     pub wrong: u64,
-    /// Whole answers without a run.
+    /// Whole answers to requests without a run.
     pub invented: u64,
-    /// Requests called "not run" that ran.
+    /// Requests reported as not run that ran.
     pub ran_anyway: u64,
-    /// Requests that may run once and ran more often.
+    /// Requests that may run at most once and ran more than once.
     pub doubled: u64,
-    /// Time that targets were busy, in milliseconds.
+    /// Sum of the times of finished runs, in milliseconds.
     pub busy_ms: u64,
-    /// Blocks of prompt that were cached.
+    /// Prompt blocks that were found in caches.
     pub cached: u64,
-    /// Blocks of prompt.
+    /// Prompt blocks in total.
     pub blocks: u64,
 }
 
 impl Audit {
-    /// Returns how many requests broke a promise.
+    /// Returns the number of broken guarantees.
     pub const fn violations(&self) -> u64 {
         self.wrong + self.invented + self.ran_anyway + self.doubled
     }
 }
 
-/// Why a ledger cannot be compared.
+/// Why a ledger cannot be read.
 #[derive(Debug, thiserror::Error)]
 #[error("ledger of {target} cannot be read: {cause}")]
 pub struct Error {
@@ -100,7 +100,7 @@
     ledger.map_err(|error| error.to_string())
 }
 
-/// Compares claims and runs; without ledgers only the answers themselves are judged.
+/// Compares observations with runs; without ledgers it only checks the answers themselves.
 pub fn compare(observations: &[Observation], runs: &[Run], ledgers: usize) -> Audit {
     let mut by_digest: HashMap<&str, u64> = HashMap::new();
     let mut audit = Audit {
@@ -108,7 +108,7 @@
         ..Audit::default()
     };
     for run in runs {
-        // A resumed stream goes on with the run that it belongs to.
+        // A run that resumes a stream belongs to an earlier run and is no second execution.
         *by_digest.entry(&run.body_digest).or_default() += u64::from(run.offset == 0);
         audit.runs += 1;
         audit.busy_ms += run
--- a/crates/zinniastall-load/src/call.rs
+++ b/crates/zinniastall-load/src/call.rs
@@ -21,29 +21,29 @@
 /// Longest whole answer, in bytes.
 const MAX_BODY_BYTES: usize = 64 << 20;
 
-/// What one request needs.
+/// A request to send.
 #[derive(Debug)]
 pub struct Call<'a> {
-    /// Where it goes.
+    /// URL.
     pub url: String,
-    /// Its source.
+    /// Source.
     pub source: &'a Source,
-    /// Its body.
+    /// Prompt, with the body to send.
     pub prompt: &'a Prompt,
-    /// Ticket, if it may run at most once.
+    /// Ticket, for a request that may run at most once.
     pub ticket: Option<String>,
-    /// Deadline sent along.
+    /// Deadline, sent as a header.
     pub deadline: Duration,
-    /// When it should have started.
+    /// Planned start.
     pub due: Instant,
 }
 
-/// What one request met.
+/// Result of one request.
 #[derive(Debug, Clone)]
 pub struct Sample {
     /// How it ended.
     pub outcome: Outcome,
-    /// Whether the answer was the one to this prompt, in full.
+    /// Whether the answer was whole and the one to this prompt.
     pub correct: bool,
     /// From the planned start to the first token.
     pub first_token: Option<Duration>,
@@ -55,12 +55,12 @@
     pub place: String,
     /// Instance that received it.
     pub instance: String,
-    /// Type of an error answer.
+    /// Type of the error; empty without one.
     pub error: String,
 }
 
 impl Sample {
-    /// Creates a sample of a request that got no answer.
+    /// Creates a sample, without content, of a request that ends now.
     pub fn new(outcome: Outcome, due: Instant, error: &str) -> Self {
         Self {
             outcome,
@@ -93,7 +93,7 @@
         let body = Bytes::copy_from_slice(self.prompt.body.as_bytes());
         let mut response = match request.send_body(body).await {
             Ok(response) => response,
-            // The library also says this of a connection that broke while it was in use, so the
+            // The HTTP library also reports this for a connection that broke while in use, so the
             // request may have run.
             Err(SendRequestError::Connect(ConnectError::Disconnected)) => {
                 return Sample::new(Outcome::Unknown, self.due, "broken");
@@ -127,7 +127,7 @@
         }
     }
 
-    /// Judges a whole answer.
+    /// Evaluates an answer that is not streamed.
     fn check_body(&self, body: Option<Bytes>) -> Sample {
         let body = body.and_then(|body| serde_json::from_slice::<Value>(&body).ok());
         let Some(body) = body else {
@@ -142,7 +142,7 @@
         }
     }
 
-    /// Follows a streamed answer to its end.
+    /// Reads a streamed answer to its end.
     async fn read_events<S, E>(&self, mut events: Events<S>) -> Sample
     where
         S: Stream<Item = Result<Bytes, E>> + StreamExt + Unpin,
@@ -181,8 +181,8 @@
             token_gaps,
             ..Sample::new(end.0, self.due, &end.1)
         };
-        // The HTTP library closes a connection whose body was not read to its end. Each stream would
-        // then pay for a connection of its own, and that would be measured as time of the system.
+        // The HTTP library closes a connection whose body was not read to its end. Each stream
+        // would then need a new connection, whose setup would count as latency of the system.
         while let Ok(Some(_)) = events.next().await {}
         sample
     }
--- a/crates/zinniastall-load/src/lib.rs
+++ b/crates/zinniastall-load/src/lib.rs
@@ -1,11 +1,12 @@
-//! Open-loop load, experiments and reports.
+//! Open-loop load generator: runs experiments and reports their results.
 //!
-//! [`settings`] describe an experiment: sources of requests and variants to compare. From the seed
-//! one [`plan`] of arrivals is made; every variant meets the same one. [`run`] sends each request
-//! at its planned time whether or not earlier ones have ended, and measures from the planned time,
-//! so that a stalled system cannot hide its delays by slowing the callers (coordinated omission).
-//! [`tally`] collects histograms and outcomes by client and class, [`audit`] compares outcomes with
-//! the stand-ins' ledgers, [`report`] and [`plot`] write the result.
+//! [`settings`] describe an experiment: sources of requests and variants to compare. One [`plan`]
+//! of arrivals is generated from the seed, and every variant receives the same one. [`run`] sends
+//! each request at its planned time whether or not earlier ones have ended, and measures from the
+//! planned time, so that a stalled system cannot hide its delays by slowing its callers
+//! (coordinated omission). [`tally`] collects histograms and outcomes by client and class,
+//! [`audit`] compares the outcomes with the stand-ins' ledgers, [`report`] and [`plot`] write the
+//! result.
 
 pub mod audit;
 pub mod call;
--- a/crates/zinniastall-load/src/locate.rs
+++ b/crates/zinniastall-load/src/locate.rs
@@ -1,4 +1,4 @@
-//! Asks the system which of its instances to use.
+//! Client of `/v1/locate`: asks the system which of its instances to use.
 
 use std::{
     net::SocketAddr,
@@ -11,15 +11,16 @@
 
 use crate::settings::Source;
 
-/// Tickets asked for at once.
+/// Tickets requested with each answer.
 const TICKETS: usize = 32;
-/// Least time for which an answer is kept, so that a wrong one is not asked for without end.
+/// Shortest time for which an answer is used, so that one with a wrong validity is not requested
+/// again without end.
 const MIN_VALIDITY: Duration = Duration::from_millis(100);
 
 /// Longest wait for one instance's answer.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// What the system answered to one source.
+/// The latest answer of the system to one source.
 #[derive(Debug, Default)]
 pub struct Directory {
     instances: Vec<Instance>,
@@ -53,7 +54,8 @@
 }
 
 impl Directory {
-    /// Chooses an instance by weight; asks again when the last answer is no longer valid.
+    /// Chooses an instance by weight; asks again when the last answer has expired or its tickets
+    /// are used up.
     pub async fn choose(
         &mut self,
         client: &Client,
@@ -77,7 +79,7 @@
         Some(Choice { address, ticket })
     }
 
-    /// Asks the instances of the last answer, then those of the settings.
+    /// Asks the instances of the last answer, then those of the settings, until one answers.
     async fn refresh(&mut self, client: &Client, entries: &[SocketAddr], source: &Source) {
         let known = self
             .instances
@@ -88,8 +90,8 @@
             let Some(mut answer) = locate(client, &address, source).await else {
                 continue;
             };
-            // A ticket is good at its issuer; one from another region would have to travel there
-            // and back, where the request may not go.
+            // A ticket is valid at its issuer only. With one from another region the request would
+            // have to go there and back, and it may not be allowed to leave its region.
             let local = answer
                 .instances
                 .iter()
@@ -108,8 +110,8 @@
         }
     }
 
-    /// Draws by weight among the nearest instances: the answer names them first, and its weights
-    /// compare instances of one zone only.
+    /// Draws by weight among the nearest instances, which are all in the zone of the first one: the
+    /// answer is sorted by distance, and weights are comparable within a zone only.
     fn pick_weighted(&self, rng: &mut StdRng) -> Option<String> {
         let first = self.instances.first()?;
         let in_first_zone =
@@ -133,7 +135,7 @@
         let mut response = client.get(url).bearer_auth(&source.key).send().await.ok()?;
         response.json::<Answer>().await.ok()
     };
-    // An instance that is frozen or cut off must not hold up the question to the next one.
+    // A frozen or partitioned instance must not delay the request to the next one.
     tokio::time::timeout(REQUEST_TIMEOUT, request).await.ok()?
 }
 
--- a/crates/zinniastall-load/src/main.rs
+++ b/crates/zinniastall-load/src/main.rs
@@ -28,7 +28,7 @@
     })
 }
 
-/// Runs the experiment; true when no promise was seen broken.
+/// Runs an experiment and writes its report; returns whether no audit found a violation.
 fn run_experiment(experiment: &Experiment) -> eyre::Result<bool> {
     let report = run::run(experiment)?;
     let text = serde_json::to_string_pretty(&report)?;
--- a/crates/zinniastall-load/src/outcome.rs
+++ b/crates/zinniastall-load/src/outcome.rs
@@ -8,14 +8,14 @@
 pub enum Outcome {
     /// A whole answer arrived.
     Answered,
-    /// The system says that it certainly did not run, or no connection was had.
+    /// The system reported that it did not run, or no connection was established.
     NotRun,
     /// It may have run.
     Unknown,
 }
 
 impl Outcome {
-    /// Reads the word that the system uses; everything else is unknown.
+    /// Parses an outcome as the system writes it; any other word is unknown.
     pub fn parse(word: &str) -> Self {
         match word {
             "answered" => Self::Answered,
--- a/crates/zinniastall-load/src/plan.rs
+++ b/crates/zinniastall-load/src/plan.rs
@@ -1,4 +1,4 @@
-//! The plan of an experiment: when each request starts and what it asks.
+//! The plan of an experiment: when each request starts and which prompt it sends.
 
 use std::time::Duration;
 
@@ -9,19 +9,19 @@
 /// One planned request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Arrival {
-    /// Its number in the plan; makes its prompt unlike all others.
+    /// Number in the plan; makes its prompt unique.
     pub number: u64,
-    /// When it starts, after the start of the warm-up.
+    /// When it starts, counted from the start of the warm-up.
     pub at: Duration,
     /// Index of its source.
     pub source: usize,
-    /// Which shared beginning its prompt has.
+    /// Number of the shared prefix that its prompt has.
     pub prefix: u64,
-    /// Whether it is measured.
+    /// Whether it starts in the measured time.
     pub measured: bool,
 }
 
-/// Makes the plan of an experiment, in order of time; the same for the same seed.
+/// Makes the plan of an experiment, sorted by time; equal seeds give equal plans.
 pub fn make(experiment: &Experiment) -> Vec<Arrival> {
     let sources = experiment.sources.iter().enumerate();
     let mut plan: Vec<Arrival> = sources
--- a/crates/zinniastall-load/src/plot.rs
+++ b/crates/zinniastall-load/src/plot.rs
@@ -1,4 +1,4 @@
-//! Plots a report: time to the end by quantile, one line a variant.
+//! Plots a report: time to the end of the answer by quantile, one line for each variant.
 
 use std::path::Path;
 
@@ -6,9 +6,9 @@
 
 use crate::report::{Report, Variant};
 
-/// Size of the plot, in pixels.
+/// Width and height of the plot.
 const SIZE_PX: (u32, u32) = (900, 540);
-/// Width of the margins for labels, in pixels.
+/// Size of the areas for axis labels.
 const LABEL_MARGIN_PX: u32 = 60;
 
 /// Why a plot could not be written.
--- a/crates/zinniastall-load/src/prompt.rs
+++ b/crates/zinniastall-load/src/prompt.rs
@@ -1,15 +1,15 @@
-//! Prompts: a shared beginning and an end that no other prompt has.
+//! Prompts: a shared prefix and a unique end.
 
 use serde_json::json;
 
 use crate::{plan::Arrival, settings::Source};
 
-/// The body of a request, and what a stand-in answers to it.
+/// The body of a request and what identifies a stand-in's answer to it.
 #[derive(Debug, Clone)]
 pub struct Prompt {
     /// Body.
     pub body: String,
-    /// First part of every token of the answer.
+    /// Prefix of every token of the answer.
     pub token_prefix: String,
 }
 
@@ -40,7 +40,7 @@
     }
 }
 
-/// Repeats `part` until the text has a length; a longer text stays as it is.
+/// Appends `part` repeatedly up to a length; a longer text stays as it is.
 fn fill(text: &mut String, part: &str, length: usize) {
     while text.len() < length {
         let left = (length - text.len()).min(part.len());
--- a/crates/zinniastall-load/src/report.rs
+++ b/crates/zinniastall-load/src/report.rs
@@ -12,12 +12,12 @@
     tally::{Series, Tally},
 };
 
-/// Points of a curve for the plot.
+/// Quantiles of the curves for the plot.
 const CURVE_QUANTILES: [f64; 12] = [
     0.05, 0.1, 0.25, 0.5, 0.75, 0.9, 0.95, 0.98, 0.99, 0.995, 0.999, 1.0,
 ];
 
-/// Times for which the share of whole answers is given, in milliseconds.
+/// Times within which the share of whole answers is reported.
 const WITHIN_THRESHOLDS_MS: [u64; 3] = [250, 500, 800];
 
 /// The report of an experiment.
@@ -25,7 +25,7 @@
 pub struct Report {
     /// Seed.
     pub seed: u64,
-    /// Planned requests a variant, warm-up included.
+    /// Planned requests of each variant, including the warm-up.
     pub planned: usize,
     /// Measured time, in milliseconds.
     pub duration_ms: u128,
@@ -44,9 +44,9 @@
     pub all: Row,
     /// By client and class.
     pub rows: Vec<Row>,
-    /// What the ledgers say.
+    /// Comparison with the ledgers.
     pub audit: Audit,
-    /// By how much the latest request started late, in microseconds.
+    /// Longest delay of a request's start, in microseconds.
     pub latest_start_us: u128,
 }
 
@@ -65,10 +65,10 @@
     pub not_run: u64,
     /// Requests that may have run.
     pub unknown: u64,
-    /// Whole answers within the deadline, a second.
+    /// Whole answers within the deadline, per second.
     pub goodput: f64,
-    /// Share of all requests with a whole answer within some milliseconds; what was refused or lost
-    /// counts as missed. Quantiles of answers alone look better the more is refused.
+    /// Shares of all requests with a whole answer within given milliseconds. Refused and lost
+    /// requests count as missed: quantiles of answers alone look better the more are refused.
     pub within: Vec<(u64, f64)>,
     /// Whole answers from another region.
     pub away: u64,
@@ -84,10 +84,10 @@
     pub instances: IndexMap<String, u64>,
 }
 
-/// Times, in microseconds.
+/// Distribution of a latency, in microseconds.
 #[derive(Debug, Clone, Serialize)]
 pub struct Latency {
-    /// Values.
+    /// Number of values.
     pub count: u64,
     /// Median.
     pub p50: u64,
@@ -95,7 +95,7 @@
     pub p95: u64,
     /// 99th percentile.
     pub p99: u64,
-    /// Greatest.
+    /// Maximum.
     pub max: u64,
     /// Quantiles and their values.
     pub curve: Vec<(f64, u64)>,
@@ -115,7 +115,7 @@
 }
 
 impl Variant {
-    /// Sums up a variant.
+    /// Summarises the results of a variant.
     pub fn new(
         experiment: &Experiment,
         variant: &settings::Variant,
@@ -138,7 +138,7 @@
         }
     }
 
-    /// Returns whether no promise was seen broken.
+    /// Returns whether the audit found no violation.
     pub const fn is_clean(&self) -> bool {
         self.audit.violations() == 0
     }
--- a/crates/zinniastall-load/src/run.rs
+++ b/crates/zinniastall-load/src/run.rs
@@ -1,4 +1,4 @@
-//! Runs an experiment: every variant meets the same plan.
+//! Runs an experiment: every variant receives the same plan of arrivals.
 
 use std::{
     sync::Arc,
@@ -45,6 +45,7 @@
     Ok(report)
 }
 
+/// Sends the planned requests to one variant and audits the outcomes.
 fn run_variant(
     experiment: &Arc<Experiment>,
     variant: &settings::Variant,
@@ -73,10 +74,10 @@
     Ok(Variant::new(experiment, variant, &tally, audit, max_delay))
 }
 
-/// Hands each arrival over at its time; returns by how much the latest one was late.
+/// Hands each arrival to a sending thread at its time; returns the longest delay of a handover.
 ///
-/// This thread sleeps by the operating system's timer: the timers of the sending threads only tell
-/// milliseconds apart, which is more than the latencies to be measured.
+/// This thread sleeps on the operating system's timer: the timers of the sending threads have a
+/// resolution of a millisecond, which is coarser than the latencies to be measured.
 fn pace(
     plan: &[Arrival],
     channels: &[mpsc::UnboundedSender<DueArrival>],
--- a/crates/zinniastall-load/src/settings.rs
+++ b/crates/zinniastall-load/src/settings.rs
@@ -1,4 +1,4 @@
-//! Settings: an experiment.
+//! Settings of an experiment.
 
 use std::{net::SocketAddr, path::PathBuf, time::Duration};
 
@@ -12,23 +12,23 @@
     pub seed: u64,
     /// Log level.
     pub log: String,
-    /// Threads that send.
+    /// Threads that send requests.
     pub threads: usize,
-    /// Time at the start that is not measured.
+    /// Warm-up at the start, which is not measured.
     pub warmup: Duration,
-    /// Time that is measured.
+    /// Measured time, which follows the warm-up.
     pub duration: Duration,
-    /// Time within which an answer counts as goodput; sent along as the deadline.
+    /// Time within which a whole answer counts as goodput; sent as the deadline of each request.
     pub deadline: Duration,
-    /// Longest wait for an answer; what has not ended by then is counted as unknown.
+    /// Longest wait for an answer; the outcome of a request that has not ended by then is unknown.
     pub timeout: Duration,
-    /// File of the report; standard output where absent.
+    /// File of the report; it goes to standard output where absent.
     pub report: Option<PathBuf>,
-    /// File of the plot.
+    /// File of the plot; none is drawn where absent.
     pub plot: Option<PathBuf>,
-    /// What is compared.
+    /// Variants to compare.
     pub variants: Vec<Variant>,
-    /// Where requests come from.
+    /// Sources of requests.
     pub sources: Vec<Source>,
 }
 
@@ -37,9 +37,9 @@
 pub struct Variant {
     /// Name in the report.
     pub name: String,
-    /// Callers' addresses of some entry instances.
+    /// Addresses at which some entry instances take requests.
     pub entries: Vec<SocketAddr>,
-    /// A target that is called without the system, for comparison.
+    /// A target that is called directly instead of through the system, for comparison.
     pub direct: Option<SocketAddr>,
     /// Stand-in targets whose ledgers are compared with the outcomes.
     pub ledgers: Vec<SocketAddr>,
@@ -54,36 +54,36 @@
     pub key: String,
     /// Class.
     pub class: id::Class,
-    /// Where its callers are.
+    /// Region of its callers.
     pub region: Option<id::Region>,
-    /// Availability zone that they prefer.
+    /// Availability zone that its callers prefer.
     pub zone: Option<id::Zone>,
     /// Model.
     pub model: id::Model,
-    /// Requests a second.
+    /// Requests per second.
     pub rate: f64,
-    /// Whether gaps between requests are random (Poisson arrivals) or all the same.
+    /// Whether arrivals are a Poisson process; otherwise the time between them is constant.
     pub poisson: bool,
-    /// When it begins, after the start of the warm-up.
+    /// When its requests begin, counted from the start of the warm-up.
     pub from: Duration,
-    /// When it ends.
+    /// When its requests end, counted likewise; at the end of the experiment where absent.
     pub until: Option<Duration>,
     /// Whether answers are streamed.
     pub stream: bool,
-    /// Whether requests may be repeated; others take a ticket along.
+    /// Whether requests may run more than once; others carry a ticket.
     pub idempotent: bool,
-    /// Tokens of an answer.
+    /// Tokens of each answer.
     pub tokens: u64,
-    /// Different beginnings that its prompts share; 0 for none.
+    /// Number of distinct prefixes that its prompts share; 0 for none.
     pub prefixes: u64,
-    /// Bytes of a shared beginning.
+    /// Length of a shared prefix.
     pub prefix_bytes: usize,
-    /// Bytes that no other prompt has.
+    /// Length of the unique end of a prompt.
     pub suffix_bytes: usize,
 }
 
 impl Source {
-    /// Returns whether its callers are in this region, as far as it says where they are.
+    /// Returns whether its callers are in `region`; always so where their region is not set.
     pub fn is_local(&self, region: &str) -> bool {
         self.region.as_deref().is_none_or(|home| home == region)
     }
@@ -163,7 +163,7 @@
     }
 }
 
-/// Converts a checked number; its range keeps it within `usize`.
+/// Converts a number whose checked range fits into `usize`.
 fn to_usize(number: u64) -> usize {
     usize::try_from(number).unwrap_or(usize::MAX)
 }
--- a/crates/zinniastall-load/src/sse.rs
+++ b/crates/zinniastall-load/src/sse.rs
@@ -3,15 +3,15 @@
 use bytes::{Bytes, BytesMut};
 use futures_util::{Stream, StreamExt};
 
-/// Last event of a whole stream.
+/// Data of the last event of a whole stream.
 pub const DONE: &str = "[DONE]";
-/// Longest event, in bytes; a longer one ends the stream.
+/// Longest event; a longer one ends the stream.
 const MAX_EVENT_BYTES: usize = 1 << 20;
 
 /// One event.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Event {
-    /// Name; empty for a plain one.
+    /// Name; empty for an unnamed event.
     pub name: String,
     /// Data.
     pub data: String,
@@ -36,11 +36,11 @@
         }
     }
 
-    /// Waits for the next event; `None` at the end of the bytes, also in the middle of an event.
+    /// Waits for the next event; returns `None` at the end of the bytes, even within an event.
     ///
     /// # Errors
     ///
-    /// Passes on the failure of the stream of bytes.
+    /// Fails when the stream of bytes fails.
     pub async fn next(&mut self) -> Result<Option<Event>, E> {
         loop {
             if let Some(event) = split_event(&mut self.buffer) {
@@ -57,7 +57,7 @@
     }
 }
 
-/// Takes the first whole event off a buffer.
+/// Splits the first whole event off a buffer.
 fn split_event(buffer: &mut BytesMut) -> Option<Event> {
     let end = buffer.windows(2).position(|pair| pair == b"\n\n")?;
     let block = buffer.split_to(end + 2);
--- a/crates/zinniastall-load/src/tally.rs
+++ b/crates/zinniastall-load/src/tally.rs
@@ -7,21 +7,21 @@
 
 use crate::{call::Sample, outcome::Outcome, settings::Source};
 
-/// Longest value kept, in microseconds: one hour.
+/// Longest time that is recorded: one hour.
 const MAX_MICROS: u64 = 3_600_000_000;
-/// Significant digits kept.
+/// Decimal digits to which histograms are exact.
 const SIGNIFICANT_DIGITS: u8 = 3;
 
-/// What one request met, as far as the ledgers must agree with it.
+/// What a caller observed of one request, to be compared with the ledgers.
 #[derive(Debug, Clone)]
 pub struct Observation {
     /// BLAKE3 digest of the body, as hex.
     pub digest: String,
     /// How it ended.
     pub outcome: Outcome,
-    /// Whether it may be repeated.
+    /// Whether it may run more than once.
     pub idempotent: bool,
-    /// Whether an answer counted as whole was the right one.
+    /// Whether a whole answer was the one to its prompt.
     pub correct: bool,
 }
 
@@ -52,12 +52,12 @@
     pub instances: IndexMap<String, u64>,
 }
 
-/// Samples by client and class, and the claims to compare with the ledgers.
+/// Samples by client and class, and the observations to compare with the ledgers.
 #[derive(Debug, Clone, Default)]
 pub struct Tally {
     /// Measured samples.
     pub series: IndexMap<(String, String), Series>,
-    /// All requests, also those of the warm-up.
+    /// Observations of all requests, including those of the warm-up.
     pub observations: Vec<Observation>,
 }
 
@@ -112,7 +112,7 @@
         }
     }
 
-    /// Returns the share of all requests that had a whole answer within some milliseconds.
+    /// Returns the share of all requests that had a whole answer within `millis` milliseconds.
     #[expect(
         clippy::cast_precision_loss,
         reason = "counts stay far below the 52 bits that are exact"
--- a/crates/zinniastall-load/src/worker.rs
+++ b/crates/zinniastall-load/src/worker.rs
@@ -1,4 +1,4 @@
-//! A thread that sends requests when the pacing thread says so.
+//! A sending thread: sends each request when the pacing thread hands it over.
 
 use std::{
     cell::RefCell,
@@ -22,24 +22,25 @@
     tally::{Observation, Tally},
 };
 
-/// Idle connections are closed after this time; shorter than what HTTP servers commonly keep, so that
-/// a request rarely meets one that the other end is closing.
+/// Time after which idle connections are closed; shorter than the usual keep-alive of HTTP
+/// servers, so that a request rarely uses a connection that the server is closing.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// A request that is due.
+/// An arrival and the time at which it is due.
 pub(crate) type DueArrival = (Arrival, Instant);
 
-/// What a worker knows.
+/// State of a sending thread.
 struct Worker {
     experiment: Arc<Experiment>,
     variant: Variant,
     client: Client,
+    /// One for each source.
     directories: Vec<RefCell<Directory>>,
     random: RefCell<StdRng>,
     tally: RefCell<Tally>,
 }
 
-/// Sends requests as they come until the channel is closed and all have ended.
+/// Sends requests as they are handed over, until the channel is closed and all of them have ended.
 pub(crate) async fn run(
     experiment: Arc<Experiment>,
     variant: Variant,
@@ -120,7 +121,7 @@
                 ticket: None,
             });
         }
-        // One directory serves one question at a time; those that ask meanwhile use their own.
+        // A directory is taken out while in use; requests that choose meanwhile start a new one.
         let mut directory = self.directories[source].take();
         let source_settings = &self.experiment.sources[source];
         let mut random = StdRng::from_rng(&mut *self.random.borrow_mut());
--- a/crates/zinniastall-load/tests/load.rs
+++ b/crates/zinniastall-load/tests/load.rs
@@ -1,4 +1,4 @@
-//! Experiments: settings, plans and verdicts.
+//! Experiments: settings, plans and audits.
 
 use std::time::Duration;
 
--- a/crates/zinniastall-standin/src/announce.rs
+++ b/crates/zinniastall-standin/src/announce.rs
@@ -1,7 +1,8 @@
-//! Announces a target to an entry instance of its zone, renews its lease, and leaves.
+//! Announces a target to an entry instance of its zone, renews its lease and withdraws it.
 //!
-//! One instance at a time hears of the target; when it does not answer, the next one of those that
-//! the last answer named is tried, so that the loss of an instance does not lose the target.
+//! One instance at a time receives the announcements. When it does not answer, the next of the
+//! instances that the last answer named is tried, so that the loss of an instance does not lose the
+//! target.
 
 use std::{
     net::SocketAddr,
@@ -17,24 +18,24 @@
 
 use crate::{ledger::unix_ms, settings::Announce, slots::Slots};
 
-/// Longest wait for an answer.
+/// Longest wait for an entry instance's answer.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(1);
-/// Pause after a round of instances that did not answer.
+/// Delay before the next instance is tried after one did not answer.
 const RETRY_DELAY: Duration = Duration::from_millis(100);
-/// Least and greatest time between two announcements.
+/// Shortest and longest time between two announcements, whatever an answer asks for.
 const RENEWAL_BOUNDS_MS: (u64, u64) = (10, 60_000);
 
-/// What a target says of itself beside its load.
+/// What a target announces besides its load.
 pub trait Capabilities: Send + Sync {
     /// Returns the role.
     fn role(&self) -> String;
-    /// Returns models or services, in the form of the announcement.
+    /// Returns the models or the service that it serves, in the form of the announcement.
     fn serves(&self) -> Value;
-    /// Returns digests of cached prefixes, newest last.
+    /// Returns the digests of cached prefixes, most recently used last.
     fn prefixes(&self) -> Vec<u64>;
 }
 
-/// Announces one target.
+/// Announces one target and renews its lease.
 #[derive(Clone)]
 pub struct Announcer {
     settings: Announce,
@@ -51,7 +52,7 @@
     }
 }
 
-/// What an entry instance answers.
+/// Answer of an entry instance to an announcement.
 #[derive(Debug, Serialize, Deserialize)]
 struct Answer {
     lease_ms: u64,
@@ -60,7 +61,7 @@
 }
 
 impl Announcer {
-    /// Creates an announcer; `address` is the bound one.
+    /// Creates an announcer of a target that is bound to `address`.
     pub fn new(
         settings: &Announce,
         address: SocketAddr,
@@ -77,7 +78,7 @@
         }
     }
 
-    /// Announces and renews until the task is dropped.
+    /// Announces the target and renews its lease until the task is aborted.
     pub async fn run(self) {
         let mut instances = self.settings.instances.clone();
         let mut sequence = 0;
@@ -102,7 +103,7 @@
         }
     }
 
-    /// Tells one entry instance that no new work must come.
+    /// Tells an entry instance to send the target no new requests.
     pub async fn leave(&self) {
         self.leaving.store(true, Ordering::Release);
         let body = json!({"target": self.settings.target, "incarnation": self.incarnation});
@@ -139,7 +140,8 @@
         })
     }
 
-    /// Keeps the instance that answered first, then those it named, then those of the settings.
+    /// Returns the instances to try, in order: `first`, which has answered, the ones `known` from
+    /// its answer, then those of the settings.
     fn candidates(&self, first: SocketAddr, known: Vec<SocketAddr>) -> Vec<SocketAddr> {
         let mut instances = vec![first];
         for instance in known.into_iter().chain(self.settings.instances.clone()) {
--- a/crates/zinniastall-standin/src/answer.rs
+++ b/crates/zinniastall-standin/src/answer.rs
@@ -1,17 +1,17 @@
-//! What a stand-in engine answers: the same text for the same prompt, so that a test knows whether
-//! an answer is whole and its own.
+//! Answers of the stand-in engine. Their text depends on the prompt alone, so that a test can tell
+//! whether an answer is whole and belongs to its request.
 
 use serde_json::{Value, json};
 
-/// Tokens of an answer when the request sets no limit.
+/// Tokens of an answer to a request without `max_tokens`.
 pub const DEFAULT_TOKENS: usize = 16;
 
-/// A chat request, as far as a stand-in reads it.
+/// The fields of a chat request that a stand-in reads.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Chat {
     /// Model.
     pub model: String,
-    /// All messages' contents, one a line.
+    /// Contents of all messages, joined by line breaks.
     pub prompt: String,
     /// Whether the answer is streamed.
     pub stream: bool,
@@ -20,7 +20,7 @@
 }
 
 impl Chat {
-    /// Reads a body; `None` when it is no chat request.
+    /// Parses a body; returns `None` when it is not a chat request.
     pub fn parse(body: &[u8]) -> Option<Self> {
         let body: Value = serde_json::from_slice(body).ok()?;
         let messages = body.get("messages")?.as_array()?;
@@ -39,7 +39,7 @@
         })
     }
 
-    /// Returns one token of the answer.
+    /// Returns a token of the answer.
     pub fn token(&self, index: usize) -> String {
         let digest = blake3::hash(self.prompt.as_bytes()).to_hex();
         format!("{}-{index} ", &digest[..8])
@@ -50,7 +50,7 @@
         (0..self.tokens).map(|index| self.token(index)).collect()
     }
 
-    /// Returns a whole answer.
+    /// Returns the whole answer as a chat completion.
     pub fn completion(&self, request: &str) -> Value {
         json!({
             "id": request,
@@ -65,7 +65,7 @@
         })
     }
 
-    /// Returns one event of a streamed answer; the one after the last token says why it ends.
+    /// Returns one chunk of a streamed answer; the one after the last token has the finish reason.
     pub fn chunk(&self, request: &str, index: usize) -> Value {
         let (delta, finish_reason) = if index < self.tokens {
             (json!({"content": self.token(index)}), Value::Null)
--- a/crates/zinniastall-standin/src/daemon.rs
+++ b/crates/zinniastall-standin/src/daemon.rs
@@ -1,4 +1,4 @@
-//! Starts a stand-in and waits for its end.
+//! Starts a stand-in and runs it until SIGTERM.
 
 use std::{net::SocketAddr, process::ExitCode, sync::Arc};
 
@@ -26,12 +26,12 @@
     weights::Store,
 };
 
-/// Longest body that a stand-in takes, in bytes.
+/// Longest request body that a stand-in accepts.
 const MAX_BODY_BYTES: usize = 64 << 20;
-/// Longest wait for requests in progress at a shutdown, in seconds.
+/// Longest wait for in-flight requests at shutdown.
 const DRAIN_TIMEOUT_SECS: u64 = 600;
 
-/// Runs a stand-in until it is told to stop.
+/// Runs a stand-in until SIGTERM.
 pub fn run(settings: Standin) -> ExitCode {
     let _log = log::start(&settings.log);
     match actix_web::rt::System::new().block_on(serve(settings)) {
@@ -97,7 +97,7 @@
     }
 }
 
-/// What every kind of stand-in offers to tests.
+/// State behind `/ledger` and `/failure`, which every kind of stand-in serves to tests.
 #[derive(Clone)]
 struct Shared {
     ledger: Ledger,
@@ -118,7 +118,7 @@
             .route("/failure", web::post().to(set_failure))
             .configure(configure.clone())
     })
-    // A caller that goes away cancels its request, also while the answer has not begun.
+    // A caller that disconnects cancels its request, even before the answer has begun.
     .h1_allow_half_closed(false)
     .workers(settings.threads)
     .disable_signals()
@@ -138,6 +138,7 @@
     HttpResponse::Ok().json(json!({}))
 }
 
+/// Serves an announced target until SIGTERM, then withdraws it and drains its requests.
 async fn serve_announced(
     settings: &Standin,
     server: Server,
@@ -150,7 +151,7 @@
     let leave = async |handle: ServerHandle| {
         announcer.leave().await;
         renewal.abort();
-        // New work may still arrive for a moment; it is served, since leaving must not lose any.
+        // Requests may still arrive for a moment; they are served, since leaving must not lose any.
         while slots.in_flight() > 0 {
             tokio::time::sleep(std::time::Duration::from_millis(10)).await;
         }
@@ -159,6 +160,7 @@
     run_until_terminated(server, leave).await
 }
 
+/// Runs a server until SIGTERM, then shuts it down with `stop`.
 async fn run_until_terminated(
     server: Server,
     stop: impl AsyncFnOnce(ServerHandle),
@@ -173,7 +175,7 @@
     Ok(())
 }
 
-/// Reports a bound address: with port 0 nobody could know it otherwise.
+/// Logs a bound address; with port 0 only the log tells it.
 fn log_address(role: &str, address: SocketAddr) {
     tracing::info!(event = "listening", role, address = %address);
 }
@@ -196,7 +198,7 @@
     }
 }
 
-/// A plain service's offer.
+/// Capabilities of a plain service, which are its name alone.
 struct PlainService(String);
 
 impl Capabilities for PlainService {
--- a/crates/zinniastall-standin/src/engine/chat.rs
+++ b/crates/zinniastall-standin/src/engine/chat.rs
@@ -16,10 +16,10 @@
     slots::Slot,
 };
 
-/// When to come back to a full engine, in milliseconds.
+/// Time after which a refused request may be retried.
 const RETRY_AFTER_MS: u64 = 100;
 
-/// One request as it runs: its slot and its line of the ledger end with it.
+/// A running request; dropping it frees its slot and ends its run in the ledger.
 #[derive(Debug)]
 pub(super) struct Job {
     pub(super) engine: Arc<Engine>,
@@ -27,7 +27,7 @@
     pub(super) request: String,
     pub(super) offset: usize,
     pub(super) uncached_blocks: usize,
-    /// When the last token was due.
+    /// When the latest token was due.
     pub(super) token_due: Instant,
     pub(super) run: Run,
     pub(super) _slot: Slot,
@@ -121,7 +121,7 @@
     HttpResponse::Ok().json(answer)
 }
 
-/// Refuses a request that did not run.
+/// Refuses a request before it has run.
 fn refuse(engine: &Engine, body: &serde_json::Value) -> HttpResponse {
     tracing::debug!(event = "refused", busy = engine.slots.in_flight());
     HttpResponse::ServiceUnavailable()
--- a/crates/zinniastall-standin/src/engine/mod.rs
+++ b/crates/zinniastall-standin/src/engine/mod.rs
@@ -1,4 +1,4 @@
-//! A model engine: chat completions, whole and streamed, orders, a prefix cache.
+//! A model engine: whole and streamed chat completions, orders and a prefix cache.
 
 pub mod cache;
 mod chat;
@@ -22,7 +22,7 @@
 use cache::Cache;
 use orders::Order;
 
-/// A model engine; all threads share it.
+/// A model engine, shared by all threads.
 #[derive(Debug)]
 pub struct Engine {
     pub(crate) settings: Standin,
@@ -33,14 +33,14 @@
     pub(crate) state: Mutex<State>,
 }
 
-/// What orders change.
+/// The part of an engine's state that orders change.
 #[derive(Debug, Clone)]
 pub struct State {
-    /// Role.
+    /// Current role.
     pub role: String,
-    /// Models held.
+    /// Models that it serves.
     pub models: Vec<Model>,
-    /// Highest fencing number seen.
+    /// Highest fencing token that an order carried.
     pub highest_fence: u64,
     pub(crate) orders: Vec<Order>,
 }
@@ -63,7 +63,7 @@
         })
     }
 
-    /// Adds the engine's calls to a server.
+    /// Registers the engine's handlers with a server.
     pub fn configure(config: &mut web::ServiceConfig) {
         config
             .route("/v1/chat/completions", web::post().to(chat::complete))
@@ -71,12 +71,12 @@
             .route("/orders", web::get().to(orders::list));
     }
 
-    /// Returns what it serves and in which role, as of now.
+    /// Returns a copy of the current state.
     pub fn state(&self) -> State {
         self.lock_state().clone()
     }
 
-    /// Returns whether it holds a model.
+    /// Returns whether it serves a model, in whatever version.
     fn serves_model(&self, model: &id::Model) -> bool {
         self.lock_state()
             .models
@@ -84,14 +84,15 @@
             .any(|held| held.model == *model)
     }
 
-    /// Looks a prompt up in the cache, keeps it there, and returns cached and all blocks.
+    /// Looks a prompt up in the cache and inserts it; returns how many of its blocks were cached
+    /// and how many it has.
     fn cache_prompt(&self, prompt: &str) -> (usize, usize) {
         let chain = zinniastall_route::prefix::chain(prompt);
         let mut cache = self.cache.lock().unwrap_or_else(PoisonError::into_inner);
         (cache.lookup_and_insert(&chain), chain.len())
     }
 
-    /// Returns the time to the first token for a number of uncached blocks.
+    /// Returns the time to the first token of a prompt with a number of uncached blocks.
     fn first_token_latency(&self, uncached: usize) -> Duration {
         let blocks = u32::try_from(uncached).unwrap_or(u32::MAX);
         self.settings.engine.first_token_latency
--- a/crates/zinniastall-standin/src/engine/orders.rs
+++ b/crates/zinniastall-standin/src/engine/orders.rs
@@ -1,4 +1,4 @@
-//! Orders: which role to take and which models to hold.
+//! Orders, which set the engine's role and models.
 
 use actix_web::{HttpRequest, HttpResponse, web};
 use serde::{Deserialize, Serialize};
@@ -7,7 +7,7 @@
 use super::{Engine, chat::error_body};
 use crate::{settings::Model, weights};
 
-/// An order's body.
+/// Body of an order.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(super) struct Body {
@@ -17,14 +17,14 @@
     adapters: Vec<serde_json::Value>,
 }
 
-/// A model to hold.
+/// A model version to serve.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 struct ModelVersion {
     id: id::Model,
     version: String,
 }
 
-/// One order as it arrived.
+/// A received order and whether it was admitted.
 #[derive(Debug, Clone, Serialize)]
 pub(crate) struct Order {
     fence: u64,
@@ -33,7 +33,7 @@
     body: Body,
 }
 
-/// Takes one order.
+/// Handles an order: admits it, loads missing models and applies it.
 pub(super) async fn receive(
     engine: web::Data<Engine>,
     request: HttpRequest,
@@ -60,11 +60,12 @@
     }
 }
 
-/// Lists all orders that arrived.
+/// Lists all orders received.
 pub(super) async fn list(engine: web::Data<Engine>) -> HttpResponse {
     HttpResponse::Ok().json(&engine.state().orders)
 }
 
+/// Downloads the models that are missing; without a weight store it only takes the load time.
 async fn load_models(engine: &Engine, body: &Body) {
     let settings = &engine.settings.engine;
     let Some(store) = settings.weight_store else {
@@ -82,7 +83,8 @@
 }
 
 impl Engine {
-    /// Notes an order; one with an old number is refused by an engine that checks.
+    /// Records an order and returns whether it is admitted: an engine that checks fencing tokens
+    /// refuses a stale one.
     fn admit(&self, fence: u64, body: &Body) -> bool {
         let mut state = self.lock_state();
         let obeyed = !self.settings.engine.checks_fence || fence >= state.highest_fence;
@@ -106,14 +108,14 @@
         state.models.iter().any(matches)
     }
 
-    /// Does what an order says, unless a newer one came while it was loading.
+    /// Applies an order unless a newer one arrived while models were loading.
     fn apply(&self, fence: u64, body: &Body) -> bool {
         let mut state = self.lock_state();
         if self.settings.engine.checks_fence && fence < state.highest_fence {
             return false;
         }
         state.role.clone_from(&body.role);
-        let held = |wanted: &ModelVersion| Model {
+        let to_model = |wanted: &ModelVersion| Model {
             model: wanted.id.clone(),
             version: wanted.version.clone(),
             adapters: body
@@ -123,7 +125,7 @@
                 .map(str::to_owned)
                 .collect(),
         };
-        state.models = body.models.iter().map(held).collect();
+        state.models = body.models.iter().map(to_model).collect();
         true
     }
 }
--- a/crates/zinniastall-standin/src/engine/stream.rs
+++ b/crates/zinniastall-standin/src/engine/stream.rs
@@ -10,22 +10,22 @@
 use super::chat::Job;
 use crate::failure::{Action, Point};
 
-/// Time in which the server sends what it holds.
+/// Time within which the HTTP server sends the events that it has buffered.
 const FLUSH_DELAY: Duration = Duration::from_millis(5);
 
-/// Why a streamed answer breaks.
+/// Error that ends a streamed answer before its end.
 #[derive(Debug, thiserror::Error)]
-#[error("connection cut by a failure point")]
+#[error("connection cut by an injected failure")]
 pub(super) struct Cut;
 
-/// Where a stream is.
+/// What a stream sends next.
 enum Step {
     Event(usize),
     Done,
     Ended,
 }
 
-/// Answers with the events of a job, from its offset on.
+/// Answers with the events of a job, starting at its offset.
 pub(super) fn respond(job: Job) -> HttpResponse {
     let first = Step::Event(job.offset);
     let offset = job.offset.to_string();
@@ -54,13 +54,13 @@
         _ => job.engine.settings.engine.inter_token_latency,
     };
     if !wait.is_zero() && index < job.chat.tokens.max(1) {
-        // Timers end up to a millisecond late; waiting from token to token would add that up.
+        // Timers fire up to a millisecond late; a wait from token to token would accumulate that.
         job.token_due += wait;
         tokio::time::sleep_until(job.token_due).await;
     }
     if job.engine.failure.is_armed() {
-        // A failing body takes what the server has not yet sent with it; the events before the
-        // failure point must be out first.
+        // A failing body discards what the server has not sent yet; the events before the point of
+        // failure must be sent first.
         tokio::time::sleep(FLUSH_DELAY).await;
     }
     let sent = index - job.offset;
@@ -84,7 +84,7 @@
     (Ok(Bytes::from(format!("data: {data}\n\n"))), (job, next))
 }
 
-/// Breaks the connection: the answer promises a byte that never comes.
+/// Cuts the connection: the answer announces a body of one byte that is never sent.
 pub(super) fn cut_connection() -> HttpResponse {
     let broken = stream::once(std::future::ready(Err::<Bytes, _>(Cut)));
     HttpResponse::Ok().body(SizedStream::new(1, Box::pin(broken)))
--- a/crates/zinniastall-standin/src/failure.rs
+++ b/crates/zinniastall-standin/src/failure.rs
@@ -1,11 +1,11 @@
-//! Points at which a stand-in fails, so that tests place a loss exactly.
+//! Fault injection: makes a stand-in fail at an exact point of a request.
 
 use std::sync::{Arc, Mutex, PoisonError};
 
 use serde::{Deserialize, Serialize};
 use zinniastall_settings::{problem::Fault, reader::Reader};
 
-/// Where a request meets the failure.
+/// Point of a request at which the failure occurs.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Point {
@@ -13,48 +13,48 @@
     None,
     /// After the request has started to run, before the first byte of the answer.
     First,
-    /// After a number of events.
+    /// After a number of streamed events.
     Events,
-    /// After all content, before the mark that ends the answer.
+    /// After all content, before the marker that ends the answer.
     End,
 }
 
-/// What happens there.
+/// What happens at the point of failure.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Action {
-    /// The process ends at once.
+    /// The process exits at once.
     Die,
-    /// The connection breaks.
+    /// The connection is cut.
     Cut,
-    /// Nothing more is sent.
+    /// Nothing more is sent, and the connection stays open.
     Hang,
-    /// The engine answers with an error; before the first byte only, elsewhere it cuts.
+    /// The target answers with an error; an engine that has begun its answer cuts the connection.
     Error,
 }
 
-/// A failure to come.
+/// A failure to inject.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Failure {
-    /// Where.
+    /// Point at which it occurs.
     pub point: Point,
-    /// What.
+    /// What happens there.
     pub action: Action,
-    /// Events before [`Point::Events`].
+    /// Events that are sent before [`Point::Events`] is reached.
     #[serde(default)]
     pub events: usize,
-    /// Requests that meet it.
+    /// Number of requests that fail.
     pub times: u64,
 }
 
-/// The failure in force; tests replace it while the process runs.
+/// Injects the current failure; tests replace it while the process runs.
 #[derive(Debug, Clone)]
 pub struct Injector {
     failure: Arc<Mutex<Failure>>,
 }
 
 impl Injector {
-    /// Creates a switch.
+    /// Creates an injector of a failure.
     pub fn new(failure: Failure) -> Self {
         Self {
             failure: Arc::new(Mutex::new(failure)),
@@ -66,13 +66,14 @@
         *self.lock() = failure;
     }
 
-    /// Returns whether a failure is still to come.
+    /// Returns whether any request is still to fail.
     pub fn is_armed(&self) -> bool {
         let failure = self.lock();
         failure.point != Point::None && failure.times > 0
     }
 
-    /// Returns what a request that has reached a point after some events meets, and counts it.
+    /// Returns the action for a request that has reached `point` after `events` events, if it is to
+    /// fail there, and counts the failure.
     pub fn trigger(&self, point: Point, events: usize) -> Option<Action> {
         let mut failure = self.lock();
         let reached =
@@ -82,7 +83,7 @@
         }
         failure.times -= 1;
         if failure.action == Action::Die {
-            // As a power cut: no destructor runs and no connection is ended in order.
+            // Like a power cut: no destructor runs and no connection is shut down cleanly.
             std::process::exit(1);
         }
         Some(failure.action)
--- a/crates/zinniastall-standin/src/ledger.rs
+++ b/crates/zinniastall-standin/src/ledger.rs
@@ -1,7 +1,7 @@
-//! The ledger: every request that a stand-in ran, and how it ended there.
+//! The ledger: every request that a stand-in ran and how the run ended.
 //!
-//! With a file it outlives the process: each change is one line, written before the request goes
-//! on, so that a killed stand-in still accounts for what it ran.
+//! A ledger with a file outlives the process: the start and the end of a run are one line each,
+//! written before the request proceeds, so that a killed stand-in still accounts for what it ran.
 
 use std::{
     collections::VecDeque,
@@ -17,7 +17,7 @@
 /// One run of a request.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Entry {
-    /// Request id that the entry instance sent.
+    /// Id of the request, as the entry instance sent it.
     pub request: String,
     /// Client that the entry instance named.
     pub client: String,
@@ -25,23 +25,23 @@
     pub class: String,
     /// BLAKE3 digest of the body, as hex.
     pub body_digest: String,
-    /// When it started, in milliseconds since the epoch.
+    /// When it started, in milliseconds since the Unix epoch.
     pub started: u64,
-    /// When it ended whole, in milliseconds since the epoch.
+    /// When its whole answer was ready, in milliseconds since the Unix epoch; absent before.
     pub finished: Option<u64>,
-    /// Whether it ended before that.
+    /// Whether it ended without a whole answer.
     pub cancelled: bool,
-    /// Event at which it resumed; 0 for a run from the start.
+    /// Event at which it resumed a stream; 0 for a run from the start.
     pub offset: usize,
-    /// Blocks of its prompt that were cached.
+    /// Prompt blocks that were found in the cache.
     pub cached: usize,
-    /// Blocks of its prompt.
+    /// Prompt blocks in total.
     pub blocks: usize,
-    /// Method and path, for plain services.
+    /// Method and path of the call.
     pub call: String,
 }
 
-/// A shared ledger.
+/// A ledger; clones share its entries.
 #[derive(Debug, Clone)]
 pub struct Ledger {
     state: Arc<Mutex<State>>,
@@ -50,13 +50,13 @@
 #[derive(Debug)]
 struct State {
     entries: VecDeque<Entry>,
-    /// Entries dropped from the front.
+    /// Number of entries dropped from the front, which is the number of the first one kept.
     dropped: usize,
     max_entries: usize,
     file: Option<File>,
 }
 
-/// One line of a ledger's file.
+/// One line of a ledger file.
 #[derive(Debug, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 enum Record {
@@ -73,7 +73,7 @@
 }
 
 impl Ledger {
-    /// Creates a ledger of at most `limit` entries.
+    /// Creates a ledger without a file that keeps at most `max_entries` entries.
     pub fn new(max_entries: usize) -> Self {
         let state = State {
             entries: VecDeque::new(),
@@ -86,7 +86,7 @@
         }
     }
 
-    /// Opens a ledger that is kept in a file; what an earlier process left unfinished counts as
+    /// Opens a ledger that is kept in a file; runs that an earlier process left unfinished count as
     /// cancelled.
     ///
     /// # Errors
@@ -97,7 +97,7 @@
         let options = File::options().create(true).append(true).read(true).clone();
         let file = options.open(path)?;
         for line in BufReader::new(&file).lines() {
-            // A line that the end of the process cut short is the last one and tells nothing.
+            // A line cut short by the end of the process is the last one and can be ignored.
             match serde_json::from_str(&line?) {
                 Ok(Record::Started(entry)) => {
                     ledger.lock().add(entry);
@@ -117,7 +117,7 @@
         Ok(ledger)
     }
 
-    /// Notes that a request starts to run.
+    /// Records that a request starts to run.
     pub fn start(&self, entry: Entry) -> Run {
         let mut state = self.lock();
         state.write(&Record::Started(entry.clone()));
@@ -130,7 +130,7 @@
         }
     }
 
-    /// Returns all entries.
+    /// Returns all entries, oldest first.
     pub fn entries(&self) -> Vec<Entry> {
         self.lock().entries.iter().cloned().collect()
     }
@@ -149,7 +149,7 @@
 }
 
 impl State {
-    /// Adds an entry and returns its number.
+    /// Adds an entry and returns its number, counted from the first one ever added.
     fn add(&mut self, entry: Entry) -> usize {
         if self.entries.len() == self.max_entries {
             self.entries.pop_front();
@@ -165,7 +165,7 @@
         };
         let text = serde_json::to_string(record).unwrap_or_default() + "\n";
         if let Err(error) = file.write_all(text.as_bytes()) {
-            // A ledger that misses runs would prove promises that were not kept.
+            // A ledger that misses runs would hide broken guarantees.
             tracing::error!(event = "ledger-failed", error = %error);
             std::process::exit(1);
         }
@@ -173,7 +173,7 @@
 }
 
 impl Run {
-    /// Notes that the whole answer was handed over.
+    /// Records that the whole answer is handed over.
     pub fn finish(&mut self) {
         self.finished = true;
         let at = unix_ms();
@@ -192,7 +192,7 @@
     }
 }
 
-/// Returns milliseconds since the epoch.
+/// Returns the current time in milliseconds since the Unix epoch.
 pub fn unix_ms() -> u64 {
     let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH);
     u64::try_from(since_epoch.unwrap_or_default().as_millis()).unwrap_or(u64::MAX)
--- a/crates/zinniastall-standin/src/lib.rs
+++ b/crates/zinniastall-standin/src/lib.rs
@@ -1,9 +1,9 @@
-//! Small fakes for tests and the demo: a model engine, a plain service, the weight store, a statsd
-//! sink.
+//! Stand-ins of outside systems for tests and the demo: a model engine, a plain service, the weight
+//! store and a statsd sink.
 //!
-//! One binary; the settings' `kind` chooses. Targets ([`engine`], [`service`]) announce themselves
-//! through [`announce`] and keep a [`ledger`] of every request that they ran, which tests compare
-//! with what callers were told.
+//! One binary runs any of them; the setting `kind` selects which. Targets ([`engine`], [`service`])
+//! announce themselves through [`announce`] and keep a [`ledger`] of every request that they ran.
+//! Tests compare the ledger with what callers were told.
 
 pub mod announce;
 pub mod answer;
--- a/crates/zinniastall-standin/src/service.rs
+++ b/crates/zinniastall-standin/src/service.rs
@@ -1,4 +1,4 @@
-//! A plain service: answers any call under any path and keeps the same ledger.
+//! A plain service: answers any method and path, and keeps the same ledger as an engine.
 
 use actix_web::{HttpRequest, HttpResponse, web};
 use bytes::Bytes;
@@ -12,7 +12,7 @@
     slots::Slots,
 };
 
-/// A plain service; all threads share it.
+/// A plain service, shared by all threads.
 #[derive(Debug)]
 pub struct Service {
     settings: Standin,
@@ -32,7 +32,7 @@
         }
     }
 
-    /// Adds the service's calls to a server.
+    /// Registers the service's handler with a server.
     pub fn configure(config: &mut web::ServiceConfig) {
         config.default_service(web::to(handle));
     }
--- a/crates/zinniastall-standin/src/settings.rs
+++ b/crates/zinniastall-standin/src/settings.rs
@@ -7,7 +7,7 @@
 
 use crate::failure::{self, Failure};
 
-/// What a stand-in stands in for.
+/// System that a stand-in replaces.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Kind {
     /// A model engine.
@@ -16,57 +16,57 @@
     Service,
     /// The weight store.
     Weights,
-    /// A receiver of metrics.
+    /// A statsd server that receives metrics.
     Statsd,
 }
 
 /// Settings of a stand-in.
 #[derive(Debug, Clone)]
 pub struct Standin {
-    /// What it stands in for.
+    /// System that it replaces.
     pub kind: Kind,
-    /// Address that it binds.
+    /// Address to bind.
     pub listen: SocketAddr,
     /// Log level.
     pub log: String,
     /// Threads that serve requests.
     pub threads: usize,
-    /// Most entries of its ledger; the oldest go first.
+    /// Most entries that the ledger keeps; the oldest are dropped first.
     pub max_ledger_entries: usize,
-    /// File that keeps its ledger over restarts; none is kept where absent.
+    /// File that keeps the ledger across restarts; without it the ledger ends with the process.
     pub ledger_file: Option<PathBuf>,
-    /// Requests that it runs at once.
+    /// Requests that run at once.
     pub slots: usize,
-    /// Requests that wait for a slot; more are refused as not run.
+    /// Requests that may wait for a slot; further ones are refused as not run.
     pub queue: usize,
-    /// Where it fails.
+    /// Failure to inject.
     pub failure: Failure,
-    /// How it announces itself.
+    /// Announcement as a target.
     pub announce: Announce,
-    /// As a model engine.
+    /// Settings of the kind [`Kind::Engine`].
     pub engine: Engine,
-    /// As a plain service.
+    /// Settings of the kind [`Kind::Service`].
     pub service: Service,
-    /// As the weight store.
+    /// Settings of the kind [`Kind::Weights`].
     pub weights: Weights,
 }
 
 /// How a target announces itself.
 #[derive(Debug, Clone)]
 pub struct Announce {
-    /// Entry instances of its zone to try first; none means that it stays silent.
+    /// Entry instances of its zone to try first; with none, the target is not announced.
     pub instances: Vec<SocketAddr>,
     /// Name of the target.
     pub target: id::Target,
-    /// Address under which entry instances reach it; the bound one where absent.
+    /// Address at which entry instances reach it; the bound one where absent.
     pub advertise: Option<SocketAddr>,
     /// Kind of target, as the deployment names it.
     pub kind: String,
-    /// Age of the load that it reports.
+    /// Time by which the reported load lags behind the actual one.
     pub report_lag: Duration,
     /// Price of one busy second.
     pub price: f64,
-    /// Whether its cache events have gaps.
+    /// Whether it reports a gap in its cache events.
     pub cache_gap: bool,
 }
 
@@ -77,23 +77,23 @@
     pub models: Vec<Model>,
     /// Role at the start.
     pub role: String,
-    /// Time to the first token without uncached blocks of prompt.
+    /// Time to the first token of a fully cached prompt.
     pub first_token_latency: Duration,
-    /// Further time to the first token for each uncached block of prompt.
+    /// Further time to the first token for each uncached prompt block.
     pub block_prefill_time: Duration,
-    /// Time from token to token.
+    /// Time between two tokens.
     pub inter_token_latency: Duration,
-    /// Blocks of prompt that its cache holds.
+    /// Capacity of its prefix cache, in prompt blocks.
     pub cache_blocks: usize,
-    /// Whether it refuses orders with an old fencing number.
+    /// Whether it refuses orders with a stale fencing token.
     pub checks_fence: bool,
-    /// Time to load a model when ordered, without a weight store.
+    /// Time that an order to load models takes without a weight store.
     pub load_time: Duration,
-    /// Weight store from which ordered models come.
+    /// Weight store from which it downloads the models that an order names.
     pub weight_store: Option<SocketAddr>,
 }
 
-/// A model that an engine holds.
+/// A model version that an engine serves.
 #[derive(Debug, Clone)]
 pub struct Model {
     /// Model.
@@ -107,18 +107,18 @@
 /// Settings of a plain service.
 #[derive(Debug, Clone)]
 pub struct Service {
-    /// Service.
+    /// Name of the service.
     pub name: id::Service,
-    /// Time that one request takes.
+    /// Time that a request takes to run.
     pub service_time: Duration,
 }
 
 /// Settings of the weight store.
 #[derive(Debug, Clone)]
 pub struct Weights {
-    /// Bytes a second, over all downloads.
+    /// Rate limit shared by all downloads.
     pub bytes_per_second: u64,
-    /// Size of one file.
+    /// Size of each file.
     pub file_bytes: u64,
 }
 
@@ -203,7 +203,7 @@
     }
 }
 
-/// Converts a checked number; its range keeps it within `usize`.
+/// Converts a number whose checked range fits into `usize`.
 fn to_usize(number: u64) -> usize {
     usize::try_from(number).unwrap_or(usize::MAX)
 }
--- a/crates/zinniastall-standin/src/slots.rs
+++ b/crates/zinniastall-standin/src/slots.rs
@@ -1,4 +1,4 @@
-//! Slots: how many requests a stand-in runs at once, and its load as others hear of it.
+//! Slots: limit the requests that a stand-in runs at once, and measure the load that it reports.
 
 use std::{
     collections::VecDeque,
@@ -11,25 +11,26 @@
 
 use tokio::sync::{OwnedSemaphorePermit, Semaphore};
 
-/// Slots of a stand-in.
+/// Slots of a stand-in and the queue for them.
 #[derive(Debug, Clone)]
 pub struct Slots {
     semaphore: Arc<Semaphore>,
-    /// Requests that run or wait.
+    /// Running and waiting requests.
     in_flight: Arc<AtomicUsize>,
     max_in_flight: usize,
-    slots: usize,
+    max_running: usize,
+    /// Samples of the load, oldest first.
     history: Arc<Mutex<VecDeque<(Instant, usize)>>>,
 }
 
-/// A request's slot; freed on drop.
+/// The slot of a running request; freed on drop.
 #[derive(Debug)]
 pub struct Slot {
     _permit: OwnedSemaphorePermit,
     _guard: Guard,
 }
 
-/// A place among running and waiting requests.
+/// Counts a request as in flight until dropped.
 #[derive(Debug)]
 struct Guard(Arc<AtomicUsize>);
 
@@ -40,21 +41,21 @@
 }
 
 impl Slots {
-    /// Creates slots with a queue before them.
+    /// Creates slots and a queue of requests that may wait for them.
     pub fn new(slots: usize, queue: usize) -> Self {
         Self {
             semaphore: Arc::new(Semaphore::new(slots)),
             in_flight: Arc::default(),
             max_in_flight: slots + queue,
-            slots,
+            max_running: slots,
             history: Arc::default(),
         }
     }
 
-    /// Waits for a slot; `None` at once when the queue is full.
+    /// Waits for a slot; returns `None` at once when the queue is full.
     pub async fn acquire(&self) -> Option<Slot> {
         let guard = Guard(Arc::clone(&self.in_flight));
-        // The place counts before it is judged, so that two at once cannot both be the last.
+        // Counted before the check, so that two requests at once cannot both take the last place.
         let in_flight = self.in_flight.fetch_add(1, Ordering::AcqRel);
         if in_flight >= self.max_in_flight {
             return None;
@@ -66,17 +67,17 @@
         })
     }
 
-    /// Returns how many there are.
+    /// Returns the number of slots.
     pub const fn slots(&self) -> usize {
-        self.slots
+        self.max_running
     }
 
-    /// Returns how many requests run or wait.
+    /// Returns the number of running and waiting requests.
     pub fn in_flight(&self) -> usize {
         self.in_flight.load(Ordering::Acquire)
     }
 
-    /// Notes the load now and returns the newest that is at least `lag` old.
+    /// Samples the load and returns the newest sample that is at least `lag` old, or 0.
     pub fn lagged_load(&self, lag: Duration) -> usize {
         let now = Instant::now();
         let mut history = self.history.lock().unwrap_or_else(PoisonError::into_inner);
--- a/crates/zinniastall-standin/src/statsd.rs
+++ b/crates/zinniastall-standin/src/statsd.rs
@@ -1,4 +1,4 @@
-//! A receiver of metrics: counts what arrives by name and type.
+//! A statsd sink: counts received metrics by name, type and tags.
 
 use std::sync::{Arc, Mutex, PoisonError};
 
@@ -6,24 +6,24 @@
 use indexmap::IndexMap;
 use tokio::net::UdpSocket;
 
-/// Most names that are kept.
+/// Most series that are counted; lines of further ones are ignored.
 const MAX_SERIES: usize = 10_000;
-/// Longest datagram.
+/// Longest datagram that is read in full.
 const MAX_DATAGRAM_BYTES: usize = 64 * 1024;
 
-/// What arrived, by line without its value.
+/// Counts of received lines, by line without its value.
 #[derive(Debug, Clone, Default)]
 pub struct Sink {
     counts: Arc<Mutex<IndexMap<String, u64>>>,
 }
 
 impl Sink {
-    /// Adds the sink's calls to a server.
+    /// Registers the sink's handler with a server.
     pub fn configure(config: &mut web::ServiceConfig) {
         config.route("/metrics", web::get().to(list));
     }
 
-    /// Counts datagrams until the socket fails.
+    /// Counts the lines of received datagrams until the socket fails.
     pub async fn receive(self, socket: UdpSocket) {
         let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
         while let Ok(length) = socket.recv(&mut buffer).await {
--- a/crates/zinniastall-standin/src/weights.rs
+++ b/crates/zinniastall-standin/src/weights.rs
@@ -1,4 +1,4 @@
-//! The weight store: files at a limited rate that all downloads share.
+//! The weight store: serves files under a rate limit that all downloads share.
 
 use std::{
     net::SocketAddr,
@@ -17,22 +17,22 @@
 
 use crate::settings::Weights;
 
-/// Bytes of one part of a file.
+/// Size of the chunks in which a file is sent.
 const CHUNK_BYTES: u64 = 64 * 1024;
 static ZEROS: [u8; 64 * 1024] = [0; 64 * 1024];
 
-/// The weight store; all threads share it.
+/// The weight store, shared by all threads.
 #[derive(Debug)]
 pub struct Store {
     settings: Weights,
-    /// When the rate permits the next part.
+    /// When the rate limit permits the next chunk.
     next_chunk_at: Mutex<Instant>,
     active: AtomicUsize,
     peak_active: AtomicUsize,
     downloads: AtomicUsize,
 }
 
-/// What the store has seen.
+/// Counts of downloads: in progress, most at once, and in total.
 #[derive(Debug, Serialize)]
 struct Report {
     active: usize,
@@ -64,13 +64,14 @@
         }
     }
 
-    /// Adds the store's calls to a server.
+    /// Registers the store's handlers with a server.
     pub fn configure(config: &mut web::ServiceConfig) {
         config
             .route("/weights/{name:.*}", web::get().to(download))
             .route("/downloads", web::get().to(report));
     }
 
+    /// Reserves a share of the rate limit and returns when the bytes may be sent.
     fn reserve(&self, bytes: u64) -> Instant {
         let mut next_chunk_at = self
             .next_chunk_at
@@ -117,12 +118,12 @@
     /// The store did not answer.
     #[error("weight store did not answer: {0}")]
     Request(String),
-    /// The file broke off.
-    #[error("weights broke off: {0}")]
+    /// The download ended early.
+    #[error("download of weights ended early: {0}")]
     Incomplete(String),
 }
 
-/// Fetches one file and throws it away.
+/// Downloads one file and discards it.
 ///
 /// # Errors
 ///
--- a/crates/zinniastall-standin/tests/settings.rs
+++ b/crates/zinniastall-standin/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of a stand-in: the examples are valid, faults are listed with their paths.
+//! Settings of a stand-in: the examples are valid, and every invalid field is listed by its path.
 
 use zinniastall_settings::load;
 use zinniastall_standin::settings::{Kind, Standin};
