--- a/crates/zinniastall-load/src/audit.rs
+++ b/crates/zinniastall-load/src/audit.rs
@@ -108,7 +108,7 @@
         ..Audit::default()
     };
     for run in runs {
-        // A run that resumes a stream belongs to an earlier run and is no second execution.
+        // A run that resumes a stream continues an earlier one and does not count as a second run.
         *by_digest.entry(&run.body_digest).or_default() += u64::from(run.offset == 0);
         audit.runs += 1;
         audit.busy_ms += run
--- a/crates/zinniastall-load/src/locate.rs
+++ b/crates/zinniastall-load/src/locate.rs
@@ -13,8 +13,8 @@
 
 /// Tickets requested with each answer.
 const TICKETS: usize = 32;
-/// Shortest time for which an answer is used, so that one with a wrong validity is not requested
-/// again without end.
+/// Shortest time for which an answer is used, so that one with a wrong validity does not
+/// cause endless requests.
 const MIN_VALIDITY: Duration = Duration::from_millis(100);
 
 /// Longest wait for one instance's answer.
@@ -110,8 +110,8 @@
         }
     }
 
-    /// Draws by weight among the nearest instances, which are all in the zone of the first one: the
-    /// answer is sorted by distance, and weights are comparable within a zone only.
+    /// Draws by weight among the nearest instances, those in the zone of the first one: the answer
+    /// lists the nearest first, and weights are comparable within a zone only.
     fn pick_weighted(&self, rng: &mut StdRng) -> Option<String> {
         let first = self.instances.first()?;
         let in_first_zone =
--- a/crates/zinniastall-load/src/tally.rs
+++ b/crates/zinniastall-load/src/tally.rs
@@ -9,7 +9,7 @@
 
 /// Longest time that is recorded: one hour.
 const MAX_MICROS: u64 = 3_600_000_000;
-/// Decimal digits to which histograms are exact.
+/// Significant decimal digits that histograms keep.
 const SIGNIFICANT_DIGITS: u8 = 3;
 
 /// What a caller observed of one request, to be compared with the ledgers.
--- a/crates/zinniastall-load/src/worker.rs
+++ b/crates/zinniastall-load/src/worker.rs
@@ -121,7 +121,7 @@
                 ticket: None,
             });
         }
-        // A directory is taken out while in use; requests that choose meanwhile start a new one.
+        // A directory is taken out while in use, so requests that choose meanwhile use a new one.
         let mut directory = self.directories[source].take();
         let source_settings = &self.experiment.sources[source];
         let mut random = StdRng::from_rng(&mut *self.random.borrow_mut());
--- a/crates/zinniastall-standin/src/announce.rs
+++ b/crates/zinniastall-standin/src/announce.rs
@@ -103,7 +103,8 @@
         }
     }
 
-    /// Tells an entry instance to send the target no new requests.
+    /// Tells the first entry instance that answers, of those in the settings, to send the target no
+    /// new requests.
     pub async fn leave(&self) {
         self.leaving.store(true, Ordering::Release);
         let body = json!({"target": self.settings.target, "incarnation": self.incarnation});
--- a/crates/zinniastall-standin/src/answer.rs
+++ b/crates/zinniastall-standin/src/answer.rs
@@ -1,5 +1,5 @@
-//! Answers of the stand-in engine. Their text depends on the prompt alone, so that a test can tell
-//! whether an answer is whole and belongs to its request.
+//! Answers of the stand-in engine. The same prompt always gets the same text, so that a test can
+//! tell whether an answer is whole and belongs to its request.
 
 use serde_json::{Value, json};
 
--- a/crates/zinniastall-standin/src/daemon.rs
+++ b/crates/zinniastall-standin/src/daemon.rs
@@ -198,7 +198,7 @@
     }
 }
 
-/// Capabilities of a plain service, which are its name alone.
+/// Capabilities of the plain service with this name.
 struct PlainService(String);
 
 impl Capabilities for PlainService {
--- a/crates/zinniastall-standin/src/failure.rs
+++ b/crates/zinniastall-standin/src/failure.rs
@@ -1,4 +1,5 @@
-//! Fault injection: makes a stand-in fail at an exact point of a request.
+//! Fault injection: makes a stand-in fail at a given point of a request, so that tests place a loss
+//! exactly.
 
 use std::sync::{Arc, Mutex, PoisonError};
 
@@ -29,7 +30,7 @@
     Cut,
     /// Nothing more is sent, and the connection stays open.
     Hang,
-    /// The target answers with an error; an engine that has begun its answer cuts the connection.
+    /// The answer is an error at [`Point::First`]; at other points the connection is cut.
     Error,
 }
 
@@ -43,7 +44,7 @@
     /// Events that are sent before [`Point::Events`] is reached.
     #[serde(default)]
     pub events: usize,
-    /// Number of requests that fail.
+    /// Number of requests that are still to fail.
     pub times: u64,
 }
 
--- a/crates/zinniastall-standin/src/ledger.rs
+++ b/crates/zinniastall-standin/src/ledger.rs
@@ -1,7 +1,8 @@
 //! The ledger: every request that a stand-in ran and how the run ended.
 //!
-//! A ledger with a file outlives the process: the start and the end of a run are one line each,
-//! written before the request proceeds, so that a killed stand-in still accounts for what it ran.
+//! A ledger with a file outlives the process: the start and the completion of a run are one line
+//! each, written before the request proceeds, so that a killed stand-in still accounts for what it
+//! ran.
 
 use std::{
     collections::VecDeque,
