--- a/crates/zinniastall-load/src/call.rs
+++ b/crates/zinniastall-load/src/call.rs
@@ -18,7 +18,7 @@
     sse::{DONE, Events},
 };
 
-/// Longest whole answer, in bytes.
+/// Longest body of an answer that is not streamed.
 const MAX_BODY_BYTES: usize = 64 << 20;
 
 /// A request to send.
--- a/crates/zinniastall-load/src/locate.rs
+++ b/crates/zinniastall-load/src/locate.rs
@@ -13,8 +13,8 @@
 
 /// Tickets requested with each answer.
 const TICKETS: usize = 32;
-/// Shortest time for which an answer is used, so that one with a wrong validity does not
-/// cause endless requests.
+/// Shortest time for which an answer is used, so that one with a wrong validity does not cause
+/// endless requests.
 const MIN_VALIDITY: Duration = Duration::from_millis(100);
 
 /// Longest wait for one instance's answer.
--- a/crates/zinniastall-load/src/worker.rs
+++ b/crates/zinniastall-load/src/worker.rs
@@ -36,7 +36,7 @@
     client: Client,
     /// One for each source.
     directories: Vec<RefCell<Directory>>,
-    random: RefCell<StdRng>,
+    rng: RefCell<StdRng>,
     tally: RefCell<Tally>,
 }
 
@@ -58,7 +58,7 @@
         .finish();
     let sources = experiment.sources.len();
     let worker = Rc::new(Worker {
-        random: RefCell::new(StdRng::seed_from_u64(experiment.seed ^ number)),
+        rng: RefCell::new(StdRng::seed_from_u64(experiment.seed ^ number)),
         directories: (0..sources).map(|_| RefCell::default()).collect(),
         tally: RefCell::default(),
         client,
@@ -124,10 +124,10 @@
         // A directory is taken out while in use, so requests that choose meanwhile use a new one.
         let mut directory = self.directories[source].take();
         let source_settings = &self.experiment.sources[source];
-        let mut random = StdRng::from_rng(&mut *self.random.borrow_mut());
+        let mut rng = StdRng::from_rng(&mut *self.rng.borrow_mut());
         let entries = &self.variant.entries;
         let choice = directory
-            .choose(&self.client, entries, source_settings, &mut random)
+            .choose(&self.client, entries, source_settings, &mut rng)
             .await;
         self.directories[source].replace(directory);
         choice
--- a/crates/zinniastall-standin/src/engine/orders.rs
+++ b/crates/zinniastall-standin/src/engine/orders.rs
@@ -108,7 +108,8 @@
         state.models.iter().any(matches)
     }
 
-    /// Applies an order unless a newer one arrived while models were loading.
+    /// Applies an order and returns whether it did: an engine that checks fencing tokens drops one
+    /// that a newer one has overtaken during its load.
     fn apply(&self, fence: u64, body: &Body) -> bool {
         let mut state = self.lock_state();
         if self.settings.engine.checks_fence && fence < state.highest_fence {
