--- a/crates/zinniastall-load/src/audit.rs
+++ b/crates/zinniastall-load/src/audit.rs
@@ -1,65 +1,65 @@
-//! Compares what callers were told with what the targets' ledgers say.
+//! Compares what callers were told with the targets' ledgers.
 
 use std::{collections::HashMap, net::SocketAddr, time::Duration};
 
 use awc::Client;
 use serde::{Deserialize, Serialize};
 
-use crate::{outcome::Outcome, tally::Claim};
+use crate::{outcome::Outcome, tally::Observation};
 
-/// Longest ledger, in bytes.
-const LIMIT: usize = 1 << 30;
+/// Longest ledger that is read.
+const MAX_LEDGER_BYTES: usize = 1 << 30;
 /// Longest wait for a ledger.
-const BOUND: Duration = Duration::from_mins(1);
+const READ_TIMEOUT: Duration = Duration::from_mins(1);
 
-/// One run of a request, as a ledger has it.
+/// One run of a request, as a ledger lists it.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Run {
     /// BLAKE3 digest of the body, as hex.
     pub body_digest: String,
-    /// When it started, in milliseconds since the epoch.
+    /// When it started, in milliseconds since the Unix epoch.
     pub started: u64,
-    /// When it ended whole.
+    /// When its whole answer was ready, in milliseconds since the Unix epoch.
     pub finished: Option<u64>,
-    /// Event at which it resumed.
+    /// Event at which it resumed a stream; 0 for a run from the start.
     pub offset: usize,
-    /// Blocks of its prompt that were cached.
+    /// Prompt blocks that were found in the cache.
     pub cached: usize,
-    /// Blocks of its prompt.
+    /// Prompt blocks in total.
     pub blocks: usize,
 }
 
-/// The verdict.
+/// Result of an audit.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize)]
 pub struct Audit {
     /// Ledgers that were read.
     pub ledgers: usize,
     /// Runs in them.
     pub runs: u64,
-    /// Answers that were called whole but were not the right ones.
+    /// Answers reported as whole that were not the ones to their prompts.
     pub wrong: u64,
-    /// Whole answers without a run.
+    /// Whole answers to requests without a run.
     pub invented: u64,
-    /// Requests called "not run" that ran.
+    /// Requests reported as not run that ran.
     pub ran_anyway: u64,
-    /// Requests that may run once and ran more often.
+    /// Requests that may run at most once and ran more than once.
     pub doubled: u64,
-    /// Time that targets were busy, in milliseconds.
+    /// Sum of the times of finished runs, in milliseconds.
     pub busy_ms: u64,
-    /// Blocks of prompt that were cached.
+    /// Prompt blocks that were found in caches.
     pub cached: u64,
-    /// Blocks of prompt.
+    /// Prompt blocks in total.
     pub blocks: u64,
 }
 
 impl Audit {
-    /// Returns how many requests broke a promise.
+    /// Returns the number of broken guarantees.
     pub const fn violations(&self) -> u64 {
         self.wrong + self.invented + self.ran_anyway + self.doubled
     }
 }
 
-/// Why a ledger cannot be compared.
+/// Why a ledger cannot be read.
 #[derive(Debug, thiserror::Error)]
 #[error("ledger of {target} cannot be read: {cause}")]
 pub struct Error {
@@ -75,36 +75,40 @@
 ///
 /// Fails when one cannot be read.
 pub async fn read(ledgers: &[SocketAddr]) -> Result<Vec<Run>, Error> {
-    let client = Client::builder().timeout(BOUND).finish();
+    let client = Client::builder().timeout(READ_TIMEOUT).finish();
     let mut runs = Vec::new();
     for target in ledgers {
         let fail = |cause: String| Error {
             target: *target,
             cause,
         };
-        let reading = tokio::time::timeout(BOUND, ledger(&client, *target));
+        let reading = tokio::time::timeout(READ_TIMEOUT, read_ledger(&client, *target));
         let ledger = reading.await.unwrap_or_else(|late| Err(late.to_string()));
         runs.extend(ledger.map_err(fail)?);
     }
     Ok(runs)
 }
 
-async fn ledger(client: &Client, target: SocketAddr) -> Result<Vec<Run>, String> {
+async fn read_ledger(client: &Client, target: SocketAddr) -> Result<Vec<Run>, String> {
     let sent = client.get(format!("http://{target}/ledger")).send().await;
     let response = sent.map_err(|error| error.to_string())?;
-    let ledger = response.timeout(BOUND).json().limit(LIMIT).await;
+    let ledger = response
+        .timeout(READ_TIMEOUT)
+        .json()
+        .limit(MAX_LEDGER_BYTES)
+        .await;
     ledger.map_err(|error| error.to_string())
 }
 
-/// Compares claims and runs; without ledgers only the answers themselves are judged.
-pub fn compare(claims: &[Claim], runs: &[Run], ledgers: usize) -> Audit {
+/// Compares observations with runs; without ledgers it only checks the answers themselves.
+pub fn compare(observations: &[Observation], runs: &[Run], ledgers: usize) -> Audit {
     let mut by_digest: HashMap<&str, u64> = HashMap::new();
     let mut audit = Audit {
         ledgers,
         ..Audit::default()
     };
     for run in runs {
-        // A resumed stream goes on with the run that it belongs to.
+        // A run that resumes a stream continues an earlier one and does not count as a second run.
         *by_digest.entry(&run.body_digest).or_default() += u64::from(run.offset == 0);
         audit.runs += 1;
         audit.busy_ms += run
@@ -113,14 +117,17 @@
         audit.cached += run.cached as u64;
         audit.blocks += run.blocks as u64;
     }
-    for claim in claims {
-        let ran = by_digest.get(claim.digest.as_str()).copied().unwrap_or(0);
-        let answered = claim.outcome == Outcome::Answered;
-        audit.wrong += u64::from(answered && !claim.right);
+    for observation in observations {
+        let ran = by_digest
+            .get(observation.digest.as_str())
+            .copied()
+            .unwrap_or(0);
+        let answered = observation.outcome == Outcome::Answered;
+        audit.wrong += u64::from(answered && !observation.correct);
         if ledgers > 0 {
             audit.invented += u64::from(answered && ran == 0);
-            audit.ran_anyway += u64::from(claim.outcome == Outcome::NotRun && ran > 0);
-            audit.doubled += u64::from(!claim.idempotent && ran > 1);
+            audit.ran_anyway += u64::from(observation.outcome == Outcome::NotRun && ran > 0);
+            audit.doubled += u64::from(!observation.idempotent && ran > 1);
         }
     }
     audit
--- a/crates/zinniastall-load/src/plan.rs
+++ b/crates/zinniastall-load/src/plan.rs
@@ -1,4 +1,4 @@
-//! The plan of an experiment: when each request starts and what it asks.
+//! The plan of an experiment: when each request starts and which prompt it sends.
 
 use std::time::Duration;
 
@@ -9,19 +9,19 @@
 /// One planned request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Arrival {
-    /// Its number in the plan; makes its prompt unlike all others.
+    /// Number in the plan; makes its prompt unique.
     pub number: u64,
-    /// When it starts, after the start of the warm-up.
+    /// When it starts, counted from the start of the warm-up.
     pub at: Duration,
     /// Index of its source.
     pub source: usize,
-    /// Which shared beginning its prompt has.
+    /// Number of the shared prefix that its prompt has.
     pub prefix: u64,
-    /// Whether it is measured.
+    /// Whether it starts in the measured time.
     pub measured: bool,
 }
 
-/// Makes the plan of an experiment, in order of time; the same for the same seed.
+/// Makes the plan of an experiment, sorted by time; equal seeds give equal plans.
 pub fn make(experiment: &Experiment) -> Vec<Arrival> {
     let sources = experiment.sources.iter().enumerate();
     let mut plan: Vec<Arrival> = sources
@@ -35,7 +35,7 @@
 }
 
 fn arrivals(experiment: &Experiment, index: usize, source: &Source) -> Vec<Arrival> {
-    let mut random = StdRng::seed_from_u64(experiment.seed ^ ((index as u64 + 1) << 32));
+    let mut rng = StdRng::seed_from_u64(experiment.seed ^ ((index as u64 + 1) << 32));
     let end = experiment.warmup + experiment.duration;
     let end = source.until.map_or(end, |until| until.min(end));
     let mut at = source.from;
@@ -44,7 +44,7 @@
         return arrivals;
     }
     loop {
-        at += gap(source, &mut random);
+        at += interarrival_time(source, &mut rng);
         if at >= end {
             return arrivals;
         }
@@ -52,17 +52,17 @@
             number: 0,
             at,
             source: index,
-            prefix: random.random_range(0..source.prefixes.max(1)),
+            prefix: rng.random_range(0..source.prefixes.max(1)),
             measured: at >= experiment.warmup,
         });
     }
 }
 
 /// Returns the time to the next arrival: exponentially distributed for Poisson arrivals.
-fn gap(source: &Source, random: &mut StdRng) -> Duration {
+fn interarrival_time(source: &Source, rng: &mut StdRng) -> Duration {
     let mean = 1.0 / source.rate;
     if source.poisson {
-        let uniform: f64 = random.random();
+        let uniform: f64 = rng.random();
         Duration::from_secs_f64(-(1.0 - uniform).ln() * mean)
     } else {
         Duration::from_secs_f64(mean)
--- a/crates/zinniastall-load/src/prompt.rs
+++ b/crates/zinniastall-load/src/prompt.rs
@@ -1,16 +1,16 @@
-//! Prompts: a shared beginning and an end that no other prompt has.
+//! Prompts: a shared prefix and a unique end.
 
 use serde_json::json;
 
 use crate::{plan::Arrival, settings::Source};
 
-/// The body of a request, and what a stand-in answers to it.
+/// The body of a request and what identifies a stand-in's answer to it.
 #[derive(Debug, Clone)]
 pub struct Prompt {
     /// Body.
     pub body: String,
-    /// First part of every token of the answer.
-    pub mark: String,
+    /// Prefix of every token of the answer.
+    pub token_prefix: String,
 }
 
 /// Makes the prompt of an arrival.
@@ -24,9 +24,9 @@
         );
     }
     let length = text.len() + source.suffix_bytes;
-    let own = format!("{seed}-{} ", arrival.number);
-    text += &own;
-    fill(&mut text, &own, length);
+    let unique = format!("{seed}-{} ", arrival.number);
+    text += &unique;
+    fill(&mut text, &unique, length);
     let body = json!({
         "model": source.model,
         "stream": source.stream,
@@ -36,11 +36,11 @@
     let digest = blake3::hash(text.as_bytes()).to_hex();
     Prompt {
         body: body.to_string(),
-        mark: digest[..8].to_owned(),
+        token_prefix: digest[..8].to_owned(),
     }
 }
 
-/// Repeats `part` until the text has a length; a longer text stays as it is.
+/// Appends `part` repeatedly up to a length; a longer text stays as it is.
 fn fill(text: &mut String, part: &str, length: usize) {
     while text.len() < length {
         let left = (length - text.len()).min(part.len());
--- a/crates/zinniastall-load/src/report.rs
+++ b/crates/zinniastall-load/src/report.rs
@@ -12,20 +12,20 @@
     tally::{Series, Tally},
 };
 
-/// Points of a curve for the plot.
-const CURVE: [f64; 12] = [
+/// Quantiles of the curves for the plot.
+const CURVE_QUANTILES: [f64; 12] = [
     0.05, 0.1, 0.25, 0.5, 0.75, 0.9, 0.95, 0.98, 0.99, 0.995, 0.999, 1.0,
 ];
 
-/// Times for which the share of whole answers is given, in milliseconds.
-const WITHIN: [u64; 3] = [250, 500, 800];
+/// Times within which the share of whole answers is reported.
+const WITHIN_THRESHOLDS_MS: [u64; 3] = [250, 500, 800];
 
 /// The report of an experiment.
 #[derive(Debug, Clone, Serialize)]
 pub struct Report {
     /// Seed.
     pub seed: u64,
-    /// Planned requests a variant, warm-up included.
+    /// Planned requests of each variant, including the warm-up.
     pub planned: usize,
     /// Measured time, in milliseconds.
     pub duration_ms: u128,
@@ -44,9 +44,9 @@
     pub all: Row,
     /// By client and class.
     pub rows: Vec<Row>,
-    /// What the ledgers say.
+    /// Comparison with the ledgers.
     pub audit: Audit,
-    /// By how much the latest request started late, in microseconds.
+    /// Longest delay of a request's start, in microseconds.
     pub latest_start_us: u128,
 }
 
@@ -65,29 +65,29 @@
     pub not_run: u64,
     /// Requests that may have run.
     pub unknown: u64,
-    /// Whole answers within the deadline, a second.
+    /// Whole answers within the deadline, per second.
     pub goodput: f64,
-    /// Share of all requests with a whole answer within some milliseconds; what was refused or lost
-    /// counts as missed. Quantiles of answers alone look better the more is refused.
+    /// Shares of all requests with a whole answer within given milliseconds. Refused and lost
+    /// requests count as missed: quantiles of answers alone look better the more are refused.
     pub within: Vec<(u64, f64)>,
     /// Whole answers from another region.
     pub away: u64,
     /// Time to the first token.
-    pub first: Times,
+    pub first: Latency,
     /// Time between tokens.
-    pub between: Times,
+    pub between: Latency,
     /// Time to the end.
-    pub whole: Times,
+    pub whole: Latency,
     /// Errors by type.
     pub errors: IndexMap<String, u64>,
     /// Requests by receiving instance.
     pub instances: IndexMap<String, u64>,
 }
 
-/// Times, in microseconds.
+/// Distribution of a latency, in microseconds.
 #[derive(Debug, Clone, Serialize)]
-pub struct Times {
-    /// Values.
+pub struct Latency {
+    /// Number of values.
     pub count: u64,
     /// Median.
     pub p50: u64,
@@ -95,7 +95,7 @@
     pub p95: u64,
     /// 99th percentile.
     pub p99: u64,
-    /// Greatest.
+    /// Maximum.
     pub max: u64,
     /// Quantiles and their values.
     pub curve: Vec<(f64, u64)>,
@@ -115,13 +115,13 @@
 }
 
 impl Variant {
-    /// Sums up a variant.
+    /// Summarises the results of a variant.
     pub fn new(
         experiment: &Experiment,
         variant: &settings::Variant,
         tally: &Tally,
         audit: Audit,
-        latest: Duration,
+        max_delay: Duration,
     ) -> Self {
         let row = |client: &str, class: &str, series: &Series| {
             Row::new(client, class, series, experiment.duration)
@@ -134,12 +134,12 @@
                 .map(|((client, class), series)| row(client, class, series))
                 .collect(),
             audit,
-            latest_start_us: latest.as_micros(),
+            latest_start_us: max_delay.as_micros(),
         }
     }
 
-    /// Returns whether no promise was seen broken.
-    pub const fn clean(&self) -> bool {
+    /// Returns whether the audit found no violation.
+    pub const fn is_clean(&self) -> bool {
         self.audit.violations() == 0
     }
 }
@@ -157,21 +157,21 @@
             answered: series.answered,
             not_run: series.not_run,
             unknown: series.unknown,
-            goodput: series.in_time as f64 / duration.as_secs_f64(),
-            within: WITHIN
+            goodput: series.within_deadline as f64 / duration.as_secs_f64(),
+            within: WITHIN_THRESHOLDS_MS
                 .map(|millis| (millis, series.within(millis)))
                 .to_vec(),
-            away: series.away,
-            first: Times::new(&series.first),
-            between: Times::new(&series.between),
-            whole: Times::new(&series.whole),
+            away: series.remote,
+            first: Latency::new(&series.first_token),
+            between: Latency::new(&series.token_gaps),
+            whole: Latency::new(&series.total),
             errors: series.errors.clone(),
             instances: series.instances.clone(),
         }
     }
 }
 
-impl Times {
+impl Latency {
     fn new(histogram: &Histogram<u64>) -> Self {
         let at = |quantile| histogram.value_at_quantile(quantile);
         Self {
@@ -180,7 +180,9 @@
             p95: at(0.95),
             p99: at(0.99),
             max: histogram.max(),
-            curve: CURVE.map(|quantile| (quantile, at(quantile))).to_vec(),
+            curve: CURVE_QUANTILES
+                .map(|quantile| (quantile, at(quantile)))
+                .to_vec(),
         }
     }
 }
--- a/crates/zinniastall-load/src/settings.rs
+++ b/crates/zinniastall-load/src/settings.rs
@@ -1,4 +1,4 @@
-//! Settings: an experiment.
+//! Settings of an experiment.
 
 use std::{net::SocketAddr, path::PathBuf, time::Duration};
 
@@ -12,23 +12,23 @@
     pub seed: u64,
     /// Log level.
     pub log: String,
-    /// Threads that send.
+    /// Threads that send requests.
     pub threads: usize,
-    /// Time at the start that is not measured.
+    /// Warm-up at the start, which is not measured.
     pub warmup: Duration,
-    /// Time that is measured.
+    /// Measured time, which follows the warm-up.
     pub duration: Duration,
-    /// Time within which an answer counts as goodput; sent along as the deadline.
+    /// Time within which a whole answer counts as goodput; sent as the deadline of each request.
     pub deadline: Duration,
-    /// Longest wait for an answer; what has not ended by then is counted as unknown.
-    pub patience: Duration,
-    /// File of the report; standard output where absent.
+    /// Longest wait for an answer; the outcome of a request that has not ended by then is unknown.
+    pub timeout: Duration,
+    /// File of the report; it goes to standard output where absent.
     pub report: Option<PathBuf>,
-    /// File of the plot.
+    /// File of the plot; none is drawn where absent.
     pub plot: Option<PathBuf>,
-    /// What is compared.
+    /// Variants to compare.
     pub variants: Vec<Variant>,
-    /// Where requests come from.
+    /// Sources of requests.
     pub sources: Vec<Source>,
 }
 
@@ -37,9 +37,9 @@
 pub struct Variant {
     /// Name in the report.
     pub name: String,
-    /// Callers' addresses of some entry instances.
+    /// Addresses at which some entry instances take requests.
     pub entries: Vec<SocketAddr>,
-    /// A target that is called without the system, for comparison.
+    /// A target that is called directly instead of through the system, for comparison.
     pub direct: Option<SocketAddr>,
     /// Stand-in targets whose ledgers are compared with the outcomes.
     pub ledgers: Vec<SocketAddr>,
@@ -54,37 +54,37 @@
     pub key: String,
     /// Class.
     pub class: id::Class,
-    /// Where its callers are.
+    /// Region of its callers.
     pub region: Option<id::Region>,
-    /// Availability zone that they prefer.
+    /// Availability zone that its callers prefer.
     pub zone: Option<id::Zone>,
     /// Model.
     pub model: id::Model,
-    /// Requests a second.
+    /// Requests per second.
     pub rate: f64,
-    /// Whether gaps between requests are random (Poisson arrivals) or all the same.
+    /// Whether arrivals are a Poisson process; otherwise the time between them is constant.
     pub poisson: bool,
-    /// When it begins, after the start of the warm-up.
+    /// When its requests begin, counted from the start of the warm-up.
     pub from: Duration,
-    /// When it ends.
+    /// When its requests end, counted likewise; at the end of the experiment where absent.
     pub until: Option<Duration>,
     /// Whether answers are streamed.
     pub stream: bool,
-    /// Whether requests may be repeated; others take a ticket along.
+    /// Whether requests may run more than once; others carry a ticket.
     pub idempotent: bool,
-    /// Tokens of an answer.
+    /// Tokens of each answer.
     pub tokens: u64,
-    /// Different beginnings that its prompts share; 0 for none.
+    /// Number of distinct prefixes that its prompts share; 0 for none.
     pub prefixes: u64,
-    /// Bytes of a shared beginning.
+    /// Length of a shared prefix.
     pub prefix_bytes: usize,
-    /// Bytes that no other prompt has.
+    /// Length of the unique end of a prompt.
     pub suffix_bytes: usize,
 }
 
 impl Source {
-    /// Returns whether its callers are in this region, as far as it says where they are.
-    pub fn at_home(&self, region: &str) -> bool {
+    /// Returns whether its callers are in `region`; always so where their region is not set.
+    pub fn is_local(&self, region: &str) -> bool {
         self.region.as_deref().is_none_or(|home| home == region)
     }
 }
@@ -96,15 +96,15 @@
             log: reader
                 .optional_name("log")
                 .unwrap_or_else(|| "warn".to_owned()),
-            threads: count(reader.number("threads", 1..=64, 2)),
+            threads: to_usize(reader.number("threads", 1..=64, 2)),
             warmup: reader.millis("warmup_ms", 0..=3_600_000, 1_000),
             duration: reader.millis("duration_ms", 1..=86_400_000, 10_000),
             deadline: reader.millis("deadline_ms", 1..=3_600_000, 10_000),
-            patience: reader.millis("patience_ms", 1..=3_600_000, 60_000),
+            timeout: reader.millis("patience_ms", 1..=3_600_000, 60_000),
             report: reader.optional_text("report").map(PathBuf::from),
             plot: reader.optional_text("plot").map(PathBuf::from),
-            variants: reader.objects("variants", variant),
-            sources: reader.objects("sources", source),
+            variants: reader.objects("variants", read_variant),
+            sources: reader.objects("sources", read_source),
         };
         if experiment.variants.is_empty() {
             reader.fault("variants", Fault::Missing);
@@ -116,7 +116,7 @@
     }
 }
 
-fn variant(reader: &mut Reader<'_>) -> Variant {
+fn read_variant(reader: &mut Reader<'_>) -> Variant {
     let variant = Variant {
         name: reader.name("name"),
         entries: reader.addresses("entries"),
@@ -129,7 +129,7 @@
     variant
 }
 
-fn source(reader: &mut Reader<'_>) -> Source {
+fn read_source(reader: &mut Reader<'_>) -> Source {
     Source {
         client: reader.name("client"),
         key: reader.optional_text("key").unwrap_or_default(),
@@ -140,7 +140,7 @@
         zone: reader.optional_name("zone"),
         model: reader.name("model"),
         rate: reader.fraction("rate", 1e6, 10.0),
-        poisson: reader.word("arrivals", "poisson, fixed", arrivals, true),
+        poisson: reader.word("arrivals", "poisson, fixed", parse_arrivals, true),
         from: reader.millis("from_ms", 0..=86_400_000, 0),
         until: match reader.number("until_ms", 0..=86_400_000, 0) {
             0 => None,
@@ -150,12 +150,12 @@
         idempotent: reader.flag("idempotent", true),
         tokens: reader.number("tokens", 1..=100_000, 16),
         prefixes: reader.number("prefixes", 0..=1_000_000, 0),
-        prefix_bytes: count(reader.number("prefix_bytes", 0..=1 << 20, 2_048)),
-        suffix_bytes: count(reader.number("suffix_bytes", 0..=1 << 20, 64)),
+        prefix_bytes: to_usize(reader.number("prefix_bytes", 0..=1 << 20, 2_048)),
+        suffix_bytes: to_usize(reader.number("suffix_bytes", 0..=1 << 20, 64)),
     }
 }
 
-fn arrivals(word: &str) -> Option<bool> {
+fn parse_arrivals(word: &str) -> Option<bool> {
     match word {
         "poisson" => Some(true),
         "fixed" => Some(false),
@@ -163,7 +163,7 @@
     }
 }
 
-/// Converts a checked number; its range keeps it within `usize`.
-fn count(number: u64) -> usize {
+/// Converts a number whose checked range fits into `usize`.
+fn to_usize(number: u64) -> usize {
     usize::try_from(number).unwrap_or(usize::MAX)
 }
--- a/crates/zinniastall-load/src/sse.rs
+++ b/crates/zinniastall-load/src/sse.rs
@@ -3,15 +3,15 @@
 use bytes::{Bytes, BytesMut};
 use futures_util::{Stream, StreamExt};
 
-/// Last event of a whole stream.
+/// Data of the last event of a whole stream.
 pub const DONE: &str = "[DONE]";
-/// Longest event, in bytes; a longer one ends the stream.
-const LIMIT: usize = 1 << 20;
+/// Longest event; a longer one ends the stream.
+const MAX_EVENT_BYTES: usize = 1 << 20;
 
 /// One event.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Event {
-    /// Name; empty for a plain one.
+    /// Name; empty for an unnamed event.
     pub name: String,
     /// Data.
     pub data: String,
@@ -21,7 +21,7 @@
 #[derive(Debug)]
 pub struct Events<S> {
     bytes: S,
-    rest: BytesMut,
+    buffer: BytesMut,
 }
 
 impl<S, E> Events<S>
@@ -32,37 +32,37 @@
     pub fn new(bytes: S) -> Self {
         Self {
             bytes,
-            rest: BytesMut::new(),
+            buffer: BytesMut::new(),
         }
     }
 
-    /// Waits for the next event; `None` at the end of the bytes, also in the middle of an event.
+    /// Waits for the next event; returns `None` at the end of the bytes, even within an event.
     ///
     /// # Errors
     ///
-    /// Passes on the failure of the stream of bytes.
+    /// Fails when the stream of bytes fails.
     pub async fn next(&mut self) -> Result<Option<Event>, E> {
         loop {
-            if let Some(event) = take(&mut self.rest) {
+            if let Some(event) = split_event(&mut self.buffer) {
                 return Ok(Some(event));
             }
-            if self.rest.len() > LIMIT {
+            if self.buffer.len() > MAX_EVENT_BYTES {
                 return Ok(None);
             }
             match self.bytes.next().await {
-                Some(chunk) => self.rest.extend_from_slice(&chunk?),
+                Some(chunk) => self.buffer.extend_from_slice(&chunk?),
                 None => return Ok(None),
             }
         }
     }
 }
 
-/// Takes the first whole event off a buffer.
-fn take(rest: &mut BytesMut) -> Option<Event> {
-    let end = rest.windows(2).position(|pair| pair == b"\n\n")?;
-    let block = rest.split_to(end + 2);
+/// Splits the first whole event off a buffer.
+fn split_event(buffer: &mut BytesMut) -> Option<Event> {
+    let end = buffer.windows(2).position(|pair| pair == b"\n\n")?;
+    let block = buffer.split_to(end + 2);
     let text = String::from_utf8_lossy(&block);
-    let of = |field: &str| {
+    let field_text = |field: &str| {
         let lines = text.lines().filter_map(|line| line.strip_prefix(field));
         lines
             .map(|line| line.strip_prefix(' ').unwrap_or(line))
@@ -70,7 +70,7 @@
             .join("\n")
     };
     Some(Event {
-        name: of("event:"),
-        data: of("data:"),
+        name: field_text("event:"),
+        data: field_text("data:"),
     })
 }
--- a/crates/zinniastall-load/src/worker.rs
+++ b/crates/zinniastall-load/src/worker.rs
@@ -1,4 +1,4 @@
-//! A thread that sends requests when the pacing thread says so.
+//! A sending thread: sends each request when the pacing thread hands it over.
 
 use std::{
     cell::RefCell,
@@ -19,73 +19,74 @@
     plan::Arrival,
     prompt,
     settings::{Experiment, Variant},
-    tally::{Claim, Tally},
+    tally::{Observation, Tally},
 };
 
-/// Idle connections are closed after this time; shorter than what HTTP servers commonly keep, so that
-/// a request rarely meets one that the other end is closing.
-const IDLE: Duration = Duration::from_secs(4);
+/// Time after which idle connections are closed; shorter than the usual keep-alive of HTTP
+/// servers, so that a request rarely uses a connection that the server is closing.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// A request that is due.
-pub(crate) type Due = (Arrival, Instant);
+/// An arrival and the time at which it is due.
+pub(crate) type DueArrival = (Arrival, Instant);
 
-/// What a worker knows.
+/// State of a sending thread.
 struct Worker {
     experiment: Arc<Experiment>,
     variant: Variant,
     client: Client,
+    /// One for each source.
     directories: Vec<RefCell<Directory>>,
-    random: RefCell<StdRng>,
+    rng: RefCell<StdRng>,
     tally: RefCell<Tally>,
 }
 
-/// Sends requests as they come until the channel is closed and all have ended.
-pub(crate) async fn work(
+/// Sends requests as they are handed over, until the channel is closed and all of them have ended.
+pub(crate) async fn run(
     experiment: Arc<Experiment>,
     variant: Variant,
     number: u64,
-    mut due: mpsc::UnboundedReceiver<Due>,
+    mut due: mpsc::UnboundedReceiver<DueArrival>,
 ) -> Tally {
     let connector = Connector::new()
         .limit(0)
-        .timeout(experiment.patience)
-        .conn_keep_alive(IDLE);
+        .timeout(experiment.timeout)
+        .conn_keep_alive(IDLE_TIMEOUT);
     let client = Client::builder()
         .connector(connector)
-        .timeout(experiment.patience)
+        .timeout(experiment.timeout)
         .disable_redirects()
         .finish();
     let sources = experiment.sources.len();
     let worker = Rc::new(Worker {
-        random: RefCell::new(StdRng::seed_from_u64(experiment.seed ^ number)),
+        rng: RefCell::new(StdRng::seed_from_u64(experiment.seed ^ number)),
         directories: (0..sources).map(|_| RefCell::default()).collect(),
         tally: RefCell::default(),
         client,
         variant,
         experiment,
     });
-    let mut open = FuturesUnordered::new();
+    let mut in_flight = FuturesUnordered::new();
     loop {
         tokio::select! {
             next = due.recv() => match next {
-                Some(next) => open.push(Rc::clone(&worker).serve(next)),
+                Some(next) => in_flight.push(Rc::clone(&worker).send(next)),
                 None => break,
             },
-            Some(()) = open.next() => {}
+            Some(()) = in_flight.next() => {}
         }
     }
-    while open.next().await.is_some() {}
+    while in_flight.next().await.is_some() {}
     worker.tally.take()
 }
 
 impl Worker {
-    async fn serve(self: Rc<Self>, (arrival, due): Due) {
+    async fn send(self: Rc<Self>, (arrival, due): DueArrival) {
         let experiment = &self.experiment;
         let source = &experiment.sources[arrival.source];
         let prompt = prompt::make(source, &arrival, experiment.seed);
         let digest = blake3::hash(prompt.body.as_bytes()).to_hex().to_string();
         let sample = match self.choose(arrival.source).await {
-            None => Sample::unanswered(Outcome::NotRun, due, "no-instance"),
+            None => Sample::new(Outcome::NotRun, due, "no-instance"),
             Some(choice) => {
                 let call = Call {
                     url: format!("http://{}/v1/chat/completions", choice.address),
@@ -96,19 +97,19 @@
                     due,
                 };
                 let sent = call.send(&self.client);
-                let timed = tokio::time::timeout(experiment.patience, sent).await;
-                timed.unwrap_or_else(|_| Sample::unanswered(Outcome::Unknown, due, "late"))
+                let timed = tokio::time::timeout(experiment.timeout, sent).await;
+                timed.unwrap_or_else(|_| Sample::new(Outcome::Unknown, due, "late"))
             }
         };
         let mut tally = self.tally.borrow_mut();
         if arrival.measured {
             tally.add(source, &sample, experiment.deadline);
         }
-        tally.claims.push(Claim {
+        tally.observations.push(Observation {
             digest,
             outcome: sample.outcome,
             idempotent: source.idempotent,
-            right: sample.right,
+            correct: sample.correct,
         });
     }
 
@@ -120,13 +121,13 @@
                 ticket: None,
             });
         }
-        // One directory serves one question at a time; those that ask meanwhile use their own.
+        // A directory is taken out while in use, so requests that choose meanwhile use a new one.
         let mut directory = self.directories[source].take();
         let source_settings = &self.experiment.sources[source];
-        let mut random = StdRng::from_rng(&mut *self.random.borrow_mut());
+        let mut rng = StdRng::from_rng(&mut *self.rng.borrow_mut());
         let entries = &self.variant.entries;
         let choice = directory
-            .choose(&self.client, entries, source_settings, &mut random)
+            .choose(&self.client, entries, source_settings, &mut rng)
             .await;
         self.directories[source].replace(directory);
         choice
