--- a/crates/zinniastall-http/src/body.rs
+++ b/crates/zinniastall-http/src/body.rs
@@ -3,9 +3,9 @@
 use bytes::{Buf, Bytes, BytesMut};
 
 /// Longest line of a chunked body, in bytes; a size needs 16 digits, extensions are ignored.
-const LINE: usize = 256;
+const MAX_LINE_BYTES: usize = 256;
 /// Largest chunk, in bytes; no body that this gateway takes is longer.
-const CHUNK: u64 = 1 << 32;
+const MAX_CHUNK_BYTES: u64 = 1 << 32;
 
 /// How a body ends.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -48,9 +48,9 @@
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum State {
-    Left(u64),
-    Size,
-    Chunk(u64),
+    Remaining(u64),
+    ChunkSize,
+    ChunkData(u64),
     ChunkEnd,
     Trailer,
     UntilClose,
@@ -62,8 +62,8 @@
     pub const fn new(framing: Framing) -> Self {
         let state = match framing {
             Framing::Length(0) => State::Done,
-            Framing::Length(length) => State::Left(length),
-            Framing::Chunked => State::Size,
+            Framing::Length(length) => State::Remaining(length),
+            Framing::Chunked => State::ChunkSize,
             Framing::Close => State::UntilClose,
         };
         Self { state }
@@ -83,27 +83,29 @@
         loop {
             match self.state {
                 State::Done => return Ok(Step::End),
-                State::Left(left) => return Ok(self.piece(input, left, State::Done, State::Left)),
-                State::Chunk(left) => {
-                    return Ok(self.piece(input, left, State::ChunkEnd, State::Chunk));
+                State::Remaining(left) => {
+                    return Ok(self.take_piece(input, left, State::Done, State::Remaining));
+                }
+                State::ChunkData(left) => {
+                    return Ok(self.take_piece(input, left, State::ChunkEnd, State::ChunkData));
                 }
                 State::UntilClose if input.is_empty() => return Ok(Step::More),
                 State::UntilClose => return Ok(Step::Piece(input.split().freeze())),
-                State::Size => {
-                    let Some(line) = line(input)? else {
+                State::ChunkSize => {
+                    let Some(line) = take_line(input)? else {
                         return Ok(Step::More);
                     };
-                    self.state = match size(&line)? {
+                    self.state = match parse_size(&line)? {
                         0 => State::Trailer,
-                        size => State::Chunk(size),
+                        size => State::ChunkData(size),
                     };
                 }
-                State::ChunkEnd => match line(input)? {
-                    Some(line) if line.is_empty() => self.state = State::Size,
+                State::ChunkEnd => match take_line(input)? {
+                    Some(line) if line.is_empty() => self.state = State::ChunkSize,
                     Some(_) => return Err(Fault::Chunk),
                     None => return Ok(Step::More),
                 },
-                State::Trailer => match line(input)? {
+                State::Trailer => match take_line(input)? {
                     Some(line) if line.is_empty() => self.state = State::Done,
                     Some(_) => {}
                     None => return Ok(Step::More),
@@ -128,7 +130,7 @@
         }
     }
 
-    fn piece(
+    fn take_piece(
         &mut self,
         input: &mut BytesMut,
         left: u64,
@@ -148,14 +150,14 @@
 }
 
 /// Takes a line without its end off the front of a buffer.
-fn line(input: &mut BytesMut) -> Result<Option<Bytes>, Fault> {
+fn take_line(input: &mut BytesMut) -> Result<Option<Bytes>, Fault> {
     let Some(end) = input.iter().position(|byte| *byte == b'\n') else {
-        if input.len() > LINE {
+        if input.len() > MAX_LINE_BYTES {
             return Err(Fault::Chunk);
         }
         return Ok(None);
     };
-    if end == 0 || end > LINE || input[end - 1] != b'\r' {
+    if end == 0 || end > MAX_LINE_BYTES || input[end - 1] != b'\r' {
         return Err(Fault::Chunk);
     }
     let line = input.split_to(end - 1).freeze();
@@ -163,7 +165,7 @@
     Ok(Some(line))
 }
 
-fn size(line: &[u8]) -> Result<u64, Fault> {
+fn parse_size(line: &[u8]) -> Result<u64, Fault> {
     let digits = line.split(|byte| *byte == b';').next().unwrap_or_default();
     let text = std::str::from_utf8(digits).map_err(|_| Fault::Chunk)?;
     let text = text.trim_end_matches([' ', '\t']);
@@ -172,7 +174,7 @@
         return Err(Fault::Chunk);
     }
     let size = u64::from_str_radix(text, 16).map_err(|_| Fault::Chunk)?;
-    if size > CHUNK {
+    if size > MAX_CHUNK_BYTES {
         return Err(Fault::Chunk);
     }
     Ok(size)
--- a/crates/zinniastall-http/src/connection.rs
+++ b/crates/zinniastall-http/src/connection.rs
@@ -17,10 +17,10 @@
 };
 
 /// Bytes asked of the socket at once.
-const READ: usize = 8 << 10;
+const READ_BYTES: usize = 8 << 10;
 /// Bytes that the other end may send ahead while an answer is awaited. Beyond them reading stops, and
 /// with it the noticing of its end, until the answer is out.
-const AHEAD: usize = 64 << 10;
+const MAX_READ_AHEAD_BYTES: usize = 64 << 10;
 /// Longest head of a response, in bytes.
 pub const RESPONSE_HEAD: usize = 32 << 10;
 
@@ -132,7 +132,7 @@
     /// cut off for it.
     pub async fn closed(&mut self) {
         loop {
-            if self.input.len() >= AHEAD {
+            if self.input.len() >= MAX_READ_AHEAD_BYTES {
                 return std::future::pending().await;
             }
             match self.fill().await {
@@ -170,11 +170,11 @@
         if self.ended {
             return Ok(0);
         }
-        if self.input.is_empty() && self.input.capacity() > 4 * READ {
+        if self.input.is_empty() && self.input.capacity() > 4 * READ_BYTES {
             // An idle connection would keep the memory of its longest body.
             self.input = BytesMut::new();
         }
-        self.input.reserve(READ);
+        self.input.reserve(READ_BYTES);
         let read = self.half.read_buf(&mut self.input).await?;
         self.ended = read == 0;
         Ok(read)
--- a/crates/zinniastall-http/src/head.rs
+++ b/crates/zinniastall-http/src/head.rs
@@ -9,7 +9,7 @@
 use crate::body::Framing;
 
 /// Most header fields of one head; callers of this gateway send about ten.
-const FIELDS: usize = 96;
+const MAX_FIELDS: usize = 96;
 
 /// Why bytes are not a head.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
@@ -83,7 +83,7 @@
     ///
     /// [`Fault::Ambiguous`] when the head names more than one end.
     pub fn framing(&self) -> Result<Framing, Fault> {
-        Ok(declared(&self.headers)?.unwrap_or(Framing::Length(0)))
+        Ok(declared_framing(&self.headers)?.unwrap_or(Framing::Length(0)))
     }
 
     /// Tells whether the sender lets the connection stay open.
@@ -99,7 +99,7 @@
     ///
     /// [`Fault::Ambiguous`] when the head names more than one end.
     pub fn framing(&self, head_only: bool) -> Result<Framing, Fault> {
-        let declared = declared(&self.headers)?;
+        let declared = declared_framing(&self.headers)?;
         let bodiless = head_only
             || self.status.is_informational()
             || self.status == StatusCode::NO_CONTENT
@@ -121,9 +121,9 @@
         let Some(length) = head_length(input, limit)? else {
             return Ok(None);
         };
-        let mut fields = [httparse::EMPTY_HEADER; FIELDS];
+        let mut fields = [httparse::EMPTY_HEADER; MAX_FIELDS];
         let mut parsed = httparse::Request::new(&mut fields);
-        let status = parsed.parse(&input[..length]).map_err(malformed)?;
+        let status = parsed.parse(&input[..length]).map_err(parse_error)?;
         if !status.is_complete() {
             return Err(Fault::Malformed("incomplete"));
         }
@@ -136,7 +136,7 @@
             method: method.map_err(|_| Fault::Malformed("method"))?,
             target,
             is_modern: parsed.version == Some(1),
-            headers: headers(parsed.headers)?,
+            headers: header_map(parsed.headers)?,
         };
         if request.headers.get_all(HOST).iter().count() > 1 {
             return Err(Fault::Ambiguous("two hosts"));
@@ -155,9 +155,9 @@
         let Some(length) = head_length(input, limit)? else {
             return Ok(None);
         };
-        let mut fields = [httparse::EMPTY_HEADER; FIELDS];
+        let mut fields = [httparse::EMPTY_HEADER; MAX_FIELDS];
         let mut parsed = httparse::Response::new(&mut fields);
-        let status = parsed.parse(&input[..length]).map_err(malformed)?;
+        let status = parsed.parse(&input[..length]).map_err(parse_error)?;
         if !status.is_complete() {
             return Err(Fault::Malformed("incomplete"));
         }
@@ -165,9 +165,9 @@
         let response = Self {
             status: code.map_err(|_| Fault::Malformed("status"))?,
             is_modern: parsed.version == Some(1),
-            headers: headers(parsed.headers)?,
+            headers: header_map(parsed.headers)?,
         };
-        declared(&response.headers)?;
+        declared_framing(&response.headers)?;
         input.advance(length);
         Ok(Some(response))
     }
@@ -178,7 +178,7 @@
 /// A line that ends without a carriage return is refused: a peer that takes it for a line end and
 /// one that doesn't would see different messages.
 fn head_length(input: &[u8], limit: usize) -> Result<Option<usize>, Fault> {
-    let mut line = 0;
+    let mut line_start = 0;
     for (at, byte) in input.iter().enumerate().take(limit) {
         if *byte != b'\n' {
             continue;
@@ -186,14 +186,14 @@
         if at == 0 || input[at - 1] != b'\r' {
             return Err(Fault::Ambiguous("bare line end"));
         }
-        let is_empty = at - line == 1;
-        if is_empty && line == 0 {
+        let is_empty = at - line_start == 1;
+        if is_empty && line_start == 0 {
             return Err(Fault::Malformed("empty first line"));
         }
         if is_empty {
             return Ok(Some(at + 1));
         }
-        line = at + 1;
+        line_start = at + 1;
     }
     if input.len() >= limit {
         return Err(Fault::Long);
@@ -201,7 +201,7 @@
     Ok(None)
 }
 
-fn malformed(error: httparse::Error) -> Fault {
+fn parse_error(error: httparse::Error) -> Fault {
     match error {
         httparse::Error::TooManyHeaders => Fault::Long,
         httparse::Error::HeaderName => Fault::Malformed("header name"),
@@ -213,7 +213,7 @@
     }
 }
 
-fn headers(fields: &[httparse::Header<'_>]) -> Result<HeaderMap, Fault> {
+fn header_map(fields: &[httparse::Header<'_>]) -> Result<HeaderMap, Fault> {
     let mut headers = HeaderMap::with_capacity(fields.len());
     for field in fields {
         let name = HeaderName::from_bytes(field.name.as_bytes());
@@ -226,12 +226,12 @@
 }
 
 /// Returns the end that a head declares, if it declares one.
-fn declared(headers: &HeaderMap) -> Result<Option<Framing>, Fault> {
+fn declared_framing(headers: &HeaderMap) -> Result<Option<Framing>, Fault> {
     let lengths = headers.get_all(CONTENT_LENGTH).iter().count();
     let mut codings = headers.get_all(TRANSFER_ENCODING).iter();
     match (codings.next(), lengths) {
         (None, 0) => Ok(None),
-        (None, 1) => Ok(Some(Framing::Length(length(headers)?))),
+        (None, 1) => Ok(Some(Framing::Length(content_length(headers)?))),
         (None, _) => Err(Fault::Ambiguous("two lengths")),
         (Some(_), 1..) => Err(Fault::Ambiguous("a length beside a transfer coding")),
         (Some(coding), 0) => {
@@ -244,7 +244,7 @@
     }
 }
 
-fn length(headers: &HeaderMap) -> Result<u64, Fault> {
+fn content_length(headers: &HeaderMap) -> Result<u64, Fault> {
     let value = headers.get(CONTENT_LENGTH).map(HeaderValue::as_bytes);
     let digits = value.unwrap_or_default();
     if digits.is_empty() || !digits.iter().all(u8::is_ascii_digit) {
--- a/crates/zinniastall-http/src/server.rs
+++ b/crates/zinniastall-http/src/server.rs
@@ -23,11 +23,11 @@
 };
 
 /// Longest head, in bytes.
-const HEAD: usize = 16 << 10;
+const MAX_HEAD_BYTES: usize = 16 << 10;
 /// Bytes that the head of an answer mostly takes.
-const HEADERS: usize = 512;
+const TYPICAL_HEAD_BYTES: usize = 512;
 /// Pause after a failed accept: out of descriptors, most likely, and a loop would spin.
-const PAUSE: Duration = Duration::from_millis(100);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(100);
 
 /// A request with its whole body.
 #[derive(Debug, Clone)]
@@ -90,15 +90,15 @@
         self
     }
 
-    /// Encodes the answer with its framing; `keep` tells whether the connection stays open.
-    pub fn encode(mut self, keep: bool) -> BytesMut {
+    /// Encodes the answer with its framing; `keep_alive` tells whether the connection stays open.
+    pub fn encode(mut self, keep_alive: bool) -> BytesMut {
         let length = HeaderValue::from(self.body.len());
         self.headers.insert(CONTENT_LENGTH, length);
-        if !keep {
+        if !keep_alive {
             let close = HeaderValue::from_static("close");
             self.headers.insert(CONNECTION, close);
         }
-        let mut output = BytesMut::with_capacity(HEADERS + self.body.len());
+        let mut output = BytesMut::with_capacity(TYPICAL_HEAD_BYTES + self.body.len());
         head::write_response(&mut output, self.status, &self.headers);
         output.extend_from_slice(&self.body);
         output
@@ -112,20 +112,24 @@
             Ok((stream, _)) => {
                 let handler = Rc::clone(&handler);
                 tokio::task::spawn_local(async move {
-                    if let Err(error) = attend(stream, limits, &*handler).await {
+                    if let Err(error) = serve_connection(stream, limits, &*handler).await {
                         tracing::debug!(event = "connection-failed", error = %error);
                     }
                 });
             }
             Err(error) => {
                 tracing::error!(event = "accept-failed", error = %error);
-                time::sleep(PAUSE).await;
+                time::sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
     }
 }
 
-async fn attend(stream: TcpStream, limits: Limits, handler: &dyn Handler) -> Result<(), Error> {
+async fn serve_connection(
+    stream: TcpStream,
+    limits: Limits,
+    handler: &dyn Handler,
+) -> Result<(), Error> {
     let (mut reader, mut writer) = connection::split(stream)?;
     loop {
         let call = match time::timeout(limits.idle, read(&mut reader, limits)).await {
@@ -137,10 +141,10 @@
                 return Err(refusal.error);
             }
         };
-        let keep = call.head.keeps_open();
+        let keep_alive = call.head.keeps_open();
         let reply = handler.call(call).await;
-        write(&mut writer, reply, keep).await?;
-        if !keep {
+        write(&mut writer, reply, keep_alive).await?;
+        if !keep_alive {
             return Ok(());
         }
         reader.rest();
@@ -150,13 +154,13 @@
 /// Why a request was not read.
 struct Refusal {
     error: Error,
-    is_long: bool,
+    is_body_too_long: bool,
 }
 
 impl Refusal {
     const fn status(&self) -> StatusCode {
         match &self.error {
-            _ if self.is_long => StatusCode::PAYLOAD_TOO_LARGE,
+            _ if self.is_body_too_long => StatusCode::PAYLOAD_TOO_LARGE,
             Error::Head(head::Fault::Long) => StatusCode::REQUEST_HEADER_FIELDS_TOO_LARGE,
             _ => StatusCode::BAD_REQUEST,
         }
@@ -167,13 +171,13 @@
     fn from(error: T) -> Self {
         Self {
             error: error.into(),
-            is_long: false,
+            is_body_too_long: false,
         }
     }
 }
 
 async fn read(reader: &mut Reader, limits: Limits) -> Result<Option<Call>, Refusal> {
-    let Some(head) = reader.head::<Request>(HEAD).await? else {
+    let Some(head) = reader.head::<Request>(MAX_HEAD_BYTES).await? else {
         return Ok(None);
     };
     let mut decoder = Decoder::new(head.framing()?);
@@ -183,7 +187,7 @@
         if body.len() > limits.body {
             return Err(Refusal {
                 error: Error::Ended,
-                is_long: true,
+                is_body_too_long: true,
             });
         }
     }
@@ -191,9 +195,9 @@
     Ok(Some(Call { head, body }))
 }
 
-async fn write(writer: &mut Writer, reply: Reply, keep: bool) -> Result<(), Error> {
-    writer.write(&reply.encode(keep)).await?;
-    if !keep {
+async fn write(writer: &mut Writer, reply: Reply, keep_alive: bool) -> Result<(), Error> {
+    writer.write(&reply.encode(keep_alive)).await?;
+    if !keep_alive {
         writer.finish().await?;
     }
     Ok(())
--- a/crates/zinniastall-http/tests/body.rs
+++ b/crates/zinniastall-http/tests/body.rs
@@ -42,9 +42,9 @@
 }
 
 #[test]
-fn chunks_are_put_together_whatever_pieces_they_come_in() {
+fn chunked_bodies_decode_however_the_input_is_split() {
     let pieces = prop::collection::vec(prop::collection::vec(any::<u8>(), 0..400), 0..8);
-    let whole = runner().run(&(pieces, 1..64_usize), |(pieces, size)| {
+    let result = runner().run(&(pieces, 1..64_usize), |(pieces, size)| {
         let mut bytes = chunked(&pieces);
         bytes.extend_from_slice(b"next");
         let (body, done, rest) = decode(Framing::Chunked, &bytes, size)?;
@@ -53,12 +53,12 @@
         prop_assert_eq!(rest, b"next");
         Ok(())
     });
-    whole.expect("chunks are put together");
+    result.expect("chunks are put together");
 }
 
 /// A connection ends in the middle of a body. It must never pass for whole.
 #[test]
-fn a_cut_body_never_looks_whole() {
+fn a_truncated_body_is_never_complete() {
     let bytes = chunked(&[b"first".to_vec(), b"second".to_vec()]);
     for length in 0..bytes.len() {
         let (_, done, _) = decode(Framing::Chunked, &bytes[..length], 7).expect("a beginning");
@@ -74,8 +74,8 @@
 
 /// Sizes that one reader takes for a number and another one doesn't.
 #[test]
-fn odd_chunks_are_refused() {
-    let odd: [&[u8]; 9] = [
+fn malformed_chunks_are_refused() {
+    let malformed: [&[u8]; 9] = [
         b"+3\r\nabc\r\n",
         b"-1\r\n",
         b"0x3\r\nabc\r\n",
@@ -86,7 +86,7 @@
         b"fffffffffffffffff\r\n",
         b"ffffffff0\r\n",
     ];
-    for bytes in odd {
+    for bytes in malformed {
         let read = decode(Framing::Chunked, bytes, bytes.len());
         let text = String::from_utf8_lossy(bytes);
         assert_eq!(read, Err(Fault::Chunk), "{text}");
@@ -95,19 +95,19 @@
 
 /// Whatever bytes come, the decoder neither panics nor takes more than the body.
 #[test]
-fn any_bytes_are_borne() {
+fn arbitrary_bodies_never_panic() {
     let framings = prop_oneof![
         Just(Framing::Chunked),
         Just(Framing::Close),
         (0..64_u64).prop_map(Framing::Length),
     ];
     let bytes = prop::collection::vec(any::<u8>(), 0..300);
-    let borne = runner().run(&(framings, bytes, 1..40_usize), |(framing, bytes, size)| {
+    let result = runner().run(&(framings, bytes, 1..40_usize), |(framing, bytes, size)| {
         let read = decode(framing, &bytes, size);
         if let (Framing::Length(length), Ok((body, ..))) = (framing, read) {
             prop_assert!(body.len() as u64 <= length);
         }
         Ok(())
     });
-    borne.expect("bytes are borne");
+    result.expect("no input panics");
 }
--- a/crates/zinniastall-http/tests/head.rs
+++ b/crates/zinniastall-http/tests/head.rs
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn a_head_is_taken_off_whole() {
+fn a_head_is_parsed_once_complete() {
     let text = "GET /a?b=c HTTP/1.1\r\nHost: h:80\r\n\r\nrest";
     for length in 0..text.len() - 4 {
         let parsed = request(&text[..length]);
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn answers_end_as_their_heads_say() {
+fn response_framing_follows_the_head() {
     let framing = |fields: &str, head_only| {
         let parsed = response(&format!("HTTP/1.1 200 OK\r\n{fields}\r\n"));
         parsed
@@ -68,7 +68,7 @@
 
 /// Bytes that are no answer are told from the first on, instead of being awaited until they might be.
 #[test]
-fn what_is_no_answer_is_told_at_once() {
+fn invalid_status_lines_are_refused_at_once() {
     for bytes in ["x", "HTTQ", "\r\n", "200 OK"] {
         assert!(response(bytes).is_err(), "{bytes:?}");
     }
@@ -76,9 +76,9 @@
 }
 
 #[test]
-fn fields_of_one_connection_are_not_passed_on() {
-    let own = "connection: close, x-own\r\nx-own: 1\r\nkeep-alive: 1\r\nte: a\r\n";
-    let parsed = request(&format!("GET / HTTP/1.1\r\n{own}x: 1\r\n\r\n"));
+fn hop_by_hop_fields_are_stripped() {
+    let hop_by_hop = "connection: close, x-own\r\nx-own: 1\r\nkeep-alive: 1\r\nte: a\r\n";
+    let parsed = request(&format!("GET / HTTP/1.1\r\n{hop_by_hop}x: 1\r\n\r\n"));
     let mut headers = parsed.expect("a head").expect("a whole one").headers;
     strip_hop_by_hop(&mut headers);
     let names: Vec<&str> = headers.keys().map(http::HeaderName::as_str).collect();
@@ -87,7 +87,7 @@
 
 /// Whatever bytes come, parsing neither panics nor finds a head with an ambiguous end.
 #[test]
-fn any_bytes_are_borne() {
+fn arbitrary_heads_never_panic() {
     println!("seed {SEED}");
     let config = Config {
         cases: 500,
@@ -109,7 +109,7 @@
         ":",
         "POST * HTTP/1.0\r\n",
     ]);
-    let borne = TestRunner::new(config).run(&prop::collection::vec(parts, 0..10), |parts| {
+    let result = TestRunner::new(config).run(&prop::collection::vec(parts, 0..10), |parts| {
         let text = parts.concat();
         if let Ok(Some(head)) = request(&text) {
             prop_assert!(head.framing().is_ok());
@@ -119,5 +119,5 @@
         }
         Ok(())
     });
-    borne.expect("bytes are borne");
+    result.expect("no input panics");
 }
--- a/crates/zinniastall-settings/src/load.rs
+++ b/crates/zinniastall-settings/src/load.rs
@@ -21,8 +21,8 @@
 ///
 /// Every fault of the file, with its path.
 pub fn load<T: Settings>(path: &Path) -> Result<T, Vec<Problem>> {
-    let text =
-        std::fs::read_to_string(path).map_err(|error| whole(Fault::Unreadable(error.kind())))?;
+    let text = std::fs::read_to_string(path)
+        .map_err(|error| file_problem(Fault::Unreadable(error.kind())))?;
     parse(&text)
 }
 
@@ -33,7 +33,7 @@
 /// Every fault of the text, with its path.
 pub fn parse<T: Settings>(text: &str) -> Result<T, Vec<Problem>> {
     let value: Value = serde_json::from_str(text).map_err(|error| {
-        whole(Fault::Syntax {
+        file_problem(Fault::Syntax {
             line: error.line(),
             column: error.column(),
         })
@@ -50,7 +50,7 @@
     }
 }
 
-fn whole(fault: Fault) -> Vec<Problem> {
+fn file_problem(fault: Fault) -> Vec<Problem> {
     vec![Problem {
         path: ".".to_owned(),
         fault,
--- a/crates/zinniastall-settings/src/log.rs
+++ b/crates/zinniastall-settings/src/log.rs
@@ -13,7 +13,7 @@
 use tracing_subscriber::{EnvFilter, layer::SubscriberExt, util::SubscriberInitExt};
 
 /// Lines that may wait to be written: about a second of a busy instance, and a megabyte at most.
-const QUEUE: usize = 4_096;
+const MAX_QUEUED_LINES: usize = 4_096;
 /// Least time between two words on dropped lines.
 pub const TELL: Duration = Duration::from_secs(1);
 
@@ -23,7 +23,7 @@
 pub struct Writer {
     _guard: Option<WorkerGuard>,
     dropped: Option<ErrorCounter>,
-    told: AtomicUsize,
+    reported: AtomicUsize,
 }
 
 /// Starts logging at a level such as `info`, or by the directives in `ZINNIASTALL_LOG` if set.
@@ -33,7 +33,7 @@
     let directives = std::env::var("ZINNIASTALL_LOG").unwrap_or_else(|_| level.to_owned());
     let filter = EnvFilter::try_new(directives).unwrap_or_else(|_| EnvFilter::new("info"));
     let (output, guard) = NonBlockingBuilder::default()
-        .buffered_lines_limit(QUEUE)
+        .buffered_lines_limit(MAX_QUEUED_LINES)
         .lossy(true)
         .thread_name("log")
         .finish(std::io::stdout());
@@ -51,7 +51,7 @@
     Writer {
         _guard: started.is_ok().then_some(guard),
         dropped: started.is_ok().then_some(dropped),
-        told: AtomicUsize::new(0),
+        reported: AtomicUsize::new(0),
     }
 }
 
@@ -65,7 +65,7 @@
     /// [`TELL`] or so.
     pub fn tell_dropped(&self) {
         let dropped = self.dropped();
-        let lines = dropped.saturating_sub(self.told.swap(dropped, Ordering::Relaxed));
+        let lines = dropped.saturating_sub(self.reported.swap(dropped, Ordering::Relaxed));
         if lines > 0 {
             tracing::warn!(event = "log-lines-dropped", lines);
         }
--- a/crates/zinniastall-settings/src/metrics.rs
+++ b/crates/zinniastall-settings/src/metrics.rs
@@ -18,13 +18,13 @@
 /// Tag that collects what does not fit.
 pub const OTHER: &str = "other";
 /// Most tag pairs a metric keeps.
-const PAIRS: usize = 2048;
+const MAX_KEYS: usize = 2048;
 /// Longest value kept, in microseconds: one hour.
-const LONGEST: u64 = 3_600_000_000;
+const MAX_MICROS: u64 = 3_600_000_000;
 /// Significant digits of a histogram; 2 keeps one histogram within about 20 KB.
-const DIGITS: u8 = 2;
+const SIGNIFICANT_DIGITS: u8 = 2;
 /// Metrics waiting to be sent; more are dropped, since metrics must not hold up requests.
-const QUEUE: usize = 4096;
+const QUEUE_CAPACITY: usize = 4096;
 
 /// Names one histogram.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
@@ -120,10 +120,10 @@
     /// Records a duration in a histogram and sends it as a statsd timing.
     pub fn time(&self, name: &'static str, client: &str, class: &str, value: Duration) {
         let micros = u64::try_from(value.as_micros())
-            .unwrap_or(LONGEST)
-            .min(LONGEST);
+            .unwrap_or(MAX_MICROS)
+            .min(MAX_MICROS);
         let mut shard = lock(&self.shard);
-        let key = bounded(&shard, name, client, class);
+        let key = bounded_key(&shard, name, client, class);
         self.statsd
             .time_with_tags(name, micros / 1000)
             .with_tag("client", &key.client)
@@ -148,10 +148,10 @@
     let socket = UdpSocket::bind(local)?;
     socket.set_nonblocking(true)?;
     let sink = BufferedUdpMetricSink::from(address, socket).map_err(std::io::Error::other)?;
-    Ok(QueuingMetricSink::with_capacity(sink, QUEUE))
+    Ok(QueuingMetricSink::with_capacity(sink, QUEUE_CAPACITY))
 }
 
-fn bounded(
+fn bounded_key(
     shard: &IndexMap<Key, Histogram<u64>>,
     name: &'static str,
     client: &str,
@@ -162,7 +162,7 @@
         client: client.to_owned(),
         class: class.to_owned(),
     };
-    if shard.contains_key(&key) || shard.len() < PAIRS {
+    if shard.contains_key(&key) || shard.len() < MAX_KEYS {
         return key;
     }
     Key {
@@ -173,9 +173,9 @@
 }
 
 fn histogram() -> Histogram<u64> {
-    Histogram::new_with_bounds(1, LONGEST, DIGITS).unwrap_or_else(|_| {
+    Histogram::new_with_bounds(1, MAX_MICROS, SIGNIFICANT_DIGITS).unwrap_or_else(|_| {
         // Unreachable with the constants above; an automatic histogram is the safe stand-in.
-        Histogram::new(DIGITS).expect("two significant digits are supported")
+        Histogram::new(SIGNIFICANT_DIGITS).expect("two significant digits are supported")
     })
 }
 
--- a/crates/zinniastall-settings/src/reader.rs
+++ b/crates/zinniastall-settings/src/reader.rs
@@ -7,7 +7,7 @@
 use crate::problem::{Fault, Problem};
 
 /// Longest permitted name, in bytes.
-const NAME_LIMIT: usize = 64;
+const MAX_NAME_BYTES: usize = 64;
 
 /// Collects faults while a file is read.
 #[derive(Debug, Default)]
@@ -37,7 +37,7 @@
     notes: &'a Notes,
     path: String,
     fields: Option<&'a Map<String, Value>>,
-    known: Vec<&'static str>,
+    fields_read: Vec<&'static str>,
 }
 
 impl<'a> Reader<'a> {
@@ -55,13 +55,13 @@
             notes,
             path,
             fields,
-            known: Vec::new(),
+            fields_read: Vec::new(),
         }
     }
 
     /// Notes a fault of one field.
     pub fn fault(&self, field: &str, fault: Fault) {
-        self.notes.add(self.at(field), fault);
+        self.notes.add(self.path_of(field), fault);
     }
 
     /// Reads a required IP address and port.
@@ -162,8 +162,8 @@
     /// Reads a nested object; an absent one is read as empty, so that defaults apply.
     pub fn nested<T>(&mut self, field: &'static str, read: impl FnOnce(&mut Reader<'_>) -> T) -> T {
         let empty = Value::Object(Map::new());
-        let value = self.take(field).unwrap_or(&empty);
-        let mut reader = Reader::new(value, self.at(field), self.notes);
+        let value = self.get(field).unwrap_or(&empty);
+        let mut reader = Reader::new(value, self.path_of(field), self.notes);
         let result = read(&mut reader);
         reader.finish();
         result
@@ -175,28 +175,28 @@
         field: &'static str,
         read: impl Fn(&mut Reader<'_>) -> T,
     ) -> Vec<T> {
-        let Some(value) = self.take(field) else {
+        let Some(value) = self.get(field) else {
             return Vec::new();
         };
         let Some(items) = value.as_array() else {
             self.fault(field, Fault::Type("a list"));
             return Vec::new();
         };
-        let path = self.at(field);
-        let one = |(index, item)| {
+        let path = self.path_of(field);
+        let read_item = |(index, item)| {
             let mut reader = Reader::new(item, format!("{path}[{index}]"), self.notes);
             let result = read(&mut reader);
             reader.finish();
             result
         };
-        items.iter().enumerate().map(one).collect()
+        items.iter().enumerate().map(read_item).collect()
     }
 
     /// Notes every field that was not read.
     pub fn finish(&self) {
         let Some(fields) = self.fields else { return };
         for field in fields.keys() {
-            if !self.known.contains(&field.as_str()) {
+            if !self.fields_read.contains(&field.as_str()) {
                 self.fault(field, Fault::Unknown);
             }
         }
@@ -221,7 +221,7 @@
         field: &'static str,
         parse: impl Fn(&Value) -> Result<T, Fault>,
     ) -> Option<T> {
-        let value = self.take(field)?;
+        let value = self.get(field)?;
         match parse(value) {
             Ok(value) => Some(value),
             Err(fault) => {
@@ -236,7 +236,7 @@
         field: &'static str,
         parse: impl Fn(&Value) -> Result<T, Fault>,
     ) -> Vec<T> {
-        let Some(value) = self.take(field) else {
+        let Some(value) = self.get(field) else {
             return Vec::new();
         };
         let Some(items) = value.as_array() else {
@@ -253,12 +253,12 @@
         parsed
     }
 
-    fn take(&mut self, field: &'static str) -> Option<&'a Value> {
-        self.known.push(field);
+    fn get(&mut self, field: &'static str) -> Option<&'a Value> {
+        self.fields_read.push(field);
         self.fields?.get(field)
     }
 
-    fn at(&self, field: &str) -> String {
+    fn path_of(&self, field: &str) -> String {
         if self.path.is_empty() {
             field.to_owned()
         } else {
@@ -274,7 +274,7 @@
 
 fn name(value: &Value) -> Result<String, Fault> {
     let text = value.as_str().ok_or(Fault::Name)?;
-    let fits = (1..=NAME_LIMIT).contains(&text.len());
+    let fits = (1..=MAX_NAME_BYTES).contains(&text.len());
     let permitted = |c: char| c.is_ascii_alphanumeric() || "._-".contains(c);
     if fits && text.chars().all(permitted) {
         Ok(text.to_owned())
--- a/crates/zinniastall-settings/tests/log.rs
+++ b/crates/zinniastall-settings/tests/log.rs
@@ -10,7 +10,7 @@
 /// Nobody reads standard output, and the pipe is full after some hundred lines. A process that waited
 /// for it would serve nobody from then on; lines are dropped instead, and counted.
 #[test]
-fn a_full_standard_output_holds_nothing_up() {
+fn a_full_standard_output_does_not_block_logging() {
     let mut example = Command::new(env!("CARGO"));
     example.args(["run", "--quiet", "--locked", "--example", "chatter", "--"]);
     let mut process = example
@@ -22,18 +22,18 @@
         .expect("the example starts");
     // Standard output stays open and is never read.
     let unread = process.stdout.take().expect("a pipe");
-    let said = process.stderr.take().expect("a pipe");
-    let mut words = BufReader::new(said).lines().map_while(Result::ok);
-    let word = words.find(|word| {
-        word.split(' ').count() == 2 && word.starts_with(|c: char| c.is_ascii_digit())
+    let stderr = process.stderr.take().expect("a pipe");
+    let mut lines = BufReader::new(stderr).lines().map_while(Result::ok);
+    let line = lines.find(|line| {
+        line.split(' ').count() == 2 && line.starts_with(|c: char| c.is_ascii_digit())
     });
-    let word = word.expect("the example ends although nobody reads");
-    let dropped: u32 = word
+    let line = line.expect("the example ends although nobody reads");
+    let dropped: u32 = line
         .rsplit(' ')
         .next()
         .and_then(|number| number.parse().ok())
         .expect("a count");
-    assert!(dropped > LINES / 2, "{word}");
+    assert!(dropped > LINES / 2, "{line}");
     drop(unread);
     process.wait().expect("the process ends");
 }
--- a/crates/zinniastall-settings/tests/settings.rs
+++ b/crates/zinniastall-settings/tests/settings.rs
@@ -52,15 +52,15 @@
     }
 }
 
-fn fault(text: &str) -> Vec<(String, Fault)> {
+fn faults_in(text: &str) -> Vec<(String, Fault)> {
     let problems = load::parse::<Sample>(text).expect_err("wrong settings");
     let pair = |problem: Problem| (problem.path, problem.fault);
     problems.into_iter().map(pair).collect()
 }
 
 /// Settings that are valid but for one field.
-fn with(field: &str) -> Vec<(String, Fault)> {
-    fault(&format!(
+fn faults_with(field: &str) -> Vec<(String, Fault)> {
+    faults_in(&format!(
         r#"{{"address": "127.0.0.1:1", "name": "a", {field}}}"#
     ))
 }
@@ -76,7 +76,7 @@
     ($($name:ident: $field:literal => $path:literal, $fault:expr;)*) => {$(
         #[test]
         fn $name() {
-            assert_eq!(with($field), [($path.to_owned(), $fault)]);
+            assert_eq!(faults_with($field), [($path.to_owned(), $fault)]);
         }
     )*};
 }
@@ -97,17 +97,20 @@
 }
 
 #[test]
-fn all_faults_come_in_one_run() {
-    let faults = fault(r#"{"name": "a b", "number": 0, "x": 1}"#);
+fn all_faults_are_reported_at_once() {
+    let faults = faults_in(r#"{"name": "a b", "number": 0, "x": 1}"#);
     let paths: Vec<&str> = faults.iter().map(|(path, _)| path.as_str()).collect();
     assert_eq!(paths, ["address", "name", "number", "x"]);
 }
 
 #[test]
-fn what_is_no_json_says_where() {
+fn invalid_json_reports_its_position() {
     let expected = Fault::Syntax { line: 2, column: 8 };
-    assert_eq!(fault("{\n  \"a\": }"), [(".".to_owned(), expected)]);
-    assert_eq!(fault("[]")[0], (".".to_owned(), Fault::Type("an object")));
+    assert_eq!(faults_in("{\n  \"a\": }"), [(".".to_owned(), expected)]);
+    assert_eq!(
+        faults_in("[]")[0],
+        (".".to_owned(), Fault::Type("an object"))
+    );
 }
 
 #[test]
@@ -121,7 +124,7 @@
 }
 
 #[test]
-fn command_lines_are_understood() {
+fn command_lines_are_parsed() {
     assert_eq!(action(&["--help"]).unwrap(), Action::Help);
     assert_eq!(action(&["-V"]).unwrap(), Action::Version);
     assert_eq!(
--- a/crates/zinniastall-store/examples/commit.rs
+++ b/crates/zinniastall-store/examples/commit.rs
@@ -14,17 +14,17 @@
 use zinniastall_coord::voters::Voters;
 use zinniastall_store::Store;
 
-const COMMAND: usize = 512;
-const SPAN: Duration = Duration::from_secs(2);
-const BATCHES: [u64; 4] = [1, 8, 64, 512];
-const LENGTHS: [u64; 3] = [1_000, 10_000, 100_000];
-const STATE: usize = 1 << 20;
+const COMMAND_BYTES: usize = 512;
+const APPEND_TIME: Duration = Duration::from_secs(2);
+const BATCH_SIZES: [u64; 4] = [1, 8, 64, 512];
+const LOG_LENGTHS: [u64; 3] = [1_000, 10_000, 100_000];
+const SNAPSHOT_BYTES: usize = 1 << 20;
 
 fn entry(index: u64) -> Entry {
     Entry {
         term: 1,
         index,
-        payload: Payload::Command(vec![7; COMMAND]),
+        payload: Payload::Command(vec![7; COMMAND_BYTES]),
     }
 }
 
@@ -39,24 +39,24 @@
 }
 
 /// Appends batches of a size for a while, each synced.
-fn appends(path: &Path, batch: u64) -> Result<(), Box<dyn Error>> {
+fn measure_appends(path: &Path, batch: u64) -> Result<(), Box<dyn Error>> {
     let mut store = founded(path)?;
     let mut index = 1;
     let mut times = Vec::new();
     let start = Instant::now();
-    while start.elapsed() < SPAN {
-        let began = Instant::now();
+    while start.elapsed() < APPEND_TIME {
+        let started = Instant::now();
         store.append((index + 1..=index + batch).map(entry));
         store.sync()?;
         index += batch;
-        times.push(began.elapsed());
+        times.push(started.elapsed());
     }
     let seconds = start.elapsed().as_secs_f64();
     times.sort_unstable();
     let syncs = times.len();
     let entries = index - 1;
     println!(
-        "append batch={batch} command_bytes={COMMAND} syncs={syncs} syncs_per_s={:.0} \
+        "append batch={batch} command_bytes={COMMAND_BYTES} syncs={syncs} syncs_per_s={:.0} \
          entries_per_s={:.0} p50={:?} p99={:?}",
         f64::from(u32::try_from(syncs)?) / seconds,
         f64::from(u32::try_from(entries)?) / seconds,
@@ -67,31 +67,31 @@
 }
 
 /// Fills a log, then opens it again, with a snapshot shortly before its end or without.
-fn recovery(path: &Path, length: u64, with_snapshot: bool) -> Result<(), Box<dyn Error>> {
+fn measure_recovery(path: &Path, length: u64, with_snapshot: bool) -> Result<(), Box<dyn Error>> {
     let mut store = founded(path)?;
-    let tail = if with_snapshot { length / 100 } else { 0 };
-    for from in (2..=length - tail).step_by(500) {
-        store.append((from..(from + 500).min(length - tail + 1)).map(entry));
+    let behind_snapshot = if with_snapshot { length / 100 } else { 0 };
+    for from in (2..=length - behind_snapshot).step_by(500) {
+        store.append((from..(from + 500).min(length - behind_snapshot + 1)).map(entry));
         store.sync()?;
     }
     if with_snapshot {
         let last = Position {
-            index: length - tail,
+            index: length - behind_snapshot,
             term: 1,
         };
         let voters = Voters::founding(store.id(), "127.0.0.1:1");
         store.snapshot(&Snapshot {
             last,
             voters,
-            data: vec![7; STATE],
+            data: vec![7; SNAPSHOT_BYTES],
         })?;
-        store.append((length - tail + 1..=length).map(entry));
+        store.append((length - behind_snapshot + 1..=length).map(entry));
         store.sync()?;
     }
     drop(store);
-    let began = Instant::now();
+    let started = Instant::now();
     let (_store, Restored { entries, .. }) = Store::open(path)?;
-    let elapsed = began.elapsed();
+    let elapsed = started.elapsed();
     println!(
         "recovery length={length} snapshot={with_snapshot} entries_read={} time={elapsed:?}",
         entries.len()
@@ -104,13 +104,13 @@
         Some(path) => tempfile::tempdir_in(path)?,
         None => tempfile::tempdir()?,
     };
-    for batch in BATCHES {
-        appends(&folder.path().join(format!("append-{batch}")), batch)?;
+    for batch in BATCH_SIZES {
+        measure_appends(&folder.path().join(format!("append-{batch}")), batch)?;
     }
-    for length in LENGTHS {
+    for length in LOG_LENGTHS {
         for with_snapshot in [false, true] {
             let name = format!("recovery-{length}-{with_snapshot}");
-            recovery(&folder.path().join(name), length, with_snapshot)?;
+            measure_recovery(&folder.path().join(name), length, with_snapshot)?;
         }
     }
     Ok(())
--- a/crates/zinniastall-store/src/folder.rs
+++ b/crates/zinniastall-store/src/folder.rs
@@ -9,7 +9,7 @@
 
 use crate::fault::{Context, Fault};
 
-const LOCK: &str = "lock";
+const LOCK_FILE: &str = "lock";
 const TEMPORARY: &str = ".tmp";
 
 /// An open data folder that no other process can open.
@@ -25,7 +25,7 @@
         fs::create_dir_all(path).at("create", path)?;
         let folder = Self {
             path: path.to_owned(),
-            _lock: lock(&path.join(LOCK))?,
+            _lock: lock(&path.join(LOCK_FILE))?,
         };
         for name in folder.names("")? {
             if name.ends_with(TEMPORARY) {
--- a/crates/zinniastall-store/src/identity.rs
+++ b/crates/zinniastall-store/src/identity.rs
@@ -7,7 +7,7 @@
 use crate::folder::Folder;
 use crate::record;
 
-pub(crate) const NAME: &str = "identity";
+pub(crate) const FILE_NAME: &str = "identity";
 const SALT: u64 = 0;
 
 /// Who the folder's replica is, random and made with the folder.
@@ -30,17 +30,17 @@
     }
 
     pub(crate) fn load(folder: &Folder) -> Result<Option<Self>, Fault> {
-        let Some(bytes) = folder.read(NAME)? else {
+        let Some(bytes) = folder.read(FILE_NAME)? else {
             return Ok(None);
         };
-        let found = record::read(&bytes, 0, SALT);
-        let found = found.map_err(|damage| Fault::corrupt(&folder.file(NAME), 0, damage))?;
-        Ok(Some(found.value))
+        let record = record::read(&bytes, 0, SALT);
+        let record = record.map_err(|damage| Fault::corrupt(&folder.file(FILE_NAME), 0, damage))?;
+        Ok(Some(record.value))
     }
 
     pub(crate) fn save(&self, folder: &Folder) -> Result<(), Fault> {
         let mut bytes = Vec::new();
         record::write(&mut bytes, SALT, self);
-        folder.replace(NAME, &bytes)
+        folder.replace(FILE_NAME, &bytes)
     }
 }
--- a/crates/zinniastall-store/src/journal.rs
+++ b/crates/zinniastall-store/src/journal.rs
@@ -27,12 +27,12 @@
     open: Segment,
     last: Position,
     hard: HardState,
-    limit: u64,
+    segment_bytes: u64,
 }
 
 impl Journal {
     /// Creates the first segment of a new folder.
-    pub(crate) fn create(folder: &Folder, limit: u64) -> Result<Self, Fault> {
+    pub(crate) fn create(folder: &Folder, segment_bytes: u64) -> Result<Self, Fault> {
         let (last, hard) = (Position::default(), HardState::default());
         let open = Segment::create(
             folder,
@@ -48,7 +48,7 @@
             open,
             last,
             hard,
-            limit,
+            segment_bytes,
         })
     }
 
@@ -57,14 +57,14 @@
     }
 
     /// Returns the file with which the log begins.
-    pub(crate) fn first(&self, folder: &Folder) -> PathBuf {
+    pub(crate) fn first_path(&self, folder: &Folder) -> PathBuf {
         let oldest = self.closed.front();
         let number = oldest.map_or(self.open.number, |closed| closed.number);
         folder.file(&segment::name(number))
     }
 
     /// Reads all segments and opens the last one.
-    pub(crate) fn load(folder: &Folder, limit: u64) -> Result<(Self, Tail), Fault> {
+    pub(crate) fn load(folder: &Folder, segment_bytes: u64) -> Result<(Self, Tail), Fault> {
         let numbers = segment::numbers(folder)?;
         let (Some(oldest), Some(newest)) = (numbers.first(), numbers.last()) else {
             return Err(Fault::Missing {
@@ -74,7 +74,7 @@
         let mut closed = VecDeque::new();
         let mut before = None;
         for number in *oldest..*newest {
-            let (tail, content) = read(folder, number, before, false)?;
+            let (tail, content) = replay(folder, number, before, false)?;
             closed.push_back(Closed {
                 number,
                 base: content.header.base,
@@ -82,7 +82,7 @@
             });
             before = Some(tail);
         }
-        let (tail, content) = read(folder, *newest, before, true)?;
+        let (tail, content) = replay(folder, *newest, before, true)?;
         let open = Segment::open(folder, *newest, &content)?;
         let (last, hard) = (tail.last(), tail.hard);
         Ok((
@@ -91,7 +91,7 @@
                 open,
                 last,
                 hard,
-                limit,
+                segment_bytes,
             },
             tail,
         ))
@@ -99,7 +99,7 @@
 
     /// Appends a batch and syncs it, in a new segment if the present one is full.
     pub(crate) fn append(&mut self, folder: &Folder, batch: &Batch) -> Result<(), Fault> {
-        if self.open.size >= self.limit {
+        if self.open.size >= self.segment_bytes {
             self.rotate(folder)?;
         }
         self.open.append(batch)?;
@@ -164,7 +164,7 @@
 }
 
 /// Reads a segment and applies its batches to what came before it.
-fn read(
+fn replay(
     folder: &Folder,
     number: u64,
     before: Option<Tail>,
--- a/crates/zinniastall-store/src/record.rs
+++ b/crates/zinniastall-store/src/record.rs
@@ -9,12 +9,12 @@
 
 use crate::fault::Damage;
 
-const LENGTH: usize = 4;
-const HEAD: usize = 2 * LENGTH;
+const FIELD_BYTES: usize = 4;
+const HEADER_BYTES: usize = 2 * FIELD_BYTES;
 
 /// A record found in a file.
 #[derive(Debug)]
-pub(crate) struct Found<T> {
+pub(crate) struct Record<T> {
     pub(crate) value: T,
     /// Byte behind the record.
     pub(crate) end: usize,
@@ -23,16 +23,16 @@
 /// Appends a record to a buffer.
 pub(crate) fn write(buffer: &mut Vec<u8>, salt: u64, value: &impl Serialize) {
     let start = buffer.len();
-    buffer.extend_from_slice(&[0; HEAD]);
+    buffer.extend_from_slice(&[0; HEADER_BYTES]);
     // Writing to memory can't fail, and none of the types stored refuses to be serialised.
     let written = ciborium::into_writer(value, &mut *buffer);
     debug_assert!(written.is_ok(), "records can be serialised");
-    let length = u32::try_from(buffer.len() - start - HEAD)
+    let length = u32::try_from(buffer.len() - start - HEADER_BYTES)
         .unwrap_or(u32::MAX)
         .to_le_bytes();
-    let checksum = checksum(salt, length, &buffer[start + HEAD..]).to_le_bytes();
-    buffer[start..start + LENGTH].copy_from_slice(&length);
-    buffer[start + LENGTH..start + HEAD].copy_from_slice(&checksum);
+    let checksum = checksum(salt, length, &buffer[start + HEADER_BYTES..]).to_le_bytes();
+    buffer[start..start + FIELD_BYTES].copy_from_slice(&length);
+    buffer[start + FIELD_BYTES..start + HEADER_BYTES].copy_from_slice(&checksum);
 }
 
 /// Reads the record at a place.
@@ -40,10 +40,10 @@
     bytes: &[u8],
     at: usize,
     salt: u64,
-) -> Result<Found<T>, Damage> {
+) -> Result<Record<T>, Damage> {
     let (body, end) = frame(bytes, at, salt).ok_or(Damage::Checksum)?;
     let value = ciborium::from_reader(body).map_err(|_| Damage::Content)?;
-    Ok(Found { value, end })
+    Ok(Record { value, end })
 }
 
 /// Tells whether a whole record starts anywhere behind a place.
@@ -52,15 +52,15 @@
 }
 
 fn frame(bytes: &[u8], at: usize, salt: u64) -> Option<(&[u8], usize)> {
-    let head = bytes.get(at..at + HEAD)?;
-    let (length, sum) = head.split_at(LENGTH);
-    let length: [u8; LENGTH] = length.try_into().ok()?;
-    let end = (at + HEAD).checked_add(usize::try_from(u32::from_le_bytes(length)).ok()?)?;
-    let body = bytes.get(at + HEAD..end)?;
+    let head = bytes.get(at..at + HEADER_BYTES)?;
+    let (length, sum) = head.split_at(FIELD_BYTES);
+    let length: [u8; FIELD_BYTES] = length.try_into().ok()?;
+    let end = (at + HEADER_BYTES).checked_add(usize::try_from(u32::from_le_bytes(length)).ok()?)?;
+    let body = bytes.get(at + HEADER_BYTES..end)?;
     (checksum(salt, length, body).to_le_bytes() == sum).then_some((body, end))
 }
 
-fn checksum(salt: u64, length: [u8; LENGTH], body: &[u8]) -> u32 {
+fn checksum(salt: u64, length: [u8; FIELD_BYTES], body: &[u8]) -> u32 {
     let mut hasher = crc32fast::Hasher::new();
     hasher.update(&salt.to_le_bytes());
     hasher.update(&length);
--- a/crates/zinniastall-store/src/segment.rs
+++ b/crates/zinniastall-store/src/segment.rs
@@ -120,9 +120,9 @@
     let mut at = head.end;
     while at < bytes.len() {
         match record::read(bytes, at, header.salt) {
-            Ok(found) => {
-                batches.push((at as u64, found.value));
-                at = found.end;
+            Ok(record) => {
+                batches.push((at as u64, record.value));
+                at = record.end;
             }
             Err(Damage::Checksum) if is_last && !record::any_after(bytes, at, header.salt) => {
                 break;
--- a/crates/zinniastall-store/src/snapshot.rs
+++ b/crates/zinniastall-store/src/snapshot.rs
@@ -21,9 +21,9 @@
     let Some(bytes) = folder.read(&name)? else {
         return Ok(None);
     };
-    let found = record::read(&bytes, 0, SALT);
-    let found = found.map_err(|damage| Fault::corrupt(&folder.file(&name), 0, damage))?;
-    Ok(Some(found.value))
+    let record = record::read(&bytes, 0, SALT);
+    let record = record.map_err(|damage| Fault::corrupt(&folder.file(&name), 0, damage))?;
+    Ok(Some(record.value))
 }
 
 /// Stores a snapshot durably, then removes those before it.
--- a/crates/zinniastall-store/src/store.rs
+++ b/crates/zinniastall-store/src/store.rs
@@ -14,18 +14,20 @@
 use crate::tail::Batch;
 
 /// Bytes after which a segment is full.
-const SEGMENT: u64 = 8 << 20;
+const DEFAULT_SEGMENT_BYTES: u64 = 8 << 20;
 
 /// Settings of a store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Options {
     /// Bytes after which a new segment begins.
-    pub segment: u64,
+    pub segment_bytes: u64,
 }
 
 impl Default for Options {
     fn default() -> Self {
-        Self { segment: SEGMENT }
+        Self {
+            segment_bytes: DEFAULT_SEGMENT_BYTES,
+        }
     }
 }
 
@@ -68,10 +70,10 @@
     fn create(folder: Folder, options: Options) -> Result<(Self, Restored), Fault> {
         if holds_state(&folder, options)? {
             return Err(Fault::Missing {
-                path: folder.file(identity::NAME),
+                path: folder.file(identity::FILE_NAME),
             });
         }
-        let journal = Journal::create(&folder, options.segment)?;
+        let journal = Journal::create(&folder, options.segment_bytes)?;
         let identity = Identity::random();
         identity.save(&folder)?;
         Ok((Self::new(folder, identity, journal), Restored::default()))
@@ -83,16 +85,16 @@
         options: Options,
     ) -> Result<(Self, Restored), Fault> {
         let snapshot = snapshot::load(&folder)?;
-        let (mut journal, tail) = Journal::load(&folder, options.segment)?;
+        let (mut journal, tail) = Journal::load(&folder, options.segment_bytes)?;
         let last = snapshot
             .as_ref()
             .map(|snapshot| snapshot.last)
             .unwrap_or_default();
-        if !tail.reaches(last) {
-            return Err(Fault::corrupt(&journal.first(&folder), 0, Damage::Gap));
+        if !tail.starts_at_or_before(last) {
+            return Err(Fault::corrupt(&journal.first_path(&folder), 0, Damage::Gap));
         }
         let hard = tail.hard;
-        let entries = if let Some(entries) = tail.behind(last) {
+        let entries = if let Some(entries) = tail.into_entries_after(last) {
             entries
         } else {
             // The process was killed between storing a leader's snapshot and the log's reset.
@@ -204,7 +206,7 @@
             return Ok(());
         }
         let batch = std::mem::take(&mut self.staged);
-        self.guarded(|store| store.journal.append(&store.folder, &batch))?;
+        self.fail_stop(|store| store.journal.append(&store.folder, &batch))?;
         self.syncs += 1;
         Ok(())
     }
@@ -217,7 +219,7 @@
     pub fn snapshot(&mut self, snapshot: &Snapshot) -> Result<(), Fault> {
         // The snapshot may cover staged entries that replace others, which it must not outrun.
         self.sync()?;
-        self.guarded(|store| {
+        self.fail_stop(|store| {
             snapshot::save(&store.folder, snapshot)?;
             store.journal.compact(&store.folder, snapshot.last.index)
         })
@@ -226,7 +228,7 @@
     /// Stores a leader's snapshot, behind which the log begins anew.
     fn install(&mut self, snapshot: &Snapshot) -> Result<(), Fault> {
         self.staged.reset = Some(snapshot.last);
-        self.guarded(|store| snapshot::save(&store.folder, snapshot))
+        self.fail_stop(|store| snapshot::save(&store.folder, snapshot))
     }
 
     fn join(&mut self, cluster: Option<Cluster>) -> Result<(), Fault> {
@@ -234,7 +236,7 @@
             cluster,
             ..self.identity
         };
-        self.guarded(|store| identity.save(&store.folder))?;
+        self.fail_stop(|store| identity.save(&store.folder))?;
         self.identity = identity;
         Ok(())
     }
@@ -243,7 +245,10 @@
     ///
     /// After a failed sync the system may drop the pages that it couldn't write and report success
     /// the next time. An acknowledgement after that would promise what is nowhere stored.
-    fn guarded(&mut self, write: impl FnOnce(&mut Self) -> Result<(), Fault>) -> Result<(), Fault> {
+    fn fail_stop(
+        &mut self,
+        write: impl FnOnce(&mut Self) -> Result<(), Fault>,
+    ) -> Result<(), Fault> {
         if self.failed {
             return Err(Fault::Failed);
         }
@@ -262,6 +267,6 @@
     if Journal::is_absent(folder)? {
         return Ok(false);
     }
-    let (_, tail) = Journal::load(folder, options.segment)?;
+    let (_, tail) = Journal::load(folder, options.segment_bytes)?;
     Ok(tail.hard != HardState::default() || tail.last() != Position::default())
 }
--- a/crates/zinniastall-store/src/tail.rs
+++ b/crates/zinniastall-store/src/tail.rs
@@ -73,7 +73,7 @@
     ///
     /// A snapshot from the leader may cover entries that differ from those in the log. What stands
     /// behind such entries was never committed and doesn't follow the snapshot; then there are none.
-    pub(crate) fn behind(mut self, last: Position) -> Option<Vec<Entry>> {
+    pub(crate) fn into_entries_after(mut self, last: Position) -> Option<Vec<Entry>> {
         if last == self.base {
             return Some(self.entries);
         }
@@ -85,7 +85,7 @@
     }
 
     /// Tells whether the log begins no later than behind a place.
-    pub(crate) const fn reaches(&self, last: Position) -> bool {
+    pub(crate) const fn starts_at_or_before(&self, last: Position) -> bool {
         self.base.index <= last.index
     }
 
--- a/crates/zinniastall-store/tests/folder/damage.rs
+++ b/crates/zinniastall-store/tests/folder/damage.rs
@@ -47,7 +47,7 @@
 
 // One bit of an acknowledged record flips on the disk. Cutting the log there would forget entries
 // that others counted on; the replica has to stop and say where the damage is.
-case!(a_flipped_bit_is_refused_with_its_place, SMALL, |folder| {
+case!(a_flipped_bit_is_refused_with_its_offset, SMALL, |folder| {
     let logs = files(folder.path(), "log-");
     let (last, earlier) = logs.split_last().unwrap();
     let last_record = 90;
@@ -85,7 +85,7 @@
 // A command carries the bytes of a whole record, and the power fails before the record that holds
 // the command is whole. The bytes inside must not pass for a record that follows a damaged one.
 case!(
-    a_record_inside_a_command_is_no_record,
+    a_record_inside_a_command_is_not_read_as_one,
     Options::default(),
     |folder| {
         let log = files(folder.path(), "log-").pop().unwrap();
@@ -165,7 +165,7 @@
 // A snapshot came from the leader, and the process is killed before the log began anew behind it.
 // Entries that were never committed stand in the log at the same places and must not follow it.
 case!(
-    a_kill_between_a_leaders_snapshot_and_the_log,
+    a_kill_between_snapshot_install_and_log_reset,
     Options::default(),
     |folder| {
         let (mut store, _) = Store::open_with(folder.path(), SMALL).unwrap();
--- a/crates/zinniastall-store/tests/folder/history.rs
+++ b/crates/zinniastall-store/tests/folder/history.rs
@@ -47,7 +47,7 @@
         self.base() + self.entries.len() as u64
     }
 
-    fn take(&mut self, step: &Step, store: &mut Store) -> Result<(), Fault> {
+    fn apply(&mut self, step: &Step, store: &mut Store) -> Result<(), Fault> {
         self.term += 1;
         match *step {
             Step::Append(count, back) => {
@@ -108,7 +108,7 @@
 
 // Whatever was stored in whatever order, a restart gives it back.
 #[test]
-fn any_history_comes_back() {
+fn any_history_survives_reopening() {
     let config = Config {
         cases: 64,
         rng_seed: RngSeed::Fixed(4),
@@ -124,7 +124,7 @@
             ..Model::default()
         };
         for step in steps {
-            model.take(&step, &mut store).unwrap();
+            model.apply(&step, &mut store).unwrap();
             if matches!(step, Step::Reopen) {
                 store.sync().unwrap();
                 drop(store);
--- a/crates/zinniastall-store/tests/folder/main.rs
+++ b/crates/zinniastall-store/tests/folder/main.rs
@@ -9,7 +9,7 @@
 use zinniastall_coord::voters::Voters;
 use zinniastall_store::{Fault, Options, Store};
 
-pub(crate) const SMALL: Options = Options { segment: 400 };
+pub(crate) const SMALL: Options = Options { segment_bytes: 400 };
 
 pub(crate) fn entry(index: u64) -> Entry {
     entry_in(1, index)
@@ -37,11 +37,11 @@
 }
 
 /// Founds a folder and appends entries, each batch synced by itself.
-pub(crate) fn founded(options: Options, upto: u64) -> TempDir {
+pub(crate) fn founded(options: Options, last_index: u64) -> TempDir {
     let folder = tempfile::tempdir().expect("a temporary folder");
     let (mut store, _) = Store::open_with(folder.path(), options).expect("a new folder opens");
     store.found("1").expect("a new folder can be founded");
-    for index in 2..=upto {
+    for index in 2..=last_index {
         store.append([entry(index)]);
         store.sync().expect("the folder can be written");
     }
@@ -77,7 +77,7 @@
 mod damage;
 mod history;
 
-case!(what_was_synced_comes_back, SMALL, |folder| {
+case!(synced_state_survives_reopening, SMALL, |folder| {
     let (mut store, restored) = Store::open_with(folder.path(), SMALL).unwrap();
     assert_eq!(indices(&restored), (1..=20).collect::<Vec<_>>());
     assert!(files(folder.path(), "log-").len() > 3, "segments rotate");
@@ -152,7 +152,7 @@
 
 // The disk refuses a write. What it holds is not known any more, and a later success must not be
 // taken for a promise that the earlier bytes are there.
-case!(a_failed_write_is_the_last, SMALL, |folder| {
+case!(writes_after_a_failure_are_refused, SMALL, |folder| {
     let (mut store, _) = Store::open_with(folder.path(), SMALL).unwrap();
     fs::remove_dir_all(folder.path()).unwrap();
     let failed = store.snapshot(&snapshot(10));
--- a/crates/zinniastall-store/tests/replicas.rs
+++ b/crates/zinniastall-store/tests/replicas.rs
@@ -13,8 +13,8 @@
 use zinniastall_store::{Options, Store};
 
 const STEP: Duration = Duration::from_millis(20);
-const SIZE: usize = 3;
-const OPTIONS: Options = Options { segment: 600 };
+const REPLICAS: usize = 3;
+const OPTIONS: Options = Options { segment_bytes: 600 };
 const LIMITS: Limits = Limits {
     message: 400,
     window: 1200,
@@ -29,7 +29,7 @@
     id: Id,
     open: Option<(Store, Replica)>,
     applied: Vec<Entry>,
-    cut_until: Instant,
+    isolated_until: Instant,
     crash_at: Option<Instant>,
 }
 
@@ -55,7 +55,7 @@
             id,
             open: None,
             applied: Vec::new(),
-            cut_until: now,
+            isolated_until: now,
             crash_at: None,
         };
         node.start(now);
@@ -68,7 +68,7 @@
         self.applied = restored
             .snapshot
             .as_ref()
-            .map_or(Vec::new(), |held| parse(&held.data));
+            .map_or(Vec::new(), |snapshot| parse(&snapshot.data));
         let timing = Timing::new(Duration::from_millis(50), Duration::from_millis(500));
         let builder = Replica::builder(self.id, timing)
             .limits(LIMITS)
@@ -106,7 +106,7 @@
         replica.compacted(snapshot);
     }
 
-    fn leads(&self, now: Instant) -> bool {
+    fn is_leader(&self, now: Instant) -> bool {
         let replica = self.open.as_ref().map(|(_, replica)| replica);
         replica.is_some_and(|replica| replica.status(now).role == Role::Leader)
     }
@@ -119,7 +119,9 @@
 impl Group {
     fn new(seed: u64) -> Self {
         let now = Instant::now();
-        let nodes = (0..SIZE).map(|place| Node::new(now, place == 0)).collect();
+        let nodes = (0..REPLICAS)
+            .map(|place| Node::new(now, place == 0))
+            .collect();
         let rng = StdRng::seed_from_u64(seed);
         Self {
             now,
@@ -133,14 +135,14 @@
     fn step(&mut self, loss: f64) {
         self.now += STEP;
         let now = self.now;
-        for place in 0..SIZE {
+        for place in 0..REPLICAS {
             if let Some((_, replica)) = &mut self.nodes[place].open {
                 replica.tick(now);
             }
             self.drain(place);
         }
         for (place, from, message) in std::mem::take(&mut self.packets) {
-            let dropped = self.rng.random_bool(loss) || now < self.nodes[place].cut_until;
+            let dropped = self.rng.random_bool(loss) || now < self.nodes[place].isolated_until;
             if let (false, Some((_, replica))) = (dropped, &mut self.nodes[place].open) {
                 replica.receive(from, message, now);
                 self.drain(place);
@@ -151,11 +153,11 @@
 
     fn drain(&mut self, place: usize) {
         let from = self.nodes[place].id;
-        let cut = self.now < self.nodes[place].cut_until;
+        let is_isolated = self.now < self.nodes[place].isolated_until;
         for (to, message) in self.nodes[place].drain(self.now) {
-            let target = self.nodes.iter().position(|node| node.id == to);
-            if let (Some(target), false) = (target, cut) {
-                self.packets.push((target, from, message));
+            let receiver = self.nodes.iter().position(|node| node.id == to);
+            if let (Some(receiver), false) = (receiver, is_isolated) {
+                self.packets.push((receiver, from, message));
             }
         }
         let applied = &self.nodes[place].applied;
@@ -176,10 +178,10 @@
                 continue;
             };
             let voters = replica.status(now).voters;
-            let fresh = ids.iter().find(|id| !voters.is_member(**id));
+            let missing = ids.iter().find(|id| !voters.is_member(**id));
             if let Some(id) = voters.learners.keys().next() {
                 let _refused = replica.propose_voters(&Change::Promote { id: *id }, now);
-            } else if let Some(id) = fresh {
+            } else if let Some(id) = missing {
                 let admit = Change::Admit {
                     id: *id,
                     address: "n".into(),
@@ -191,16 +193,16 @@
     }
 
     /// Cuts off a replica, often the leader, crashes it soon after its return, or lets one compact.
-    fn trouble(&mut self) {
-        let leader = self.nodes.iter().position(|node| node.leads(self.now));
-        let any = self.rng.random_range(0..SIZE);
+    fn inject_fault(&mut self) {
+        let leader = self.nodes.iter().position(|node| node.is_leader(self.now));
+        let any = self.rng.random_range(0..REPLICAS);
         let place = leader.filter(|_| self.rng.random()).unwrap_or(any);
         let node = &mut self.nodes[place];
         match self.rng.random_range(0..120) {
             0 => {
-                node.cut_until = self.now + Duration::from_millis(1500);
+                node.isolated_until = self.now + Duration::from_millis(1500);
                 let soon = Duration::from_millis(self.rng.random_range(0..600));
-                node.crash_at = Some(node.cut_until + soon);
+                node.crash_at = Some(node.isolated_until + soon);
             }
             1 => node.compact(),
             _ => {}
@@ -214,9 +216,9 @@
     }
 
     fn is_settled(&self) -> bool {
-        let leads = self.nodes.iter().any(|node| node.leads(self.now));
+        let has_leader = self.nodes.iter().any(|node| node.is_leader(self.now));
         let least = self.nodes.iter().map(|node| node.applied.len()).min();
-        leads && least.is_some_and(|least| least + 20 > self.committed.len())
+        has_leader && least.is_some_and(|least| least + 20 > self.committed.len())
     }
 }
 
@@ -230,11 +232,11 @@
         let mut group = Group::new(seed);
         for _ in 0..1000 {
             group.step(0.05);
-            group.trouble();
+            group.inject_fault();
         }
-        let goal = group.committed.len() + 50;
+        let target_length = group.committed.len() + 50;
         let end = group.now + Duration::from_mins(1);
-        while group.committed.len() < goal || !group.is_settled() {
+        while group.committed.len() < target_length || !group.is_settled() {
             assert!(group.now < end, "not settled within a minute");
             group.step(0.0);
         }
