--- a/crates/zinniastall-http/src/body.rs
+++ b/crates/zinniastall-http/src/body.rs
@@ -1,27 +1,28 @@
-//! Bodies: where they end, and their bytes without the framing.
+//! Framing of bodies: decoding and chunked encoding.
 
 use bytes::{Buf, Bytes, BytesMut};
 
-/// Longest line of a chunked body, in bytes; a size needs 16 digits, extensions are ignored.
+/// Longest line of a chunked body. A size needs at most 16 digits; the rest is for extensions,
+/// which are ignored.
 const MAX_LINE_BYTES: usize = 256;
-/// Largest chunk, in bytes; no body that this gateway takes is longer.
+/// Largest chunk; the gateway accepts no longer body.
 const MAX_CHUNK_BYTES: u64 = 1 << 32;
 
-/// How a body ends.
+/// How the end of a body is determined.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Framing {
-    /// After a number of bytes.
+    /// By its length in bytes.
     Length(u64),
-    /// With a chunk of size 0.
+    /// By a chunk of size 0.
     Chunked,
-    /// With the connection.
+    /// By the end of the connection.
     Close,
 }
 
-/// Why bytes are not a body.
+/// Reason why a body can't be decoded.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum Fault {
-    /// A chunk is not framed as the protocol says.
+    /// The framing of a chunk violates the protocol.
     #[error("a chunk is malformed")]
     Chunk,
     /// The connection ended before the body did.
@@ -29,18 +30,18 @@
     Cut,
 }
 
-/// What a decoder found.
+/// Result of a decoding step.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Step {
-    /// Bytes of the body.
+    /// The next bytes of the body.
     Piece(Bytes),
     /// More input is needed.
     More,
-    /// The body is whole.
+    /// The body is complete.
     End,
 }
 
-/// Decodes one body.
+/// Decodes a single body.
 #[derive(Debug, Clone)]
 pub struct Decoder {
     state: State,
@@ -58,7 +59,7 @@
 }
 
 impl Decoder {
-    /// Creates the decoder of a body with a framing.
+    /// Creates a decoder for a body with the given framing.
     pub const fn new(framing: Framing) -> Self {
         let state = match framing {
             Framing::Length(0) => State::Done,
@@ -69,16 +70,16 @@
         Self { state }
     }
 
-    /// Tells whether the body is whole.
+    /// Returns whether the body is complete.
     pub fn is_done(&self) -> bool {
         self.state == State::Done
     }
 
-    /// Takes the next piece of the body off the front of a buffer.
+    /// Takes the next piece of the body from the front of a buffer.
     ///
     /// # Errors
     ///
-    /// [`Fault::Chunk`] when a chunk is not framed as the protocol says.
+    /// [`Fault::Chunk`] if the framing of a chunk violates the protocol.
     pub fn decode(&mut self, input: &mut BytesMut) -> Result<Step, Fault> {
         loop {
             match self.state {
@@ -114,11 +115,11 @@
         }
     }
 
-    /// Notes that the connection has ended in order.
+    /// Handles the orderly end of the connection, which completes a [`Framing::Close`] body.
     ///
     /// # Errors
     ///
-    /// [`Fault::Cut`] when the body is not whole by that.
+    /// [`Fault::Cut`] if the body is incomplete.
     pub fn finish(&mut self) -> Result<(), Fault> {
         match self.state {
             State::Done => Ok(()),
@@ -143,13 +144,13 @@
         let available = u64::try_from(input.len()).unwrap_or(u64::MAX);
         let take = available.min(left);
         self.state = if take == left { end } else { more(left - take) };
-        // `take` is at most the length of the buffer.
+        // `take` is at most the buffer's length, so the conversion can't fail.
         let bytes = input.split_to(usize::try_from(take).unwrap_or(usize::MAX));
         Step::Piece(bytes.freeze())
     }
 }
 
-/// Takes a line without its end off the front of a buffer.
+/// Takes a line from the front of a buffer and returns it without its line end.
 fn take_line(input: &mut BytesMut) -> Result<Option<Bytes>, Fault> {
     let Some(end) = input.iter().position(|byte| *byte == b'\n') else {
         if input.len() > MAX_LINE_BYTES {
@@ -169,7 +170,7 @@
     let digits = line.split(|byte| *byte == b';').next().unwrap_or_default();
     let text = std::str::from_utf8(digits).map_err(|_| Fault::Chunk)?;
     let text = text.trim_end_matches([' ', '\t']);
-    // `from_str_radix` would take a sign.
+    // `from_str_radix` would accept a sign.
     if text.is_empty() || !text.bytes().all(|byte| byte.is_ascii_hexdigit()) {
         return Err(Fault::Chunk);
     }
@@ -180,7 +181,7 @@
     Ok(size)
 }
 
-/// Writes one chunk.
+/// Writes a chunk; empty input is skipped, since an empty chunk would end the body.
 pub fn write_chunk(output: &mut BytesMut, bytes: &[u8]) {
     if bytes.is_empty() {
         return;
@@ -190,5 +191,5 @@
     output.extend_from_slice(b"\r\n");
 }
 
-/// The chunk that ends a body.
+/// The last chunk, which ends a body.
 pub const LAST_CHUNK: &[u8] = b"0\r\n\r\n";
--- a/crates/zinniastall-http/src/connection.rs
+++ b/crates/zinniastall-http/src/connection.rs
@@ -1,4 +1,4 @@
-//! The two halves of a connection with their buffers.
+//! Read and write halves of a connection.
 
 use std::{io, net::SocketAddr};
 
@@ -16,24 +16,24 @@
     head::{self, Parse},
 };
 
-/// Bytes asked of the socket at once.
+/// Buffer space reserved for each read from the socket.
 const READ_BYTES: usize = 8 << 10;
-/// Bytes that the other end may send ahead while an answer is awaited. Beyond them reading stops, and
-/// with it the noticing of its end, until the answer is out.
+/// Bytes buffered from the peer while it waits for an answer. Beyond that, reading stops, and a
+/// close by the peer goes unnoticed until the answer has been sent.
 const MAX_READ_AHEAD_BYTES: usize = 64 << 10;
-/// Longest head of a response, in bytes.
+/// Longest accepted head of a response, in bytes.
 pub const RESPONSE_HEAD: usize = 32 << 10;
 
-/// Why reading failed.
+/// Reason why a message can't be read.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
     /// The connection failed.
     #[error("the connection failed: {0}")]
     Io(#[from] io::Error),
-    /// The head is not valid.
+    /// The head is invalid.
     #[error(transparent)]
     Head(#[from] head::Fault),
-    /// The body is not valid.
+    /// The body is invalid.
     #[error(transparent)]
     Body(#[from] body::Fault),
     /// The connection ended inside a head.
@@ -41,7 +41,7 @@
     Ended,
 }
 
-/// Half that reads.
+/// Buffered read half of a connection.
 #[derive(Debug)]
 pub struct Reader {
     half: OwnedReadHalf,
@@ -49,17 +49,17 @@
     ended: bool,
 }
 
-/// Half that writes.
+/// Write half of a connection.
 #[derive(Debug)]
 pub struct Writer {
     half: OwnedWriteHalf,
 }
 
-/// Splits a connection; small writes leave at once.
+/// Splits a connection into its halves and disables Nagle's algorithm.
 ///
 /// # Errors
 ///
-/// Fails when the socket refuses the option.
+/// Fails if the socket option can't be set.
 pub fn split(stream: TcpStream) -> io::Result<(Reader, Writer)> {
     stream.set_nodelay(true)?;
     let (read, write) = stream.into_split();
@@ -72,13 +72,13 @@
 }
 
 impl Reader {
-    /// Reads a head, or `None` when the connection ends in order before its first byte.
+    /// Reads a head, or returns `None` if the connection is closed before its first byte.
     ///
-    /// Dropping the future loses nothing.
+    /// This method is cancel safe: bytes read so far stay in the buffer.
     ///
     /// # Errors
     ///
-    /// [`Error`] says what was found instead.
+    /// Fails if the connection fails or ends inside the head, or if the head is invalid.
     pub async fn head<T: Parse>(&mut self, limit: usize) -> Result<Option<T>, Error> {
         loop {
             if !self.input.is_empty()
@@ -95,11 +95,11 @@
         }
     }
 
-    /// Waits for the first byte of a message; tells whether there is one.
+    /// Waits for the first byte of a message; returns false if the connection is closed instead.
     ///
     /// # Errors
     ///
-    /// Fails when the connection does.
+    /// Fails if the connection fails.
     pub async fn first_byte(&mut self) -> io::Result<bool> {
         if !self.input.is_empty() {
             return Ok(true);
@@ -107,11 +107,11 @@
         Ok(self.fill().await? > 0)
     }
 
-    /// Reads the next piece of a body, or `None` at its end.
+    /// Reads the next piece of a body, or returns `None` at its end.
     ///
     /// # Errors
     ///
-    /// [`Error`] when the body is cut or malformed.
+    /// Fails if the connection fails or if the body is truncated or malformed.
     pub async fn piece(&mut self, decoder: &mut Decoder) -> Result<Option<Bytes>, Error> {
         loop {
             match decoder.decode(&mut self.input)? {
@@ -126,10 +126,10 @@
         }
     }
 
-    /// Waits until the other end closes or resets the connection.
+    /// Waits until the peer closes or resets the connection.
     ///
-    /// What it sends meanwhile is kept, up to a bound; a caller that sends requests ahead is not
-    /// cut off for it.
+    /// Bytes that arrive meanwhile are buffered, up to a limit, so that a peer may pipeline its
+    /// requests.
     pub async fn closed(&mut self) {
         loop {
             if self.input.len() >= MAX_READ_AHEAD_BYTES {
@@ -142,19 +142,19 @@
         }
     }
 
-    /// Drops the bytes that wait; tells whether there were any.
+    /// Discards the buffered bytes and returns whether there were any.
     pub fn skip(&mut self) -> bool {
         let any = self.has_rest();
         self.input.clear();
         any
     }
 
-    /// Tells whether bytes wait that belong to no message read so far.
+    /// Returns whether bytes are buffered beyond the messages read so far.
     pub fn has_rest(&self) -> bool {
         !self.input.is_empty()
     }
 
-    /// Tells, without waiting, whether the other end has sent bytes or an end since.
+    /// Checks, without waiting, whether the peer has sent bytes or closed or reset the connection.
     pub fn is_disturbed(&mut self) -> bool {
         if self.ended || self.has_rest() {
             return true;
@@ -171,7 +171,7 @@
             return Ok(0);
         }
         if self.input.is_empty() && self.input.capacity() > 4 * READ_BYTES {
-            // An idle connection would keep the memory of its longest body.
+            // Otherwise a connection would keep the memory of its longest body.
             self.input = BytesMut::new();
         }
         self.input.reserve(READ_BYTES);
@@ -180,7 +180,7 @@
         Ok(read)
     }
 
-    /// Gives an idle connection's memory back.
+    /// Frees the buffer of an idle connection.
     pub fn rest(&mut self) {
         if self.input.is_empty() {
             self.input = BytesMut::new();
@@ -193,25 +193,25 @@
     ///
     /// # Errors
     ///
-    /// Fails when the connection does.
+    /// Fails if the connection fails.
     pub async fn write(&mut self, bytes: &[u8]) -> io::Result<()> {
         self.half.write_all(bytes).await
     }
 
-    /// Ends this direction in order.
+    /// Shuts down the write direction.
     ///
     /// # Errors
     ///
-    /// Fails when the connection has failed already.
+    /// Fails if the connection has already failed.
     pub async fn finish(&mut self) -> io::Result<()> {
         self.half.shutdown().await
     }
 
-    /// Returns the address of the other end.
+    /// Returns the address of the peer.
     ///
     /// # Errors
     ///
-    /// Fails when the connection has failed already.
+    /// Fails if the connection has already failed.
     pub fn peer(&self) -> io::Result<SocketAddr> {
         self.half.peer_addr()
     }
--- a/crates/zinniastall-http/src/head.rs
+++ b/crates/zinniastall-http/src/head.rs
@@ -1,4 +1,4 @@
-//! Heads of requests and responses.
+//! Parsing and writing of request and response heads.
 
 use bytes::{Buf, BytesMut};
 use http::{
@@ -8,19 +8,19 @@
 
 use crate::body::Framing;
 
-/// Most header fields of one head; callers of this gateway send about ten.
+/// Maximum number of header fields; callers usually send about ten.
 const MAX_FIELDS: usize = 96;
 
-/// Why bytes are not a head.
+/// Reason why a head is refused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum Fault {
-    /// The head has more bytes than allowed.
+    /// The head exceeds its limit of bytes or header fields.
     #[error("the head is too long")]
     Long,
-    /// The bytes are not HTTP/1.
+    /// The bytes are not a valid HTTP/1 head.
     #[error("the head is malformed: {0}")]
     Malformed(&'static str),
-    /// The end of the message could be read in two ways.
+    /// Recipients could disagree on where the message ends or which host it is for.
     #[error("the end of the message is ambiguous: {0}")]
     Ambiguous(&'static str),
 }
@@ -30,9 +30,9 @@
 pub struct Request {
     /// Method.
     pub method: Method,
-    /// Path and query, exactly as sent.
+    /// Request target (path and query), exactly as sent.
     pub target: String,
-    /// Whether the sender speaks HTTP/1.1; a 1.0 sender's connection ends with its answer.
+    /// Whether the sender uses HTTP/1.1; the connection of an HTTP/1.0 sender ends with the answer.
     pub is_modern: bool,
     /// Header fields.
     pub headers: HeaderMap,
@@ -43,7 +43,7 @@
 pub struct Response {
     /// Status.
     pub status: StatusCode,
-    /// Whether the sender speaks HTTP/1.1.
+    /// Whether the sender uses HTTP/1.1.
     pub is_modern: bool,
     /// Header fields.
     pub headers: HeaderMap,
@@ -51,11 +51,11 @@
 
 /// A head that can be parsed from the front of a buffer.
 pub trait Parse: Sized {
-    /// Takes a head off the front of a buffer, or `None` while it is incomplete.
+    /// Takes a head from the front of a buffer, or returns `None` while it is incomplete.
     ///
     /// # Errors
     ///
-    /// [`Fault`] when the bytes can never become a head.
+    /// Fails if the head is invalid or longer than `limit` bytes.
     fn parse(input: &mut BytesMut, limit: usize) -> Result<Option<Self>, Fault>;
 }
 
@@ -65,39 +65,39 @@
         self.target.split('?').next().unwrap_or_default()
     }
 
-    /// Returns the query without its question mark, empty if there is none.
+    /// Returns the query without its question mark, or an empty string if there is none.
     pub fn query(&self) -> &str {
         self.target.split_once('?').map_or("", |(_, query)| query)
     }
 
-    /// Returns the host without its port, empty if there is none.
+    /// Returns the `Host` field without its port, or an empty string if there is none.
     pub fn host(&self) -> &str {
         let value = self.headers.get(HOST).and_then(|host| host.to_str().ok());
         let host = value.unwrap_or_default();
         host.rsplit_once(':').map_or(host, |(name, _)| name)
     }
 
-    /// Returns how the body ends.
+    /// Returns the framing of the body.
     ///
     /// # Errors
     ///
-    /// [`Fault::Ambiguous`] when the head names more than one end.
+    /// [`Fault::Ambiguous`] if the head doesn't determine a single end.
     pub fn framing(&self) -> Result<Framing, Fault> {
         Ok(declared_framing(&self.headers)?.unwrap_or(Framing::Length(0)))
     }
 
-    /// Tells whether the sender lets the connection stay open.
+    /// Returns whether the sender keeps the connection open after this message.
     pub fn keeps_open(&self) -> bool {
         self.is_modern && !has_token(&self.headers, "close")
     }
 }
 
 impl Response {
-    /// Returns how the body ends; `head_only` tells that the request asked for no body.
+    /// Returns the framing of the body; `head_only` is true for an answer to a `HEAD` request.
     ///
     /// # Errors
     ///
-    /// [`Fault::Ambiguous`] when the head names more than one end.
+    /// [`Fault::Ambiguous`] if the head doesn't determine a single end.
     pub fn framing(&self, head_only: bool) -> Result<Framing, Fault> {
         let declared = declared_framing(&self.headers)?;
         let bodiless = head_only
@@ -110,7 +110,7 @@
         Ok(declared.unwrap_or(Framing::Close))
     }
 
-    /// Tells whether the sender lets the connection stay open.
+    /// Returns whether the sender keeps the connection open after this message.
     pub fn keeps_open(&self) -> bool {
         self.is_modern && !has_token(&self.headers, "close")
     }
@@ -173,10 +173,10 @@
     }
 }
 
-/// Returns the length of the head at the front of a buffer, once it is whole.
+/// Returns the length of the head at the front of a buffer, or `None` while it is incomplete.
 ///
-/// A line that ends without a carriage return is refused: a peer that takes it for a line end and
-/// one that doesn't would see different messages.
+/// A bare line feed is refused: a recipient that accepts it as a line end would see another message
+/// than one that doesn't.
 fn head_length(input: &[u8], limit: usize) -> Result<Option<usize>, Fault> {
     let mut line_start = 0;
     for (at, byte) in input.iter().enumerate().take(limit) {
@@ -225,7 +225,7 @@
     Ok(headers)
 }
 
-/// Returns the end that a head declares, if it declares one.
+/// Returns the framing that the header fields declare, if any.
 fn declared_framing(headers: &HeaderMap) -> Result<Option<Framing>, Fault> {
     let lengths = headers.get_all(CONTENT_LENGTH).iter().count();
     let mut codings = headers.get_all(TRANSFER_ENCODING).iter();
@@ -263,7 +263,7 @@
     })
 }
 
-/// Header fields that concern one connection only and are never passed on.
+/// Hop-by-hop header fields, which apply to a single connection and are never forwarded.
 pub const HOP_BY_HOP: [&str; 9] = [
     "connection",
     "keep-alive",
@@ -276,7 +276,7 @@
     "upgrade",
 ];
 
-/// Removes the fields that concern one connection only, those that `Connection` names included.
+/// Removes all hop-by-hop fields, including those listed in `Connection`, and `Content-Length`.
 pub fn strip_hop_by_hop(headers: &mut HeaderMap) {
     let named: Vec<HeaderName> = headers
         .get_all(CONNECTION)
--- a/crates/zinniastall-http/src/lib.rs
+++ b/crates/zinniastall-http/src/lib.rs
@@ -1,14 +1,15 @@
-//! HTTP/1.1 on connections whose every byte is accounted for.
+//! HTTP/1.1 with strict message framing.
 //!
-//! | module | gives |
+//! | module | content |
 //! |---|---|
-//! | [`head`] | heads of requests and responses, strictly parsed |
-//! | [`body`] | the framings of a body, decoded without I/O |
-//! | [`connection`] | the two halves of a connection with their buffers |
-//! | [`server`] | a small server for pages that answer whole bodies |
+//! | [`head`] | strict parsing and writing of request and response heads |
+//! | [`body`] | decoding and encoding of bodies, without I/O |
+//! | [`connection`] | buffered read and write halves of a connection |
+//! | [`server`] | a small server for handlers that work on complete bodies |
 //!
-//! A proxy and the process behind it must agree on where each message ends. Whatever could be read
-//! in two ways (two lengths, a length beside chunks, bare line ends) is refused instead of guessed.
+//! A proxy and the process behind it must agree on where each message ends, otherwise requests can
+//! be smuggled. Ambiguous input (two lengths, a length together with chunked coding, bare line
+//! feeds) is therefore refused.
 
 pub mod body;
 pub mod connection;
--- a/crates/zinniastall-http/src/server.rs
+++ b/crates/zinniastall-http/src/server.rs
@@ -1,7 +1,7 @@
-//! A small server for pages that answer whole bodies.
+//! Small HTTP server for handlers that work on complete bodies.
 //!
-//! It serves what instances say about themselves and what operators and targets say to them; the
-//! request path has a server of its own, which streams.
+//! It serves metrics, status pages and the calls of operators and targets. The request path has its
+//! own server, which streams.
 
 use std::{rc::Rc, time::Duration};
 
@@ -22,45 +22,46 @@
     head::{self, Request},
 };
 
-/// Longest head, in bytes.
+/// Longest accepted request head.
 const MAX_HEAD_BYTES: usize = 16 << 10;
-/// Bytes that the head of an answer mostly takes.
+/// Buffer space reserved for the head of an answer; most fit into it.
 const TYPICAL_HEAD_BYTES: usize = 512;
-/// Pause after a failed accept: out of descriptors, most likely, and a loop would spin.
+/// Delay after a failed accept. The usual cause is a lack of file descriptors, and an immediate
+/// retry would busy-loop.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// A request with its whole body.
+/// A request with its complete body.
 #[derive(Debug, Clone)]
 pub struct Call {
-    /// Head.
+    /// Head of the request.
     pub head: Request,
     /// Body.
     pub body: Bytes,
 }
 
-/// A whole answer.
+/// An answer with its complete body.
 #[derive(Debug, Clone)]
 pub struct Reply {
     /// Status.
     pub status: StatusCode,
-    /// Header fields beside those of the framing.
+    /// Header fields; those of the framing are added by [`encode`](Self::encode).
     pub headers: HeaderMap,
     /// Body.
     pub body: Bytes,
 }
 
-/// What answers the requests of a server.
+/// Handler for the requests of a server.
 pub trait Handler {
-    /// Answers one request.
+    /// Answers a request.
     fn call(&self, call: Call) -> LocalBoxFuture<'static, Reply>;
 }
 
-/// Bounds of a server.
+/// Limits of a server.
 #[derive(Debug, Clone, Copy)]
 pub struct Limits {
-    /// Longest body, in bytes.
+    /// Longest accepted request body, in bytes.
     pub body: usize,
-    /// Longest time that a connection may stay idle or take for one request's bytes.
+    /// Time within which the next request must have arrived completely, including idle time.
     pub idle: Duration,
 }
 
@@ -83,14 +84,14 @@
         reply
     }
 
-    /// Adds a header field.
+    /// Sets a header field.
     #[must_use]
     pub fn header(mut self, name: http::HeaderName, value: HeaderValue) -> Self {
         self.headers.insert(name, value);
         self
     }
 
-    /// Encodes the answer with its framing; `keep_alive` tells whether the connection stays open.
+    /// Encodes the answer with its framing; if `keep_alive` is false, `Connection: close` is added.
     pub fn encode(mut self, keep_alive: bool) -> BytesMut {
         let length = HeaderValue::from(self.body.len());
         self.headers.insert(CONTENT_LENGTH, length);
@@ -105,7 +106,7 @@
     }
 }
 
-/// Accepts connections for ever and serves each on this thread.
+/// Accepts connections forever and serves them on the current thread.
 pub async fn serve(listener: TcpListener, limits: Limits, handler: Rc<dyn Handler>) {
     loop {
         match listener.accept().await {
@@ -151,7 +152,7 @@
     }
 }
 
-/// Why a request was not read.
+/// Reason why a request was not read.
 struct Refusal {
     error: Error,
     is_body_too_long: bool,
--- a/crates/zinniastall-http/tests/body.rs
+++ b/crates/zinniastall-http/tests/body.rs
@@ -1,4 +1,4 @@
-//! Bodies: the same bytes come out in whatever pieces they come in.
+//! Tests of body decoding, with the input split at arbitrary positions.
 
 use bytes::BytesMut;
 use proptest::{
@@ -19,7 +19,7 @@
     })
 }
 
-/// Feeds bytes in pieces; returns the body, whether it ended, and what was left over.
+/// Decodes bytes fed in pieces; returns the body, whether it is complete, and the remaining input.
 fn decode(framing: Framing, bytes: &[u8], size: usize) -> Result<(Vec<u8>, bool, Vec<u8>), Fault> {
     let mut decoder = Decoder::new(framing);
     let (mut input, mut body) = (BytesMut::new(), Vec::new());
@@ -53,10 +53,10 @@
         prop_assert_eq!(rest, b"next");
         Ok(())
     });
-    result.expect("chunks are put together");
+    result.expect("every split decodes to the same body");
 }
 
-/// A connection ends in the middle of a body. It must never pass for whole.
+/// A connection ends in the middle of a body. The body must never be taken for complete.
 #[test]
 fn a_truncated_body_is_never_complete() {
     let bytes = chunked(&[b"first".to_vec(), b"second".to_vec()]);
@@ -72,7 +72,7 @@
     assert_eq!(until_close.finish(), Ok(()));
 }
 
-/// Sizes that one reader takes for a number and another one doesn't.
+/// Chunk sizes and line ends that some recipients accept and others don't.
 #[test]
 fn malformed_chunks_are_refused() {
     let malformed: [&[u8]; 9] = [
@@ -93,7 +93,7 @@
     }
 }
 
-/// Whatever bytes come, the decoder neither panics nor takes more than the body.
+/// On arbitrary input, the decoder neither panics nor takes more than the body.
 #[test]
 fn arbitrary_bodies_never_panic() {
     let framings = prop_oneof![
--- a/crates/zinniastall-http/tests/head.rs
+++ b/crates/zinniastall-http/tests/head.rs
@@ -1,4 +1,4 @@
-//! Heads: parsed strictly, in whatever pieces they come.
+//! Tests of the strict parsing of heads.
 
 use bytes::BytesMut;
 use proptest::{
@@ -66,7 +66,8 @@
     );
 }
 
-/// Bytes that are no answer are told from the first on, instead of being awaited until they might be.
+/// Input that can't become a status line is refused at its first wrong byte, without waiting for
+/// the rest of the head.
 #[test]
 fn invalid_status_lines_are_refused_at_once() {
     for bytes in ["x", "HTTQ", "\r\n", "200 OK"] {
@@ -85,7 +86,7 @@
     assert_eq!(names, ["x"]);
 }
 
-/// Whatever bytes come, parsing neither panics nor finds a head with an ambiguous end.
+/// On arbitrary input, parsing neither panics nor returns a head with an ambiguous end.
 #[test]
 fn arbitrary_heads_never_panic() {
     println!("seed {SEED}");
--- a/crates/zinniastall-settings/examples/chatter.rs
+++ b/crates/zinniastall-settings/examples/chatter.rs
@@ -1,5 +1,5 @@
-//! Logs a number of lines as fast as it can, then says on standard error how long that took, in
-//! milliseconds, and how many lines were dropped.
+//! Logs lines as fast as possible, then prints the elapsed milliseconds and the number of dropped
+//! lines to standard error.
 
 use std::time::Instant;
 
@@ -13,11 +13,11 @@
         tracing::info!(
             event = "chatter",
             line,
-            text = "as long as a line on a request mostly is"
+            text = "as long as a typical line on one request"
         );
     }
     let took = start.elapsed().as_millis();
     eprintln!("{took} {}", writer.dropped());
-    // Whoever doesn't read the lines doesn't wait for their end either.
+    // Exits without dropping the writer, which would wait for a reader of the queued lines.
     std::process::exit(0);
 }
--- a/crates/zinniastall-settings/src/cli.rs
+++ b/crates/zinniastall-settings/src/cli.rs
@@ -1,4 +1,4 @@
-//! The command line that all daemons share.
+//! Common command line of all daemons.
 
 use std::{ffi::OsString, path::PathBuf, process::ExitCode};
 
@@ -9,30 +9,30 @@
     problem::Problem,
 };
 
-/// Exit code of a run that ended as asked.
+/// Exit code of a successful run.
 pub const EXIT_OK: u8 = 0;
 /// Exit code of a run that failed.
 pub const EXIT_FAILED: u8 = 1;
-/// Exit code of a wrong command line or wrong settings.
+/// Exit code for an invalid command line or invalid settings.
 pub const EXIT_USAGE: u8 = 2;
 
-/// A daemon as its `--help` and `--version` describe it.
+/// Description of a daemon for `--help` and `--version`.
 #[derive(Debug, Clone, Copy)]
 pub struct Daemon {
     /// Name of the binary.
     pub name: &'static str,
-    /// One sentence.
+    /// Description in one sentence.
     pub about: &'static str,
-    /// Version.
+    /// Version of the binary.
     pub version: &'static str,
 }
 
-/// What the command line asks for.
+/// Action that the command line selects.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Action {
-    /// Runs with a settings file.
+    /// Runs the daemon with a settings file.
     Run(PathBuf),
-    /// Checks a settings file.
+    /// Validates a settings file.
     Check(PathBuf),
     /// Prints the help text.
     Help,
@@ -40,10 +40,10 @@
     Version,
 }
 
-/// Why a command line is wrong.
+/// Reason why a command line is invalid.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// An option or value is not known.
+    /// An option is unknown or its value is missing.
     #[error(transparent)]
     Arguments(#[from] lexopt::Error),
     /// No settings file is given.
@@ -52,11 +52,11 @@
 }
 
 impl Action {
-    /// Parses arguments without the program's name.
+    /// Parses arguments, which don't include the program's name.
     ///
     /// # Errors
     ///
-    /// Fails on unknown options and when `--settings` is missing.
+    /// Fails if an option is unknown, or if `--settings` or its value is missing.
     pub fn parse(arguments: impl IntoIterator<Item = OsString>) -> Result<Self, Error> {
         let mut parser = lexopt::Parser::from_args(arguments);
         let mut path = None;
@@ -80,9 +80,10 @@
 }
 
 impl Daemon {
-    /// Does what the command line asks for; `run` is called with checked settings.
+    /// Performs the action of the command line; `run` is called with validated settings.
     ///
-    /// Help, version and verdicts go to standard output, faults to standard error.
+    /// Help, version and the result of `--check` are printed to standard output, errors to standard
+    /// error.
     pub fn main<T: Settings>(&self, run: impl FnOnce(T) -> ExitCode) -> ExitCode {
         match Action::parse(std::env::args_os().skip(1)) {
             Ok(Action::Help) => self.help(),
--- a/crates/zinniastall-settings/src/lib.rs
+++ b/crates/zinniastall-settings/src/lib.rs
@@ -1,8 +1,8 @@
-//! Checked JSON settings, logging and metrics set-up, and the common command line.
+//! Validated JSON settings, set-up of logging and metrics, and the common command line.
 //!
-//! A binary describes its settings as a type that implements [`load::Settings`]; it reads itself
-//! through a [`reader::Reader`], which notes every wrong, missing or unknown field with its path
-//! instead of stopping at the first. [`cli::Action`] is the command line that all daemons share.
+//! A binary defines its settings as a type that implements [`load::Settings`] and is read through a
+//! [`reader::Reader`]. The reader collects every invalid, missing or unknown field with its path
+//! instead of stopping at the first. [`cli::Daemon`] implements the command line of all daemons.
 
 pub mod cli;
 pub mod load;
--- a/crates/zinniastall-settings/src/load.rs
+++ b/crates/zinniastall-settings/src/load.rs
@@ -1,4 +1,4 @@
-//! Loads a settings file.
+//! Loading and validation of settings files.
 
 use std::path::Path;
 
@@ -9,28 +9,28 @@
     reader::{Notes, Reader},
 };
 
-/// A type that a settings file describes.
+/// A type that can be read from a settings file.
 pub trait Settings: Sized {
-    /// Reads itself, noting faults in the reader.
+    /// Reads the settings and records faults in the reader.
     fn read(reader: &mut Reader<'_>) -> Self;
 }
 
-/// Loads and checks a settings file.
+/// Loads and validates a settings file.
 ///
 /// # Errors
 ///
-/// Every fault of the file, with its path.
+/// Returns all problems of the file.
 pub fn load<T: Settings>(path: &Path) -> Result<T, Vec<Problem>> {
     let text = std::fs::read_to_string(path)
         .map_err(|error| file_problem(Fault::Unreadable(error.kind())))?;
     parse(&text)
 }
 
-/// Checks settings given as text.
+/// Parses and validates settings.
 ///
 /// # Errors
 ///
-/// Every fault of the text, with its path.
+/// Returns all problems of the text.
 pub fn parse<T: Settings>(text: &str) -> Result<T, Vec<Problem>> {
     let value: Value = serde_json::from_str(text).map_err(|error| {
         file_problem(Fault::Syntax {
--- a/crates/zinniastall-settings/src/log.rs
+++ b/crates/zinniastall-settings/src/log.rs
@@ -1,8 +1,8 @@
-//! Logs: one line of key=value pairs for each event, on standard output.
+//! Logging to standard output, one line of key=value pairs per event.
 //!
-//! Whoever reads standard output may be slow or gone. Lines wait in a queue of a fixed length for a
-//! thread of their own, and what doesn't fit is dropped and counted, so that no request waits for a
-//! log line and no queue of lines fills the memory.
+//! The reader of standard output may be slow or gone. Lines are therefore written by a separate
+//! thread from a bounded queue, and lines that don't fit are dropped and counted. Logging never
+//! blocks a request, and its memory is bounded.
 
 use std::{
     sync::atomic::{AtomicUsize, Ordering},
@@ -12,23 +12,23 @@
 use tracing_appender::non_blocking::{ErrorCounter, NonBlockingBuilder, WorkerGuard};
 use tracing_subscriber::{EnvFilter, layer::SubscriberExt, util::SubscriberInitExt};
 
-/// Lines that may wait to be written: about a second of a busy instance, and a megabyte at most.
+/// Length of the queue: about one second of log lines of a busy instance, and at most a megabyte.
 const MAX_QUEUED_LINES: usize = 4_096;
-/// Least time between two words on dropped lines.
+/// Interval at which the number of dropped lines should be reported.
 pub const TELL: Duration = Duration::from_secs(1);
 
-/// Writes out what waits when it is dropped.
+/// Guard of the logging thread, which writes the queued lines when it is dropped.
 #[derive(Debug)]
-#[must_use = "lines that wait are lost when the process ends without it"]
+#[must_use = "queued lines are lost if the process ends without dropping the writer"]
 pub struct Writer {
     _guard: Option<WorkerGuard>,
     dropped: Option<ErrorCounter>,
     reported: AtomicUsize,
 }
 
-/// Starts logging at a level such as `info`, or by the directives in `ZINNIASTALL_LOG` if set.
+/// Starts logging at a level such as `info`, or with the directives in `ZINNIASTALL_LOG` if set.
 ///
-/// Calling it twice keeps the first.
+/// Later calls have no effect.
 pub fn start(level: &str) -> Writer {
     let directives = std::env::var("ZINNIASTALL_LOG").unwrap_or_else(|_| level.to_owned());
     let filter = EnvFilter::try_new(directives).unwrap_or_else(|_| EnvFilter::new("info"));
@@ -43,7 +43,7 @@
         .with_span_name(false)
         .layer()
         .with_writer(output);
-    // A second start would replace the first subscriber; keeping the first is what tests expect.
+    // Tests start logging several times in a process; the first subscriber stays.
     let started = tracing_subscriber::registry()
         .with(filter)
         .with(layer)
@@ -56,13 +56,12 @@
 }
 
 impl Writer {
-    /// Returns how many lines were dropped so far.
+    /// Returns the number of lines dropped so far.
     pub fn dropped(&self) -> usize {
         self.dropped.as_ref().map_or(0, ErrorCounter::dropped_lines)
     }
 
-    /// Logs how many lines were dropped since the last word, if any were; to be called every
-    /// [`TELL`] or so.
+    /// Logs the number of lines dropped since the last report, if any; to be called every [`TELL`].
     pub fn tell_dropped(&self) {
         let dropped = self.dropped();
         let lines = dropped.saturating_sub(self.reported.swap(dropped, Ordering::Relaxed));
--- a/crates/zinniastall-settings/src/metrics.rs
+++ b/crates/zinniastall-settings/src/metrics.rs
@@ -1,9 +1,8 @@
-//! Metrics: statsd by cadence, and histograms by client and class.
+//! Statsd metrics, and histograms by client and class.
 //!
-//! Every thread records into a [`Recorder`] of its own, so that recording never waits for another
-//! thread's work; a report merges them. The number of tag pairs is bounded: once it is reached,
-//! further clients are counted under [`OTHER`], because a caller who invents names must not make
-//! the process grow.
+//! Each thread has its own [`Recorder`], so that threads don't contend for a lock; a report merges
+//! them. The number of histograms is bounded: beyond the limit, values of new clients are recorded
+//! under [`OTHER`], so that a caller can't exhaust the memory with made-up client names.
 
 use std::{
     net::{SocketAddr, UdpSocket},
@@ -15,34 +14,34 @@
 use hdrhistogram::Histogram;
 use indexmap::IndexMap;
 
-/// Tag that collects what does not fit.
+/// Client and class of values beyond the limit on histograms.
 pub const OTHER: &str = "other";
-/// Most tag pairs a metric keeps.
+/// Histograms per recorder, not counting those under [`OTHER`].
 const MAX_KEYS: usize = 2048;
-/// Longest value kept, in microseconds: one hour.
+/// Longest recorded duration: one hour. Longer ones are clamped.
 const MAX_MICROS: u64 = 3_600_000_000;
-/// Significant digits of a histogram; 2 keeps one histogram within about 20 KB.
+/// Significant digits of a histogram. With 2, a histogram takes about 20 KB at most.
 const SIGNIFICANT_DIGITS: u8 = 2;
-/// Metrics waiting to be sent; more are dropped, since metrics must not hold up requests.
+/// Metrics queued for sending. Beyond that they are dropped, since metrics must not delay requests.
 const QUEUE_CAPACITY: usize = 4096;
 
-/// Names one histogram.
+/// Identifies a histogram.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Key {
-    /// Name, such as `request.whole`.
+    /// Name of the metric, such as `request.whole`.
     pub name: &'static str,
-    /// Client or [`OTHER`].
+    /// Client, or [`OTHER`].
     pub client: String,
-    /// Class or [`OTHER`].
+    /// Class of the requests, or [`OTHER`].
     pub class: String,
 }
 
-/// Summary of one histogram; values in microseconds.
+/// Summary of a histogram, in microseconds.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Row {
-    /// Which histogram.
+    /// Key of the histogram.
     pub key: Key,
-    /// Values recorded.
+    /// Number of recorded values.
     pub count: u64,
     /// Median.
     pub p50: u64,
@@ -50,7 +49,7 @@
     pub p95: u64,
     /// 99th percentile.
     pub p99: u64,
-    /// Greatest value.
+    /// Maximum.
     pub max: u64,
 }
 
@@ -63,7 +62,7 @@
     shards: Arc<Mutex<Vec<Shard>>>,
 }
 
-/// One thread's way to record.
+/// Records the metrics of a thread.
 #[derive(Debug, Clone)]
 pub struct Recorder {
     statsd: Arc<StatsdClient>,
@@ -71,11 +70,12 @@
 }
 
 impl Hub {
-    /// Starts metrics under a prefix; they are sent to a statsd address by UDP, if one is given.
+    /// Starts metrics whose names get a prefix, and sends them to a statsd server by UDP if its
+    /// address is given.
     ///
     /// # Errors
     ///
-    /// Fails when no UDP socket can be had.
+    /// Fails if the UDP socket can't be opened.
     pub fn start(prefix: &str, statsd: Option<SocketAddr>) -> std::io::Result<Self> {
         let client = match statsd {
             Some(address) => StatsdClient::builder(prefix, sink(address)?).build(),
@@ -97,13 +97,13 @@
         }
     }
 
-    /// Merges all recorders into one summary a histogram.
+    /// Merges all recorders and returns a summary per histogram.
     pub fn report(&self) -> Vec<Row> {
         let mut merged: IndexMap<Key, Histogram<u64>> = IndexMap::new();
         for shard in lock(&self.shards).iter() {
             for (key, histogram) in lock(shard).iter() {
                 match merged.get_mut(key) {
-                    // Every histogram has the same bounds, so adding cannot fail.
+                    // All histograms have the same bounds, so adding can't fail.
                     Some(sum) => drop(sum.add(histogram)),
                     None => drop(merged.insert(key.clone(), histogram.clone())),
                 }
@@ -133,7 +133,7 @@
         histogram.saturating_record(micros);
     }
 
-    /// Counts an event.
+    /// Adds to a statsd counter.
     pub fn count(&self, name: &'static str, amount: i64) {
         self.statsd.count_with_tags(name, amount).send();
     }
@@ -174,7 +174,7 @@
 
 fn histogram() -> Histogram<u64> {
     Histogram::new_with_bounds(1, MAX_MICROS, SIGNIFICANT_DIGITS).unwrap_or_else(|_| {
-        // Unreachable with the constants above; an automatic histogram is the safe stand-in.
+        // Unreachable with the constants above; an auto-resizing histogram is a safe fallback.
         Histogram::new(SIGNIFICANT_DIGITS).expect("two significant digits are supported")
     })
 }
@@ -191,6 +191,6 @@
 }
 
 fn lock<T>(mutex: &Mutex<T>) -> std::sync::MutexGuard<'_, T> {
-    // A panic while recording leaves at worst one value out, so the data stays usable.
+    // A panic while recording loses at most one value, so the data stays usable.
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
--- a/crates/zinniastall-settings/src/reader.rs
+++ b/crates/zinniastall-settings/src/reader.rs
@@ -1,4 +1,4 @@
-//! Reads settings field by field and notes every fault on the way.
+//! Field-by-field reading of settings that collects all faults.
 
 use std::{cell::RefCell, net::SocketAddr, ops::RangeInclusive, time::Duration};
 
@@ -6,32 +6,33 @@
 
 use crate::problem::{Fault, Problem};
 
-/// Longest permitted name, in bytes.
+/// Longest name.
 const MAX_NAME_BYTES: usize = 64;
 
-/// Collects faults while a file is read.
+/// Collects problems while a file is read.
 #[derive(Debug, Default)]
 pub struct Notes {
     problems: RefCell<Vec<Problem>>,
 }
 
 impl Notes {
-    /// Notes one fault.
+    /// Adds a fault of the field at a path.
     pub fn add(&self, path: impl Into<String>, fault: Fault) {
         let path = path.into();
         self.problems.borrow_mut().push(Problem { path, fault });
     }
 
-    /// Returns all faults.
+    /// Returns all problems.
     pub fn into_problems(self) -> Vec<Problem> {
         self.problems.into_inner()
     }
 }
 
-/// Reads one JSON object.
+/// Reads a JSON object.
 ///
-/// Faults are noted and a stand-in value is returned, so that one run lists them all; a caller must
-/// not use the result if any fault was noted, which [`crate::load::parse`] sees to.
+/// For an invalid field, the reader records the fault and returns a placeholder, so that one run
+/// reports all faults. The result must not be used if there are any; [`crate::load::parse`] ensures
+/// that.
 #[derive(Debug)]
 pub struct Reader<'a> {
     notes: &'a Notes,
@@ -41,7 +42,7 @@
 }
 
 impl<'a> Reader<'a> {
-    /// Starts at a value that should be an object.
+    /// Creates a reader of the value at a path; a value that is not an object is a fault.
     pub fn new(value: &'a Value, path: impl Into<String>, notes: &'a Notes) -> Self {
         let path = path.into();
         let fields = value.as_object();
@@ -59,7 +60,7 @@
         }
     }
 
-    /// Notes a fault of one field.
+    /// Records a fault of a field.
     pub fn fault(&self, field: &str, fault: Fault) {
         self.notes.add(self.path_of(field), fault);
     }
@@ -95,23 +96,23 @@
         self.list(field, name)
     }
 
-    /// Reads a required text that is not empty, such as a path.
+    /// Reads a required non-empty text, such as a path.
     pub fn text(&mut self, field: &'static str) -> String {
         self.required(field, text).unwrap_or_default()
     }
 
-    /// Reads an optional text that is not empty.
+    /// Reads an optional non-empty text.
     pub fn optional_text(&mut self, field: &'static str) -> Option<String> {
         self.optional(field, text)
     }
 
-    /// Reads a whole number within a range, or its default.
+    /// Reads an integer within a range, or returns the default.
     pub fn number(&mut self, field: &'static str, range: RangeInclusive<u64>, default: u64) -> u64 {
         self.optional(field, |value| number(value, &range))
             .unwrap_or(default)
     }
 
-    /// Reads a duration in milliseconds within a range, or its default.
+    /// Reads a duration in milliseconds within a range, or returns the default.
     pub fn millis(
         &mut self,
         field: &'static str,
@@ -121,7 +122,7 @@
         Duration::from_millis(self.number(field, range, default))
     }
 
-    /// Reads a number with a fraction, from zero up to `high`, or its default.
+    /// Reads a number from zero to `high`, fractions allowed, or returns the default.
     pub fn fraction(&mut self, field: &'static str, high: f64, default: f64) -> f64 {
         self.optional(field, |value| {
             let number = value.as_f64().ok_or(Fault::Type("a number"))?;
@@ -136,7 +137,7 @@
         .unwrap_or(default)
     }
 
-    /// Reads a truth value, or its default.
+    /// Reads a boolean, or returns the default.
     pub fn flag(&mut self, field: &'static str, default: bool) -> bool {
         self.optional(field, |value| {
             value.as_bool().ok_or(Fault::Type("true or false"))
@@ -144,7 +145,9 @@
         .unwrap_or(default)
     }
 
-    /// Reads a word that `choose` knows, or the default; `words` lists them for the fault.
+    /// Reads a word and converts it with `choose`, or returns the default.
+    ///
+    /// `words` lists the allowed words for the message of the fault.
     pub fn word<T>(
         &mut self,
         field: &'static str,
@@ -159,7 +162,7 @@
         .unwrap_or(default)
     }
 
-    /// Reads a nested object; an absent one is read as empty, so that defaults apply.
+    /// Reads a nested object; an absent one is read as an empty object, so that the defaults apply.
     pub fn nested<T>(&mut self, field: &'static str, read: impl FnOnce(&mut Reader<'_>) -> T) -> T {
         let empty = Value::Object(Map::new());
         let value = self.get(field).unwrap_or(&empty);
@@ -192,7 +195,7 @@
         items.iter().enumerate().map(read_item).collect()
     }
 
-    /// Notes every field that was not read.
+    /// Records a fault for every field that was not read, since it is unknown.
     pub fn finish(&self) {
         let Some(fields) = self.fields else { return };
         for field in fields.keys() {
--- a/crates/zinniastall-settings/src/scrape.rs
+++ b/crates/zinniastall-settings/src/scrape.rs
@@ -1,4 +1,4 @@
-//! Counters, gauges and histograms in the text format that scrapers read.
+//! Counters, gauges and histograms in the Prometheus text format.
 
 use std::{
     fmt::Debug,
@@ -17,37 +17,38 @@
     registry::Registry,
 };
 
-/// First bucket, in seconds, and how many there are, each twice as wide as the one before: to 16 s.
+/// Upper bound of the first histogram bucket, in seconds, and number of buckets. Each bound is
+/// twice the previous one; the last is about 16 s.
 const BUCKETS: (f64, u16) = (0.002, 14);
 
-/// A number that goes up and down.
+/// Gauge with an integer value.
 pub type Gauge = gauge::Gauge<u64, AtomicU64>;
-/// Counts by labels.
+/// Family of counters by labels.
 pub type Counters<L> = Family<L, Counter>;
-/// Times in seconds, by labels.
+/// Family of histograms by labels, in seconds.
 pub type Histograms<L> = Family<L, histogram::Histogram>;
 
-/// Collects the metrics of a process before it starts.
+/// Registers the metrics of a process.
 #[derive(Debug)]
 pub struct Builder {
     registry: Registry,
 }
 
-/// The metrics of a process; clones show the same.
+/// Registered metrics of a process. Clones share the same metrics.
 #[derive(Debug, Clone)]
 pub struct Page {
     registry: Arc<Registry>,
 }
 
 impl Builder {
-    /// Begins a page whose metrics' names begin with a prefix.
+    /// Creates a builder; the names of all metrics get a prefix.
     pub fn new(prefix: &str) -> Self {
         Self {
             registry: Registry::with_prefix(prefix),
         }
     }
 
-    /// Adds counters.
+    /// Registers a family of counters.
     pub fn counters<L>(&mut self, name: &str, help: &str) -> Counters<L>
     where
         L: Clone + Debug + Eq + Hash + EncodeLabelSet + Send + Sync + 'static,
@@ -57,7 +58,7 @@
         counters
     }
 
-    /// Adds histograms of times in seconds.
+    /// Registers a family of histograms of durations in seconds.
     pub fn histograms<L>(&mut self, name: &str, help: &str) -> Histograms<L>
     where
         L: Clone + Debug + Eq + Hash + EncodeLabelSet + Send + Sync + 'static,
@@ -68,14 +69,14 @@
         histograms
     }
 
-    /// Adds a gauge.
+    /// Registers a gauge.
     pub fn gauge(&mut self, name: &str, help: &str) -> Gauge {
         let gauge = Gauge::default();
         self.registry.register(name, help, gauge.clone());
         gauge
     }
 
-    /// Ends the page.
+    /// Finishes the registration.
     pub fn build(self) -> Page {
         Page {
             registry: Arc::new(self.registry),
@@ -84,7 +85,7 @@
 }
 
 impl Page {
-    /// Writes all metrics as text.
+    /// Encodes all metrics in the text format.
     pub fn text(&self) -> String {
         let mut text = String::new();
         if let Err(error) = encode(&mut text, &self.registry) {
--- a/crates/zinniastall-settings/tests/log.rs
+++ b/crates/zinniastall-settings/tests/log.rs
@@ -1,4 +1,4 @@
-//! Logs never hold a process up.
+//! Logging must not block the process.
 
 use std::{
     io::{BufRead, BufReader},
@@ -7,8 +7,8 @@
 
 const LINES: u32 = 200_000;
 
-/// Nobody reads standard output, and the pipe is full after some hundred lines. A process that waited
-/// for it would serve nobody from then on; lines are dropped instead, and counted.
+/// Nobody reads standard output, and the pipe is full after a few hundred lines. A process that
+/// waits for it would stop serving requests; lines must be dropped and counted instead.
 #[test]
 fn a_full_standard_output_does_not_block_logging() {
     let mut example = Command::new(env!("CARGO"));
--- a/crates/zinniastall-settings/tests/settings.rs
+++ b/crates/zinniastall-settings/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Settings: every fault is listed with its path, and whatever a file holds nothing panics.
+//! Tests of settings: all faults are reported with their paths, and no input panics.
 
 use std::time::Duration;
 
@@ -16,7 +16,7 @@
 
 const SEED: u64 = 11;
 
-/// Uses every kind of field.
+/// Settings with every kind of field.
 #[derive(Debug, PartialEq)]
 struct Sample {
     address: std::net::SocketAddr,
@@ -58,7 +58,7 @@
     problems.into_iter().map(pair).collect()
 }
 
-/// Settings that are valid but for one field.
+/// Returns the faults of settings that are valid except for one field.
 fn faults_with(field: &str) -> Vec<(String, Fault)> {
     faults_in(&format!(
         r#"{{"address": "127.0.0.1:1", "name": "a", {field}}}"#
@@ -140,8 +140,8 @@
     assert!(matches!(action(&["--settings"]), Err(Error::Arguments(_))));
 }
 
-/// A caller invents client names without end. The histograms must not grow with them: what does
-/// not fit is counted together.
+/// A caller makes up ever new client names. The number of histograms must stay bounded; values
+/// beyond the limit are counted together.
 #[test]
 fn tags_are_bounded() {
     let hub = Hub::start("test", None).unwrap();
--- a/crates/zinniastall-store/examples/commit.rs
+++ b/crates/zinniastall-store/examples/commit.rs
@@ -1,9 +1,9 @@
-//! Measures synced appends a second and the time to open a folder against the length of its log.
+//! Measures synced appends per second, and the time to open a folder by the length of its log.
 //!
 //! `cargo run --release -p zinniastall-store --example commit -- [FOLDER]`
 //!
-//! The folder decides which disk is measured; without one a temporary folder is used. Everything
-//! is written below a folder of its own, which is removed at the end.
+//! FOLDER selects the disk to measure; the default is the system's temporary folder. All files are
+//! written to a new folder in it, which is removed at the end.
 
 use std::error::Error;
 use std::path::Path;
@@ -38,7 +38,7 @@
     sorted[(sorted.len() - 1) * percent / 100]
 }
 
-/// Appends batches of a size for a while, each synced.
+/// Appends batches of one size for [`APPEND_TIME`], each synced by itself.
 fn measure_appends(path: &Path, batch: u64) -> Result<(), Box<dyn Error>> {
     let mut store = founded(path)?;
     let mut index = 1;
@@ -66,7 +66,7 @@
     Ok(())
 }
 
-/// Fills a log, then opens it again, with a snapshot shortly before its end or without.
+/// Fills a log and reopens it, with or without a snapshot shortly before its end.
 fn measure_recovery(path: &Path, length: u64, with_snapshot: bool) -> Result<(), Box<dyn Error>> {
     let mut store = founded(path)?;
     let behind_snapshot = if with_snapshot { length / 100 } else { 0 };
--- a/crates/zinniastall-store/src/fault.rs
+++ b/crates/zinniastall-store/src/fault.rs
@@ -1,21 +1,21 @@
-//! What can go wrong with a data folder.
+//! Errors of a data folder.
 
 use std::io;
 use std::path::{Path, PathBuf};
 
 use thiserror::Error;
 
-/// Why a data folder can't be opened or written.
+/// Reason why a data folder can't be opened or written.
 #[derive(Debug, Error)]
 pub enum Fault {
-    /// The system refused an operation on a file.
+    /// A file operation failed.
     #[error("can't {action} {}: {source}", path.display())]
     Io {
-        /// What was tried.
+        /// Operation, as a verb.
         action: &'static str,
-        /// On which file.
+        /// File or folder.
         path: PathBuf,
-        /// What the system said.
+        /// Error of the operating system.
         source: io::Error,
     },
     /// Another process has the folder open.
@@ -24,43 +24,43 @@
         /// The lock file.
         path: PathBuf,
     },
-    /// A file holds what was never written there.
+    /// A file is damaged.
     ///
-    /// The replica must not go on: it may have forgotten a vote or an entry that others counted.
-    /// Its disk is to be replaced as a lost one.
+    /// The replica must not continue: it may have lost a vote or an entry that others counted. Its
+    /// disk has to be treated as lost and replaced.
     #[error("{} is damaged at byte {offset}: {damage}", path.display())]
     Corrupt {
         /// The damaged file.
         path: PathBuf,
-        /// Byte from the start of the file at which the damage shows.
+        /// Byte offset of the damage in the file.
         offset: u64,
-        /// How it shows.
+        /// Kind of damage.
         damage: Damage,
     },
-    /// A file that must be there is not.
+    /// A required file is missing.
     #[error("{} is missing", path.display())]
     Missing {
-        /// The missing file.
+        /// Path of the file.
         path: PathBuf,
     },
-    /// The folder belongs to a cluster already.
+    /// The folder already belongs to a cluster.
     #[error("the data folder belongs to a cluster already")]
     Founded,
-    /// A write or a sync failed before, so what is on the disk is not known any more.
+    /// An earlier write or sync failed, so the content of the disk is unknown.
     #[error("an earlier write to the data folder failed")]
     Failed,
 }
 
-/// How damage in a file shows.
+/// Kinds of damage in a file.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum Damage {
-    /// The checksum doesn't fit the bytes.
+    /// The checksum doesn't match, or the record is incomplete.
     #[error("the checksum does not fit")]
     Checksum,
-    /// The checksum fits and the bytes have no meaning.
+    /// The checksum matches, but the content can't be decoded.
     #[error("the content can't be read")]
     Content,
-    /// The entries don't follow those before.
+    /// Entries are missing between two records or files.
     #[error("entries are missing before it")]
     Gap,
 }
@@ -75,7 +75,7 @@
     }
 }
 
-/// Adds the file and the action to what the system said.
+/// Adds the operation and the path to an I/O error.
 pub(crate) trait Context<T> {
     fn at(self, action: &'static str, path: &Path) -> Result<T, Fault>;
 }
--- a/crates/zinniastall-store/src/folder.rs
+++ b/crates/zinniastall-store/src/folder.rs
@@ -1,4 +1,4 @@
-//! The data folder: its lock, and files that are replaced as a whole.
+//! Data folder: its lock and atomic file replacement.
 
 use std::fs::{self, File, OpenOptions};
 use std::io::Write;
@@ -12,7 +12,7 @@
 const LOCK_FILE: &str = "lock";
 const TEMPORARY: &str = ".tmp";
 
-/// An open data folder that no other process can open.
+/// An open data folder, locked against other processes.
 #[derive(Debug)]
 pub(crate) struct Folder {
     path: PathBuf,
@@ -20,7 +20,8 @@
 }
 
 impl Folder {
-    /// Opens a folder, creating it if needed, and removes what an interrupted write left.
+    /// Opens and locks a folder, creating it if needed, and removes temporary files left over from
+    /// interrupted writes.
     pub(crate) fn open(path: &Path) -> Result<Self, Fault> {
         fs::create_dir_all(path).at("create", path)?;
         let folder = Self {
@@ -39,7 +40,7 @@
         self.path.join(name)
     }
 
-    /// Returns the names that start with a prefix, in order.
+    /// Returns the file names that start with a prefix, sorted.
     pub(crate) fn names(&self, prefix: &str) -> Result<Vec<String>, Fault> {
         let mut names = Vec::new();
         for entry in fs::read_dir(&self.path).at("list", &self.path)? {
@@ -52,7 +53,7 @@
         Ok(names)
     }
 
-    /// Reads a whole file, if there is one.
+    /// Reads a file, or returns `None` if it doesn't exist.
     pub(crate) fn read(&self, name: &str) -> Result<Option<Vec<u8>>, Fault> {
         let path = self.file(name);
         if !path.try_exists().at("look for", &path)? {
@@ -61,10 +62,10 @@
         fs::read(&path).at("read", &path).map(Some)
     }
 
-    /// Replaces a file as a whole.
+    /// Creates or replaces a file atomically.
     ///
-    /// The bytes are synced under another name before they take the file's name. A process killed
-    /// in between leaves the old file valid and the new one under a name that nobody reads.
+    /// The bytes are written and synced under a temporary name, which is then renamed. A process
+    /// killed in between leaves the old file intact and a temporary file that is never read.
     pub(crate) fn replace(&self, name: &str, bytes: &[u8]) -> Result<(), Fault> {
         let temporary = self.file(&format!("{name}{TEMPORARY}"));
         let mut file = File::create(&temporary).at("create", &temporary)?;
@@ -80,17 +81,17 @@
         fs::remove_file(&path).at("remove", &path)
     }
 
-    /// Syncs the names in the folder: a file whose name isn't synced is gone after a power cut.
+    /// Syncs the folder itself; without that, a new file name may be lost in a power failure.
     pub(crate) fn sync(&self) -> Result<(), Fault> {
         let folder = File::open(&self.path).at("open", &self.path)?;
         folder.sync_all().at("sync", &self.path)
     }
 }
 
-/// Locks against a second process.
+/// Locks a folder against a second process.
 ///
-/// Two processes on one folder would write over each other's log and vote twice under one id. The
-/// system drops the lock with the process, so a kill leaves nothing to clear up.
+/// Two processes on one folder would overwrite each other's log and vote twice under one id. The
+/// kernel releases the lock when the process ends, so a killed process leaves no stale lock.
 fn lock(path: &Path) -> Result<Flock<File>, Fault> {
     let mut options = OpenOptions::new();
     let file = options
--- a/crates/zinniastall-store/src/identity.rs
+++ b/crates/zinniastall-store/src/identity.rs
@@ -1,4 +1,4 @@
-//! Who the folder's replica is.
+//! Identity of the replica that a data folder belongs to.
 
 use serde::{Deserialize, Serialize};
 use zinniastall_coord::{Cluster, Id};
@@ -10,10 +10,10 @@
 pub(crate) const FILE_NAME: &str = "identity";
 const SALT: u64 = 0;
 
-/// Who the folder's replica is, random and made with the folder.
+/// Identity of a replica, generated at random when the folder is created.
 ///
-/// A disk that was lost comes back as another replica. If it kept its id, the others would count
-/// on votes and entries that it has forgotten, and a committed change could revert.
+/// After the loss of its disk, a replica gets a new id. With the old id, the other replicas would
+/// rely on votes and entries that it no longer has, and a committed change could be reverted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct Identity {
     pub(crate) id: Id,
--- a/crates/zinniastall-store/src/journal.rs
+++ b/crates/zinniastall-store/src/journal.rs
@@ -1,4 +1,4 @@
-//! The log in its segments.
+//! The log, stored as a sequence of segments.
 
 use std::collections::VecDeque;
 use std::path::PathBuf;
@@ -12,7 +12,7 @@
 use crate::segment::{self, Content, Header, Segment};
 use crate::tail::{Batch, Tail};
 
-/// A segment that is only read.
+/// A full segment, which is no longer written to.
 #[derive(Debug, Clone, Copy)]
 struct Closed {
     number: u64,
@@ -20,7 +20,7 @@
     floor: Index,
 }
 
-/// The segments of a log, the last one open for appending.
+/// The segments of a log; the last one is open for appending.
 #[derive(Debug)]
 pub(crate) struct Journal {
     closed: VecDeque<Closed>,
@@ -56,14 +56,14 @@
         Ok(segment::numbers(folder)?.is_empty())
     }
 
-    /// Returns the file with which the log begins.
+    /// Returns the path of the oldest segment.
     pub(crate) fn first_path(&self, folder: &Folder) -> PathBuf {
         let oldest = self.closed.front();
         let number = oldest.map_or(self.open.number, |closed| closed.number);
         folder.file(&segment::name(number))
     }
 
-    /// Reads all segments and opens the last one.
+    /// Reads all segments and opens the last one for appending.
     pub(crate) fn load(folder: &Folder, segment_bytes: u64) -> Result<(Self, Tail), Fault> {
         let numbers = segment::numbers(folder)?;
         let (Some(oldest), Some(newest)) = (numbers.first(), numbers.last()) else {
@@ -97,7 +97,7 @@
         ))
     }
 
-    /// Appends a batch and syncs it, in a new segment if the present one is full.
+    /// Appends a batch and syncs it, in a new segment if the current one is full.
     pub(crate) fn append(&mut self, folder: &Folder, batch: &Batch) -> Result<(), Fault> {
         if self.open.size >= self.segment_bytes {
             self.rotate(folder)?;
@@ -111,7 +111,7 @@
         Ok(())
     }
 
-    /// Removes the segments whose entries a snapshot covers, the oldest first.
+    /// Removes the segments that a snapshot up to index `covered` makes unnecessary, oldest first.
     pub(crate) fn compact(&mut self, folder: &Folder, covered: Index) -> Result<(), Fault> {
         if self.open.base.index < covered && self.last.index <= covered {
             self.rotate(folder)?;
@@ -125,12 +125,12 @@
         Ok(())
     }
 
-    /// Returns the latest segment with which the log may begin.
+    /// Returns the number of the latest segment that the log may start with.
     ///
-    /// Entries of an old leader may stand at the end of one segment and be replaced in the next.
-    /// The next one then reaches below its own base, and without the segment before it the folder
-    /// would be refused as damaged. So a log may begin only with a segment from which on nothing
-    /// reaches below its base.
+    /// Entries of a former leader may end one segment and be replaced in the next. That next
+    /// segment then writes below its own base, and without its predecessor the folder would be
+    /// refused as damaged. A log may therefore start with a segment only if neither that segment
+    /// nor any later one writes below the segment's base.
     fn first_needed(&self, covered: Index) -> Option<u64> {
         let open = Closed {
             number: self.open.number,
@@ -163,7 +163,7 @@
     }
 }
 
-/// Reads a segment and applies its batches to what came before it.
+/// Reads a segment and applies its batches to the tail rebuilt from earlier segments.
 fn replay(
     folder: &Folder,
     number: u64,
--- a/crates/zinniastall-store/src/lib.rs
+++ b/crates/zinniastall-store/src/lib.rs
@@ -1,8 +1,8 @@
-//! Write-ahead log and snapshots of one data folder.
+//! Write-ahead log and snapshots in a data folder.
 //!
-//! A [`Store`] keeps what a [`Replica`](zinniastall_coord::Replica) must not forget: its identity,
-//! its term and vote, its log and its latest snapshot. Nothing counts as stored before
-//! [`Store::save`] has returned, and each call syncs once, however much it stores.
+//! A [`Store`] holds the durable state of a [`Replica`](zinniastall_coord::Replica): its identity,
+//! its term and vote, its log and its latest snapshot. State is durable once [`Store::save`] has
+//! returned; each batch is synced once, whatever its size.
 //!
 //! ```
 //! use zinniastall_store::Store;
@@ -16,8 +16,9 @@
 //! # }
 //! ```
 //!
-//! A folder holds `lock`, `identity`, segments of the log `log-…` and one `snapshot-…`.
-//! `docs/design/store.md` describes their form and what each kind of damage leads to.
+//! A folder contains the files `lock` and `identity`, the log segments `log-…` and, once one has
+//! been stored, a `snapshot-…`. `docs/design/store.md` describes their format and how each kind of
+//! damage is handled.
 
 mod fault;
 mod folder;
--- a/crates/zinniastall-store/src/record.rs
+++ b/crates/zinniastall-store/src/record.rs
@@ -1,8 +1,8 @@
-//! Records: a length, a checksum and CBOR, one behind the other.
+//! Record format: length, checksum and CBOR body.
 //!
-//! The checksum covers the length too, so that a length that was torn or flipped is found before
-//! anything is read by it. Each file has a salt of its own in the checksum: bytes of a command that
-//! happen to look like a record, or were made to, are none.
+//! The checksum also covers the length, so that a torn or corrupted length isn't trusted. It is
+//! salted (per kind of file, and at random per log segment), so that bytes within a command can't
+//! pass for a record, whether by accident or by intent.
 
 use serde::Serialize;
 use serde::de::DeserializeOwned;
@@ -12,11 +12,11 @@
 const FIELD_BYTES: usize = 4;
 const HEADER_BYTES: usize = 2 * FIELD_BYTES;
 
-/// A record found in a file.
+/// A decoded record.
 #[derive(Debug)]
 pub(crate) struct Record<T> {
     pub(crate) value: T,
-    /// Byte behind the record.
+    /// Byte offset after the record.
     pub(crate) end: usize,
 }
 
@@ -24,7 +24,7 @@
 pub(crate) fn write(buffer: &mut Vec<u8>, salt: u64, value: &impl Serialize) {
     let start = buffer.len();
     buffer.extend_from_slice(&[0; HEADER_BYTES]);
-    // Writing to memory can't fail, and none of the types stored refuses to be serialised.
+    // Writing to memory can't fail, and all stored types can be serialised.
     let written = ciborium::into_writer(value, &mut *buffer);
     debug_assert!(written.is_ok(), "records can be serialised");
     let length = u32::try_from(buffer.len() - start - HEADER_BYTES)
@@ -35,7 +35,7 @@
     buffer[start + FIELD_BYTES..start + HEADER_BYTES].copy_from_slice(&checksum);
 }
 
-/// Reads the record at a place.
+/// Reads the record at a byte offset.
 pub(crate) fn read<T: DeserializeOwned>(
     bytes: &[u8],
     at: usize,
@@ -46,7 +46,7 @@
     Ok(Record { value, end })
 }
 
-/// Tells whether a whole record starts anywhere behind a place.
+/// Returns whether a complete record starts anywhere after a byte offset.
 pub(crate) fn any_after(bytes: &[u8], at: usize, salt: u64) -> bool {
     (at + 1..bytes.len()).any(|start| frame(bytes, start, salt).is_some())
 }
--- a/crates/zinniastall-store/src/segment.rs
+++ b/crates/zinniastall-store/src/segment.rs
@@ -1,4 +1,4 @@
-//! One file of the log.
+//! Segment files of the log.
 
 use std::fs::{File, OpenOptions};
 use std::io::Write;
@@ -17,23 +17,24 @@
 const PREFIX: &str = "log-";
 const HEADER_SALT: u64 = 2;
 
-/// The first record of a segment: all that is needed of the segments before it.
+/// First record of a segment, with the state needed from earlier segments.
 #[derive(Debug, Clone, Copy, Serialize, Deserialize)]
 pub(crate) struct Header {
-    /// Salt of the records that follow, random.
+    /// Random checksum salt of the records that follow.
     pub(crate) salt: u64,
     /// Last entry before the segment.
     pub(crate) base: Position,
-    /// Term and vote when the segment began.
+    /// Term and vote at the start of the segment.
     pub(crate) hard: HardState,
 }
 
-/// The segment that is written to.
+/// The segment open for appending.
 #[derive(Debug)]
 pub(crate) struct Segment {
     pub(crate) number: u64,
     pub(crate) base: Position,
-    /// Lowest place behind which the segment puts anything, which may be before `base`.
+    /// Lowest index after which the segment writes entries. It may be below `base`, if entries of
+    /// earlier segments are replaced.
     pub(crate) floor: Index,
     pub(crate) size: u64,
     salt: u64,
@@ -41,20 +42,20 @@
     file: File,
 }
 
-/// What was read from a segment.
+/// Decoded content of a segment.
 #[derive(Debug)]
 pub(crate) struct Content {
     pub(crate) header: Header,
-    /// Each batch with the byte at which its record starts.
+    /// Batches, each with the byte offset of its record.
     pub(crate) batches: Vec<(u64, Batch)>,
-    /// Lowest place behind which the segment puts anything.
+    /// Lowest index after which the segment writes entries.
     pub(crate) floor: Index,
-    /// Byte behind the last whole record.
+    /// Byte offset after the last complete record.
     pub(crate) end: u64,
 }
 
 impl Segment {
-    /// Creates a segment whose name and header are synced.
+    /// Creates a segment and syncs its header and its name.
     pub(crate) fn create(folder: &Folder, number: u64, header: Header) -> Result<Self, Fault> {
         let mut bytes = Vec::new();
         record::write(&mut bytes, HEADER_SALT, &header);
@@ -69,7 +70,7 @@
         Self::open(folder, number, &content)
     }
 
-    /// Opens a segment to append behind what was read, cutting off what stands there.
+    /// Opens a segment for appending and truncates it after the content that was read.
     pub(crate) fn open(folder: &Folder, number: u64, content: &Content) -> Result<Self, Fault> {
         let path = folder.file(&name(number));
         let file = OpenOptions::new()
@@ -107,11 +108,11 @@
     }
 }
 
-/// Reads a segment up to its end or to where it is torn.
+/// Reads a segment up to its end or to a torn last record.
 ///
-/// A record that can't be read is a torn end only in the last segment, and only if no whole record
-/// follows: batches are synced one after the other, so whatever stands before a whole record was
-/// synced once, and has been damaged since.
+/// A record with a wrong checksum counts as torn only in the last segment and only if no complete
+/// record follows. Batches are synced one at a time, so whatever precedes a complete record was
+/// synced before it and has been damaged since.
 pub(crate) fn read(path: &Path, bytes: &[u8], is_last: bool) -> Result<Content, Fault> {
     let corrupt = |at: usize, damage| Fault::corrupt(path, at as u64, damage);
     let head = record::read(bytes, 0, HEADER_SALT).map_err(|damage| corrupt(0, damage))?;
@@ -144,7 +145,7 @@
     format!("{PREFIX}{number:020}")
 }
 
-/// Returns the numbers of a folder's segments, in order.
+/// Returns the numbers of all segments in a folder, in ascending order.
 pub(crate) fn numbers(folder: &Folder) -> Result<Vec<u64>, Fault> {
     let names = folder.names(PREFIX)?;
     Ok(names
--- a/crates/zinniastall-store/src/snapshot.rs
+++ b/crates/zinniastall-store/src/snapshot.rs
@@ -1,4 +1,4 @@
-//! Snapshot files, each written under another name and synced before it counts.
+//! Snapshot files, written atomically.
 
 use zinniastall_coord::Index;
 use zinniastall_coord::replica::Snapshot;
@@ -12,8 +12,8 @@
 
 /// Loads the latest snapshot.
 ///
-/// A damaged one is refused and no older one is taken: the entries that led to the latest may be
-/// gone from the log.
+/// If it is damaged, no older one is used instead: the log may no longer contain the entries
+/// between the two.
 pub(crate) fn load(folder: &Folder) -> Result<Option<Snapshot>, Fault> {
     let Some(name) = folder.names(PREFIX)?.pop() else {
         return Ok(None);
@@ -26,7 +26,7 @@
     Ok(Some(record.value))
 }
 
-/// Stores a snapshot durably, then removes those before it.
+/// Stores a snapshot durably, then removes older ones.
 pub(crate) fn save(folder: &Folder, snapshot: &Snapshot) -> Result<(), Fault> {
     let mut bytes = Vec::with_capacity(snapshot.data.len());
     record::write(&mut bytes, SALT, snapshot);
--- a/crates/zinniastall-store/src/store.rs
+++ b/crates/zinniastall-store/src/store.rs
@@ -1,4 +1,4 @@
-//! The store of one replica.
+//! Durable state of one replica.
 
 use std::path::Path;
 
@@ -13,13 +13,13 @@
 use crate::snapshot;
 use crate::tail::Batch;
 
-/// Bytes after which a segment is full.
+/// Default of [`Options::segment_bytes`].
 const DEFAULT_SEGMENT_BYTES: u64 = 8 << 20;
 
-/// Settings of a store.
+/// Options of a store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Options {
-    /// Bytes after which a new segment begins.
+    /// Size in bytes at which a segment is full; the next batch starts a new one.
     pub segment_bytes: u64,
 }
 
@@ -31,7 +31,7 @@
     }
 }
 
-/// What a replica must not forget, in one data folder.
+/// Stores the durable state of a replica in a data folder.
 #[derive(Debug)]
 pub struct Store {
     folder: Folder,
@@ -43,21 +43,22 @@
 }
 
 impl Store {
-    /// Opens a data folder, creating it with a new random identity if there is none.
+    /// Opens a data folder; a missing or empty one is initialised with a new random identity.
     ///
     /// # Errors
     ///
-    /// [`Fault::Locked`] when another process has it open, [`Fault::Corrupt`] or
-    /// [`Fault::Missing`] when it doesn't hold what was stored.
+    /// [`Fault::Locked`] if another process has the folder open, [`Fault::Corrupt`] or
+    /// [`Fault::Missing`] if its content is damaged or incomplete, [`Fault::Io`] if a file
+    /// operation fails.
     pub fn open(path: impl AsRef<Path>) -> Result<(Self, Restored), Fault> {
         Self::open_with(path, Options::default())
     }
 
-    /// Opens a data folder with settings of its own.
+    /// Opens a data folder with the given options.
     ///
     /// # Errors
     ///
-    /// As [`open`](Self::open).
+    /// See [`open`](Self::open).
     pub fn open_with(path: impl AsRef<Path>, options: Options) -> Result<(Self, Restored), Fault> {
         let folder = Folder::open(path.as_ref())?;
         match Identity::load(&folder)? {
@@ -66,7 +67,8 @@
         }
     }
 
-    /// Creates the log before the identity: an identity without a log is a log that was lost.
+    /// Initialises a folder. The log is created before the identity, so that an identity without a
+    /// log means that the log was lost.
     fn create(folder: Folder, options: Options) -> Result<(Self, Restored), Fault> {
         if holds_state(&folder, options)? {
             return Err(Fault::Missing {
@@ -97,7 +99,8 @@
         let entries = if let Some(entries) = tail.into_entries_after(last) {
             entries
         } else {
-            // The process was killed between storing a leader's snapshot and the log's reset.
+            // The process was killed after it had stored a leader's snapshot and before it had
+            // reset the log.
             journal.append(
                 &folder,
                 &Batch {
@@ -107,7 +110,7 @@
             )?;
             Vec::new()
         };
-        // Without a cluster the entries are those of a founding that was cut short.
+        // Without a cluster, the entries are left over from an interrupted `found`.
         let restored = match identity.cluster {
             Some(_) => Restored {
                 cluster: identity.cluster,
@@ -131,7 +134,7 @@
         }
     }
 
-    /// Returns the id of the folder's replica.
+    /// Returns the id of the replica.
     pub const fn id(&self) -> Id {
         self.identity.id
     }
@@ -141,7 +144,7 @@
         self.identity.cluster
     }
 
-    /// Returns how often batches were synced since the folder was opened.
+    /// Returns the number of batches synced since the folder was opened.
     pub const fn syncs(&self) -> u64 {
         self.syncs
     }
@@ -150,7 +153,8 @@
     ///
     /// # Errors
     ///
-    /// [`Fault::Founded`] when the folder belongs to a cluster already.
+    /// [`Fault::Founded`] if the folder already belongs to a cluster, otherwise as for
+    /// [`save`](Self::save).
     pub fn found(&mut self, address: impl Into<String>) -> Result<Restored, Fault> {
         if self.identity.cluster.is_some() {
             return Err(Fault::Founded);
@@ -163,17 +167,18 @@
         Ok(restored)
     }
 
-    /// Stores all that a batch of the replica asks for, and syncs it once.
+    /// Stores everything that a [`Ready`] contains and syncs it.
     ///
     /// # Errors
     ///
-    /// [`Fault::Io`] when the system refuses; from then on [`Fault::Failed`].
+    /// [`Fault::Io`] if a write or sync fails, and [`Fault::Failed`] on every call after that.
     pub fn save(&mut self, ready: &Ready) -> Result<(), Fault> {
         if ready.cluster.is_some() {
             self.join(ready.cluster)?;
         }
         if let Some(snapshot) = &ready.install {
-            // Entries staged before belong to the log that ends here, not to the one behind it.
+            // Entries staged earlier belong to the old log, not to the one that starts after the
+            // snapshot.
             self.sync()?;
             self.install(snapshot)?;
         }
@@ -186,21 +191,21 @@
 
     /// Stages entries for the next [`sync`](Self::sync).
     ///
-    /// An entry at a place already taken replaces it and all behind it.
+    /// An entry whose index is already in the log replaces that entry and all later ones.
     pub fn append(&mut self, entries: impl IntoIterator<Item = Entry>) {
         self.staged.entries.extend(entries);
     }
 
-    /// Stages term and vote for the next [`sync`](Self::sync).
+    /// Stages the term and vote for the next [`sync`](Self::sync).
     pub const fn hard(&mut self, hard: HardState) {
         self.staged.hard = Some(hard);
     }
 
-    /// Writes and syncs all that is staged as one record.
+    /// Writes everything staged as one record and syncs it.
     ///
     /// # Errors
     ///
-    /// As [`save`](Self::save).
+    /// See [`save`](Self::save).
     pub fn sync(&mut self) -> Result<(), Fault> {
         if self.staged.is_empty() {
             return Ok(());
@@ -211,13 +216,15 @@
         Ok(())
     }
 
-    /// Syncs what is staged, stores a snapshot of applied state, and drops segments that it covers.
+    /// Syncs what is staged, stores a snapshot of the applied state and removes the segments that
+    /// it covers.
     ///
     /// # Errors
     ///
-    /// As [`save`](Self::save).
+    /// See [`save`](Self::save).
     pub fn snapshot(&mut self, snapshot: &Snapshot) -> Result<(), Fault> {
-        // The snapshot may cover staged entries that replace others, which it must not outrun.
+        // The snapshot may cover staged entries that replace older ones in the log, so these must
+        // be durable before it.
         self.sync()?;
         self.fail_stop(|store| {
             snapshot::save(&store.folder, snapshot)?;
@@ -225,7 +232,7 @@
         })
     }
 
-    /// Stores a leader's snapshot, behind which the log begins anew.
+    /// Stores a leader's snapshot and stages a reset of the log to start after it.
     fn install(&mut self, snapshot: &Snapshot) -> Result<(), Fault> {
         self.staged.reset = Some(snapshot.last);
         self.fail_stop(|store| snapshot::save(&store.folder, snapshot))
@@ -241,10 +248,10 @@
         Ok(())
     }
 
-    /// Runs a write and refuses all later ones if it fails.
+    /// Runs a write and, if it fails, refuses all later ones.
     ///
-    /// After a failed sync the system may drop the pages that it couldn't write and report success
-    /// the next time. An acknowledgement after that would promise what is nowhere stored.
+    /// After a failed sync, the kernel may drop the dirty pages and report success for the next
+    /// sync, so a later acknowledgement could cover data that was never written.
     fn fail_stop(
         &mut self,
         write: impl FnOnce(&mut Self) -> Result<(), Fault>,
@@ -259,7 +266,7 @@
     }
 }
 
-/// Tells whether a folder without an identity holds the state of a replica.
+/// Returns whether a folder without an identity contains the state of a replica.
 fn holds_state(folder: &Folder, options: Options) -> Result<bool, Fault> {
     if snapshot::load(folder)?.is_some() {
         return Ok(true);
--- a/crates/zinniastall-store/src/tail.rs
+++ b/crates/zinniastall-store/src/tail.rs
@@ -1,4 +1,4 @@
-//! The log as the records of the segments rebuild it.
+//! The log as rebuilt from the records of its segments.
 
 use serde::{Deserialize, Serialize};
 use zinniastall_coord::Index;
@@ -7,14 +7,14 @@
 
 use crate::fault::Damage;
 
-/// What one call stores, as one record.
+/// A batch of changes, stored as one record.
 ///
-/// One record a batch means that a batch cut short by a power failure is gone as a whole, and that
-/// a whole record behind a damaged one is always a sign of damage.
+/// With one record per batch, a batch interrupted by a power failure is lost as a whole, and a
+/// complete record after an unreadable one always indicates damage.
 #[derive(Debug, Default, Serialize, Deserialize)]
 pub(crate) struct Batch {
     pub(crate) hard: Option<HardState>,
-    /// The log begins anew behind this place.
+    /// Position after which the log restarts, dropping all earlier entries.
     pub(crate) reset: Option<Position>,
     pub(crate) entries: Vec<Entry>,
 }
@@ -24,7 +24,7 @@
         self.hard.is_none() && self.reset.is_none() && self.entries.is_empty()
     }
 
-    /// Returns the lowest place behind which the batch puts anything.
+    /// Returns the lowest index after which the batch writes entries.
     pub(crate) fn floor(&self) -> Index {
         let reset = self.reset.map(|base| base.index);
         let before = self.entries.iter().map(|entry| entry.index - 1);
@@ -32,7 +32,7 @@
     }
 }
 
-/// The log and the hard state, built up batch by batch.
+/// Log entries after a base position and the hard state, rebuilt batch by batch.
 #[derive(Debug, Default)]
 pub(crate) struct Tail {
     pub(crate) hard: HardState,
@@ -53,7 +53,8 @@
         self.entries.last().map_or(self.base, Entry::position)
     }
 
-    /// Applies a batch; an entry at a place already taken replaces it and all behind it.
+    /// Applies a batch; an entry whose index is already taken replaces that entry and all later
+    /// ones.
     pub(crate) fn apply(&mut self, batch: Batch) -> Result<(), Damage> {
         self.hard = batch.hard.unwrap_or(self.hard);
         if let Some(base) = batch.reset {
@@ -69,10 +70,11 @@
         Ok(())
     }
 
-    /// Splits off the entries behind a snapshot, if the snapshot stands in this log.
+    /// Returns the entries after a snapshot's last position, or `None` if the log doesn't contain
+    /// that position.
     ///
-    /// A snapshot from the leader may cover entries that differ from those in the log. What stands
-    /// behind such entries was never committed and doesn't follow the snapshot; then there are none.
+    /// A leader's snapshot may cover entries that differ from those in the log. The entries after
+    /// them were never committed and must not follow the snapshot.
     pub(crate) fn into_entries_after(mut self, last: Position) -> Option<Vec<Entry>> {
         if last == self.base {
             return Some(self.entries);
@@ -84,7 +86,7 @@
         Some(self.entries.split_off(at + 1))
     }
 
-    /// Tells whether the log begins no later than behind a place.
+    /// Returns whether the log leaves no gap after a position.
     pub(crate) const fn starts_at_or_before(&self, last: Position) -> bool {
         self.base.index <= last.index
     }
--- a/crates/zinniastall-store/tests/folder/damage.rs
+++ b/crates/zinniastall-store/tests/folder/damage.rs
@@ -1,4 +1,4 @@
-//! Damage to a folder's files, and kills between two writes.
+//! Damaged files, and processes killed between two writes.
 
 use std::fs;
 
@@ -8,8 +8,8 @@
 
 use crate::{SMALL, entry, entry_in, files, founded, indices, reopen, snapshot};
 
-// The power fails while a record is written, and the file ends at any byte of it. The replica must
-// come back with all that it had acknowledged, which never includes that record.
+// The power fails while a record is written, and the file may end at any byte of it. The replica
+// must recover everything that it had acknowledged, which never includes that record.
 case!(a_torn_last_record_is_cut, Options::default(), |folder| {
     let log = files(folder.path(), "log-").pop().unwrap();
     let before = fs::metadata(&log).unwrap().len();
@@ -36,7 +36,7 @@
     }
 });
 
-// A file grows before its content is written, and the power fails in between: it ends in zeros.
+// The power fails after a file has grown and before its content is written, so it ends in zeros.
 case!(zeros_at_the_end_are_cut, Options::default(), |folder| {
     let log = files(folder.path(), "log-").pop().unwrap();
     let mut bytes = fs::read(&log).unwrap();
@@ -45,8 +45,8 @@
     assert_eq!(indices(&reopen(&folder).unwrap()).len(), 20);
 });
 
-// One bit of an acknowledged record flips on the disk. Cutting the log there would forget entries
-// that others counted on; the replica has to stop and say where the damage is.
+// One bit of an acknowledged record flips on the disk. Truncating the log there would lose entries
+// that other replicas counted; the replica has to stop and report where the damage is.
 case!(a_flipped_bit_is_refused_with_its_offset, SMALL, |folder| {
     let logs = files(folder.path(), "log-");
     let (last, earlier) = logs.split_last().unwrap();
@@ -82,8 +82,8 @@
     assert!(!earlier.is_empty() && reopen(&folder).is_ok());
 });
 
-// A command carries the bytes of a whole record, and the power fails before the record that holds
-// the command is whole. The bytes inside must not pass for a record that follows a damaged one.
+// A command contains the bytes of complete records, and the power fails before the record of that
+// command is complete. The bytes inside must not be taken for a record after a damaged one.
 case!(
     a_record_inside_a_command_is_not_read_as_one,
     Options::default(),
@@ -112,7 +112,7 @@
     }
 );
 
-// A segment between others is gone, as after a wrong hand on the data folder.
+// A file is missing, as after a manual deletion in the data folder.
 case!(a_missing_segment_is_refused, SMALL, |folder| {
     let logs = files(folder.path(), "log-");
     let whole = fs::read(&logs[1]).unwrap();
@@ -140,8 +140,8 @@
     );
 });
 
-// The process is killed at any byte of writing a snapshot. The one before must still be there, and
-// what was written must not get in the way of the next.
+// The process is killed at any byte of writing a snapshot. The previous snapshot must still be
+// there, and the leftover file must not interfere with the next one.
 case!(
     a_kill_while_a_snapshot_is_written_leaves_the_old_one,
     SMALL,
@@ -162,8 +162,8 @@
     }
 );
 
-// A snapshot came from the leader, and the process is killed before the log began anew behind it.
-// Entries that were never committed stand in the log at the same places and must not follow it.
+// The process is killed after it has stored the leader's snapshot and before it resets the log.
+// Uncommitted entries at the same indices are still in the log and must not follow the snapshot.
 case!(
     a_kill_between_snapshot_install_and_log_reset,
     Options::default(),
@@ -187,8 +187,8 @@
     }
 );
 
-// Entries of an old leader fill a segment, and a new leader replaces them in the next. A snapshot
-// that covers the place where the next segment began must not leave a folder that can't be opened.
+// Entries of a former leader fill a segment, and a new leader replaces them in the next one. A
+// snapshot that covers the start of the next segment must not leave a folder that can't be opened.
 case!(
     a_segment_that_replaces_entries_of_the_one_before_keeps_it,
     SMALL,
--- a/crates/zinniastall-store/tests/folder/history.rs
+++ b/crates/zinniastall-store/tests/folder/history.rs
@@ -1,4 +1,4 @@
-//! Random histories of a folder against a model of it.
+//! Random operations on a folder, compared with a model.
 
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngSeed, TestRunner};
@@ -27,7 +27,7 @@
     ]
 }
 
-/// What a folder must give back.
+/// Expected state of a folder.
 #[derive(Default)]
 struct Model {
     hard: HardState,
@@ -106,7 +106,7 @@
     }
 }
 
-// Whatever was stored in whatever order, a restart gives it back.
+// State stored by any sequence of operations must be there after a restart.
 #[test]
 fn any_history_survives_reopening() {
     let config = Config {
--- a/crates/zinniastall-store/tests/folder/main.rs
+++ b/crates/zinniastall-store/tests/folder/main.rs
@@ -1,4 +1,4 @@
-//! Tests of the data folder, with damage done to its files.
+//! Tests of a data folder, including damage to its files.
 
 use std::fs;
 use std::path::{Path, PathBuf};
@@ -36,7 +36,7 @@
     restored.entries.iter().map(|entry| entry.index).collect()
 }
 
-/// Founds a folder and appends entries, each batch synced by itself.
+/// Founds a cluster in a new folder and appends entries, each synced by itself.
 pub(crate) fn founded(options: Options, last_index: u64) -> TempDir {
     let folder = tempfile::tempdir().expect("a temporary folder");
     let (mut store, _) = Store::open_with(folder.path(), options).expect("a new folder opens");
@@ -63,7 +63,7 @@
     Store::open_with(folder.path(), SMALL).map(|(_, restored)| restored)
 }
 
-/// Names a case and gives it a folder with twenty entries in segments of a size.
+/// Defines a test that runs on a folder with twenty entries and the given options.
 macro_rules! case {
     ($name:ident, $options:expr, |$folder:ident| $body:block) => {
         #[test]
@@ -122,8 +122,8 @@
     assert_eq!(indices(&reopen(&folder).unwrap()), [0; 0]);
 });
 
-// A second process is started on the same folder, as by a script that runs twice. Both would vote
-// under one id.
+// A second process is started on the same folder, for example by a script that runs twice. Without
+// the lock, both would vote under one id.
 case!(a_folder_is_open_once, SMALL, |folder| {
     let held = Store::open_with(folder.path(), SMALL).unwrap();
     assert!(matches!(reopen(&folder), Err(Fault::Locked { .. })));
@@ -150,8 +150,8 @@
     assert_eq!(store.syncs(), 1);
 });
 
-// The disk refuses a write. What it holds is not known any more, and a later success must not be
-// taken for a promise that the earlier bytes are there.
+// A write fails. The content of the disk is unknown from then on, and a later write that succeeds
+// would not mean that the earlier bytes are stored.
 case!(writes_after_a_failure_are_refused, SMALL, |folder| {
     let (mut store, _) = Store::open_with(folder.path(), SMALL).unwrap();
     fs::remove_dir_all(folder.path()).unwrap();
--- a/crates/zinniastall-store/tests/replicas.rs
+++ b/crates/zinniastall-store/tests/replicas.rs
@@ -1,4 +1,4 @@
-//! Replicas that keep their state in real folders, crash at random and are opened again.
+//! Replicas that store their state in real folders, crash at random and restart.
 
 use std::time::{Duration, Instant};
 
@@ -192,7 +192,8 @@
         }
     }
 
-    /// Cuts off a replica, often the leader, crashes it soon after its return, or lets one compact.
+    /// Isolates a replica, often the leader, and crashes it soon after it is reachable again, or
+    /// compacts its log.
     fn inject_fault(&mut self) {
         let leader = self.nodes.iter().position(|node| node.is_leader(self.now));
         let any = self.rng.random_range(0..REPLICAS);
@@ -222,9 +223,9 @@
     }
 }
 
-// Processes crash, are cut off with entries that nobody else has, come back, and get snapshots from
-// each other, all on small segments. Each folder must open again each time and hold what it
-// promised; a folder that is refused although nothing damaged it costs an operator a replica.
+// Processes crash, are isolated with entries that no other replica has, come back and get snapshots
+// from each other, all with small segments. Every folder must open again with everything that its
+// replica had acknowledged. An undamaged folder that is refused costs the operator a replica.
 #[test]
 fn crashing_replicas_open_their_folders_again() {
     for seed in 0..5 {
