--- a/crates/zinniastall-control/src/control/found.rs
+++ b/crates/zinniastall-control/src/control/found.rs
@@ -7,7 +7,7 @@
     Replica,
     replica::{Limits, Restored},
 };
-use zinniastall_store::Fault;
+use zinniastall_store::Error;
 use zinniastall_wire::{hello::Hello, link};
 
 use super::{Control, Later, hex, waiting::answer};
@@ -53,7 +53,7 @@
     Busy,
     /// The disk refused.
     #[error(transparent)]
-    Disk(#[from] Fault),
+    Disk(#[from] Error),
 }
 
 impl Handler<Bootstrap> for Control {
--- a/crates/zinniastall-control/src/control/start.rs
+++ b/crates/zinniastall-control/src/control/start.rs
@@ -54,7 +54,7 @@
 pub enum Failure {
     /// The disk failed.
     #[error("the disk failed: {0}")]
-    Disk(zinniastall_store::Fault),
+    Disk(zinniastall_store::Error),
     /// A leader's snapshot cannot be read; it may come from a later version of this program.
     #[error("a snapshot cannot be read: {0}")]
     Snapshot(ciborium::de::Error<std::io::Error>),
--- a/crates/zinniastall-control/src/daemon.rs
+++ b/crates/zinniastall-control/src/daemon.rs
@@ -140,7 +140,7 @@
 }
 
 async fn serve(settings: Arc<settings::Control>) -> eyre::Result<()> {
-    let metrics = metrics::Hub::start(METRICS, settings.statsd)?;
+    let metrics = metrics::Registry::start(METRICS, settings.statsd)?;
     let operators = rpc::bind(settings.listen.operators)?;
     let running = start(&settings, operators.local_addr()?).await?;
     listening("operators", operators.local_addr()?);
--- a/crates/zinniastall-control/src/disk.rs
+++ b/crates/zinniastall-control/src/disk.rs
@@ -8,7 +8,7 @@
 use actix::Recipient;
 use tokio::sync::oneshot;
 use zinniastall_coord::replica::{Ready, Restored, Snapshot};
-use zinniastall_store::{Fault, Store};
+use zinniastall_store::{Error, Store};
 
 use crate::control;
 
@@ -32,7 +32,7 @@
 #[derive(Debug)]
 pub struct Founded {
     /// What the replica starts from.
-    pub outcome: Result<Restored, Fault>,
+    pub outcome: Result<Restored, Error>,
     /// Where the operator's answer goes.
     pub reply: oneshot::Sender<Result<control::Founded, control::Refused>>,
 }
@@ -48,7 +48,7 @@
     /// A founding ended.
     Founded(Box<Founded>),
     /// The disk failed; nothing may be promised any more.
-    Failed(Fault),
+    Failed(Error),
 }
 
 /// The queue of the disk's thread.
@@ -92,7 +92,7 @@
     first: Work,
     work: &mpsc::Receiver<Work>,
     done: &Recipient<Done>,
-) -> Result<(), Fault> {
+) -> Result<(), Error> {
     let mut synced = None;
     let mut snapshots = Vec::new();
     for work in std::iter::once(first).chain(work.try_iter()) {
@@ -117,7 +117,7 @@
 }
 
 /// Stages a batch; one that joins a cluster or installs a snapshot is stored at once.
-fn save(store: &mut Store, ready: Ready) -> Result<u64, Fault> {
+fn save(store: &mut Store, ready: Ready) -> Result<u64, Error> {
     if ready.cluster.is_some() || ready.install.is_some() {
         store.sync()?;
         store.save(&ready)?;
@@ -125,7 +125,7 @@
     }
     store.append(ready.append);
     if let Some(hard) = ready.hard {
-        store.hard(hard);
+        store.set_hard_state(hard);
     }
     Ok(ready.batch)
 }
--- a/crates/zinniastall-control/src/rpc/operators.rs
+++ b/crates/zinniastall-control/src/rpc/operators.rs
@@ -15,7 +15,7 @@
 };
 use zinniastall_coord::voters;
 use zinniastall_model::{change::Body, change::Change, id};
-use zinniastall_settings::metrics::{Hub, Recorder};
+use zinniastall_settings::metrics::{Recorder, Registry};
 use zinniastall_wire::{feed::Feed, hello::Hello};
 
 use super::{ask, convert, watch as watches};
@@ -31,7 +31,7 @@
 pub struct Operators {
     control: Addr<Control>,
     feed: watch::Receiver<Feed>,
-    metrics: Hub,
+    metrics: Registry,
     recorder: Recorder,
     hello: Hello,
     watches: Arc<Semaphore>,
@@ -44,7 +44,7 @@
     pub fn new(
         control: Addr<Control>,
         feed: watch::Receiver<Feed>,
-        metrics: Hub,
+        metrics: Registry,
         hello: Hello,
         watches: usize,
     ) -> Self {
--- a/crates/zinniastall-entry/examples/slopes/node.rs
+++ b/crates/zinniastall-entry/examples/slopes/node.rs
@@ -13,7 +13,7 @@
     view::{Board, View},
 };
 use zinniastall_model::{object::Subject, place::Place};
-use zinniastall_settings::metrics::Hub;
+use zinniastall_settings::metrics::Registry;
 use zinniastall_wire::{
     gossip::{Serving, Target},
     hello::Purpose,
@@ -53,7 +53,7 @@
             identity: identity.clone(),
             board: board.clone(),
             publisher: Publisher::new(board.clone()).start(),
-            recorder: Hub::start("slopes", None)?.recorder(),
+            recorder: Registry::start("slopes", None)?.recorder(),
         };
         let spread = Spread::new(settings, seeds.into_iter(), around).start();
         let gossip = Gossip(spread.clone());
--- a/crates/zinniastall-entry/src/callers/service.rs
+++ b/crates/zinniastall-entry/src/callers/service.rs
@@ -3,7 +3,7 @@
 use std::{sync::Arc, time::Duration};
 
 use zinniastall_route::outcome::{Outcome, Refusal};
-use zinniastall_settings::metrics::Hub;
+use zinniastall_settings::metrics::Registry;
 
 use super::{admission::Admission, progress::Progress, settings::Callers, ticket::Ledger};
 use crate::{links::Identity, settings::Limits, view::Board};
@@ -17,7 +17,7 @@
     /// Source of the current view.
     pub board: Board,
     /// Metrics.
-    pub hub: Hub,
+    pub registry: Registry,
     /// Limits on what callers may send.
     pub limits: Arc<Limits>,
     /// Maximum gap between parts of a stream.
@@ -37,13 +37,13 @@
 
 impl Service {
     /// Creates the shared state of an instance.
-    pub fn new(board: Board, hub: Hub, limits: Limits, settings: &Callers) -> Self {
+    pub fn new(board: Board, registry: Registry, limits: Limits, settings: &Callers) -> Self {
         let tickets = Ledger::new(&board.view(), settings.tickets.clone());
         Self {
             admission: Admission::new(board.clone(), Arc::clone(&settings.policy)),
             tickets,
             board,
-            hub,
+            registry,
             limits: Arc::new(limits),
             stall_timeout: settings.stall_timeout,
             max_revision_wait: settings.max_revision_wait,
--- a/crates/zinniastall-entry/src/callers/worker.rs
+++ b/crates/zinniastall-entry/src/callers/worker.rs
@@ -34,7 +34,7 @@
         Self {
             client: Clients::default(),
             links: Links::new(service.identity.clone()),
-            recorder: service.hub.recorder(),
+            recorder: service.registry.recorder(),
             service,
             index: RefCell::default(),
         }
--- a/crates/zinniastall-entry/src/daemon.rs
+++ b/crates/zinniastall-entry/src/daemon.rs
@@ -15,7 +15,7 @@
 };
 use zinniastall_settings::{
     cli, log,
-    metrics::Hub,
+    metrics::Registry,
     process::{incarnation, listening},
 };
 use zinniastall_wire::{hello::Purpose, link};
@@ -47,12 +47,12 @@
     let publisher = Publisher::new(board.clone()).start();
     let sockets = Sockets::bind(&settings).await?;
     let identity = sockets.identity(&settings, &board.view())?;
-    let hub = Hub::start("zinniastall.entry", settings.statsd)?;
+    let registry = Registry::start("zinniastall.entry", settings.statsd)?;
     let around = Surroundings {
         identity: identity.clone(),
         board: board.clone(),
         publisher: publisher.clone(),
-        recorder: hub.recorder(),
+        recorder: registry.recorder(),
     };
     let spread = spread::start(&settings, around);
     let desk = Desk {
@@ -61,7 +61,7 @@
         left: spread.clone().recipient(),
     };
     let limits = settings.limits.clone();
-    let service = callers::Service::new(board.clone(), hub.clone(), limits, &settings.callers)
+    let service = callers::Service::new(board.clone(), registry.clone(), limits, &settings.callers)
         .identity(identity.clone());
     let streams = callers::forward::Receiver::start(service.clone());
     let forwarding = streams.arbiter();
@@ -74,7 +74,13 @@
         )?,
         targets: serve_targets(&settings, desk, sockets.targets)?,
     };
-    let follow = follow::start(&settings, identity.clone(), board, publisher.clone(), hub);
+    let follow = follow::start(
+        &settings,
+        identity.clone(),
+        board,
+        publisher.clone(),
+        registry,
+    );
     let acceptors = Acceptors::new(identity)
         .owner(Purpose::Gossip, spread::Gossip(spread.clone()))
         .owner(Purpose::Follow, follow)
--- a/crates/zinniastall-entry/src/follow/mod.rs
+++ b/crates/zinniastall-entry/src/follow/mod.rs
@@ -19,7 +19,7 @@
 
 use actix::{Actor, Addr};
 use tokio::sync::watch;
-use zinniastall_settings::metrics::{Hub, Row};
+use zinniastall_settings::metrics::{Registry, Row};
 use zinniastall_wire::{
     feed::{self, Event, Feed},
     follow::{Figure, Message},
@@ -40,7 +40,7 @@
     identity: Identity,
     board: Board,
     publisher: Addr<Publisher>,
-    metrics: Hub,
+    metrics: Registry,
 ) -> Follow {
     let follower = Follower::new(settings, identity.clone(), board.clone(), publisher);
     let feed = follower.feed();
@@ -72,7 +72,7 @@
 pub struct Follow {
     follower: Addr<Follower>,
     feed: watch::Receiver<Feed>,
-    metrics: Hub,
+    metrics: Registry,
 }
 
 impl Acceptor for Follow {
@@ -103,7 +103,7 @@
     }
 }
 
-fn figures(metrics: &Hub) -> Vec<Figure> {
+fn figures(metrics: &Registry) -> Vec<Figure> {
     let figure = |row: Row| Figure {
         name: row.key.name.to_owned(),
         client: row.key.client,
--- a/crates/zinniastall-entry/tests/callers/harness.rs
+++ b/crates/zinniastall-entry/tests/callers/harness.rs
@@ -22,7 +22,7 @@
     place::Place,
     state::State,
 };
-use zinniastall_settings::{load, metrics::Hub};
+use zinniastall_settings::{load, metrics::Registry};
 use zinniastall_wire::gossip;
 
 /// Key of the client in the default configuration.
@@ -72,8 +72,8 @@
             ..settings.limits.clone()
         };
         let board = Board::new(view(targets));
-        let hub = Hub::start("test", None).unwrap();
-        let service = Service::new(board.clone(), hub, limits, &settings.callers);
+        let registry = Registry::start("test", None).unwrap();
+        let service = Service::new(board.clone(), registry, limits, &settings.callers);
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
         let server = server::start(&service, listener, 1, Duration::from_secs(30)).unwrap();
--- a/crates/zinniastall-entry/tests/spread.rs
+++ b/crates/zinniastall-entry/tests/spread.rs
@@ -25,7 +25,7 @@
     view::{Board, View},
 };
 use zinniastall_model::{object::Subject, place::Place};
-use zinniastall_settings::metrics::Hub;
+use zinniastall_settings::metrics::Registry;
 use zinniastall_wire::{
     gossip::{Peer, Serving, Target},
     hello::Purpose,
@@ -308,7 +308,7 @@
         identity: identity.clone(),
         board: board.clone(),
         publisher: Publisher::new(board.clone()).start(),
-        recorder: Hub::start("test", None)
+        recorder: Registry::start("test", None)
             .expect("no socket is needed")
             .recorder(),
     };
--- a/crates/zinniastall-gateway/src/path/pool.rs
+++ b/crates/zinniastall-gateway/src/path/pool.rs
@@ -80,11 +80,11 @@
 
     /// Returns a connection to the pool, unless the answer closes it or left bytes behind on it.
     pub fn release(&self, address: &str, mut connection: Connection, answer: &Response) {
-        if !answer.keeps_open() || connection.reader.has_rest() {
+        if !answer.is_keep_alive() || connection.reader.has_unread() {
             return;
         }
         connection.is_used = true;
-        connection.reader.rest();
+        connection.reader.release_buffer();
         let now = Instant::now();
         let until = now + keep_alive_timeout(answer).unwrap_or(DEFAULT_IDLE_TIMEOUT);
         let mut idle = self.idle.borrow_mut();
@@ -115,7 +115,7 @@
         while let Some(mut newest) = connections.pop() {
             let is_expired =
                 newest.until <= now || (!repeats && newest.since + MAX_IDLE_UNREPEATABLE <= now);
-            if !is_expired && !newest.connection.reader.is_disturbed() {
+            if !is_expired && !newest.connection.reader.is_stale() {
                 return Some(newest.connection);
             }
         }
--- a/crates/zinniastall-gateway/src/path/serve.rs
+++ b/crates/zinniastall-gateway/src/path/serve.rs
@@ -122,11 +122,13 @@
             .serve_next(&mut reader, &mut responder, from_instances)
             .await?
         {
-            reader.rest();
+            reader.release_buffer();
         }
         responder.shut_down().await?;
         let rest = async {
-            while reader.first_byte().await.is_ok_and(|has_byte| has_byte) && reader.skip() {}
+            while reader.first_byte().await.is_ok_and(|has_byte| has_byte)
+                && reader.discard_unread()
+            {}
         };
         // A peer that keeps sending is cut off after that.
         let _ = time::timeout(LINGER, rest).await;
@@ -158,8 +160,8 @@
         let id = header_text(&head.headers, &self.header_names.request_id);
         let id = id.unwrap_or_default().to_owned();
         responder.next_request(
-            head.is_modern,
-            head.keeps_open() && !self.state.is_draining(),
+            head.is_http11,
+            head.is_keep_alive() && !self.state.is_draining(),
         );
         let body = match self.read_body(&head, reader, responder, &limits).await {
             Ok(body) => body,
@@ -225,7 +227,7 @@
             biased;
             ended = self.run(job, responder) => ended?,
             // Dropping the attempt closes its connection, which tells the target.
-            () = reader.closed() => {
+            () = reader.wait_closed() => {
                 self.record_end(job, responder, "left", "the caller closed the connection");
                 return Ok(false);
             }
@@ -406,7 +408,7 @@
                 }
                 Ok(Some(piece)) => body.extend_from_slice(&piece),
                 Ok(None) => return Ok(body.freeze()),
-                Err(Error::Body(zinniastall_http::body::Fault::Chunk)) => {
+                Err(Error::Body(zinniastall_http::body::Error::MalformedChunk)) => {
                     return Err(BodyError::Refused(Refusal::Malformed));
                 }
                 Err(error) => return Err(BodyError::Failed(error)),
@@ -429,7 +431,7 @@
 
 const fn head_refusal(error: &Error) -> Refusal {
     match error {
-        Error::Head(head::Fault::Long) => Refusal::HeadTooLong,
+        Error::Head(head::Error::TooLong) => Refusal::HeadTooLong,
         _ => Refusal::Malformed,
     }
 }
--- a/crates/zinniastall-gateway/src/path/transfer.rs
+++ b/crates/zinniastall-gateway/src/path/transfer.rs
@@ -7,7 +7,7 @@
 use tokio::time;
 use zinniastall_http::{
     body::{Decoder, Framing},
-    connection::{RESPONSE_HEAD, Reader},
+    connection::{MAX_RESPONSE_HEAD_BYTES, Reader},
     head::{self, Response},
 };
 
@@ -22,7 +22,7 @@
 
 /// Reads the head of the next answer.
 pub(super) async fn next_head(reader: &mut Reader) -> Result<Response, Why> {
-    match reader.head::<Response>(RESPONSE_HEAD).await {
+    match reader.head::<Response>(MAX_RESPONSE_HEAD_BYTES).await {
         Ok(Some(response)) => Ok(response),
         Ok(None) => Err("closed without an answer".to_owned()),
         Err(error) => Err(error.to_string()),
--- a/crates/zinniastall-http/src/body.rs
+++ b/crates/zinniastall-http/src/body.rs
@@ -21,13 +21,13 @@
 
 /// Reason why a body can't be decoded.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
-pub enum Fault {
+pub enum Error {
     /// The framing of a chunk violates the protocol.
     #[error("a chunk is malformed")]
-    Chunk,
+    MalformedChunk,
     /// The connection ended before the body did.
     #[error("the body was cut")]
-    Cut,
+    Truncated,
 }
 
 /// Result of a decoding step.
@@ -79,8 +79,8 @@
     ///
     /// # Errors
     ///
-    /// [`Fault::Chunk`] if the framing of a chunk violates the protocol.
-    pub fn decode(&mut self, input: &mut BytesMut) -> Result<Step, Fault> {
+    /// [`Error::MalformedChunk`] if the framing of a chunk violates the protocol.
+    pub fn decode(&mut self, input: &mut BytesMut) -> Result<Step, Error> {
         loop {
             match self.state {
                 State::Done => return Ok(Step::End),
@@ -103,7 +103,7 @@
                 }
                 State::ChunkEnd => match take_line(input)? {
                     Some(line) if line.is_empty() => self.state = State::ChunkSize,
-                    Some(_) => return Err(Fault::Chunk),
+                    Some(_) => return Err(Error::MalformedChunk),
                     None => return Ok(Step::More),
                 },
                 State::Trailer => match take_line(input)? {
@@ -119,15 +119,15 @@
     ///
     /// # Errors
     ///
-    /// [`Fault::Cut`] if the body is incomplete.
-    pub fn finish(&mut self) -> Result<(), Fault> {
+    /// [`Error::Truncated`] if the body is incomplete.
+    pub fn finish(&mut self) -> Result<(), Error> {
         match self.state {
             State::Done => Ok(()),
             State::UntilClose => {
                 self.state = State::Done;
                 Ok(())
             }
-            _ => Err(Fault::Cut),
+            _ => Err(Error::Truncated),
         }
     }
 
@@ -151,32 +151,32 @@
 }
 
 /// Takes a line from the front of a buffer and returns it without its line end.
-fn take_line(input: &mut BytesMut) -> Result<Option<Bytes>, Fault> {
+fn take_line(input: &mut BytesMut) -> Result<Option<Bytes>, Error> {
     let Some(end) = input.iter().position(|byte| *byte == b'\n') else {
         if input.len() > MAX_LINE_BYTES {
-            return Err(Fault::Chunk);
+            return Err(Error::MalformedChunk);
         }
         return Ok(None);
     };
     if end == 0 || end > MAX_LINE_BYTES || input[end - 1] != b'\r' {
-        return Err(Fault::Chunk);
+        return Err(Error::MalformedChunk);
     }
     let line = input.split_to(end - 1).freeze();
     input.advance(2);
     Ok(Some(line))
 }
 
-fn parse_size(line: &[u8]) -> Result<u64, Fault> {
+fn parse_size(line: &[u8]) -> Result<u64, Error> {
     let digits = line.split(|byte| *byte == b';').next().unwrap_or_default();
-    let text = std::str::from_utf8(digits).map_err(|_| Fault::Chunk)?;
+    let text = std::str::from_utf8(digits).map_err(|_| Error::MalformedChunk)?;
     let text = text.trim_end_matches([' ', '\t']);
     // `from_str_radix` would accept a sign.
     if text.is_empty() || !text.bytes().all(|byte| byte.is_ascii_hexdigit()) {
-        return Err(Fault::Chunk);
+        return Err(Error::MalformedChunk);
     }
-    let size = u64::from_str_radix(text, 16).map_err(|_| Fault::Chunk)?;
+    let size = u64::from_str_radix(text, 16).map_err(|_| Error::MalformedChunk)?;
     if size > MAX_CHUNK_BYTES {
-        return Err(Fault::Chunk);
+        return Err(Error::MalformedChunk);
     }
     Ok(size)
 }
--- a/crates/zinniastall-http/src/connection.rs
+++ b/crates/zinniastall-http/src/connection.rs
@@ -22,7 +22,7 @@
 /// close by the peer goes unnoticed until the answer has been sent.
 const MAX_READ_AHEAD_BYTES: usize = 64 << 10;
 /// Longest accepted head of a response, in bytes.
-pub const RESPONSE_HEAD: usize = 32 << 10;
+pub const MAX_RESPONSE_HEAD_BYTES: usize = 32 << 10;
 
 /// Reason why a message can't be read.
 #[derive(Debug, thiserror::Error)]
@@ -32,10 +32,10 @@
     Io(#[from] io::Error),
     /// The head is invalid.
     #[error(transparent)]
-    Head(#[from] head::Fault),
+    Head(#[from] head::Error),
     /// The body is invalid.
     #[error(transparent)]
-    Body(#[from] body::Fault),
+    Body(#[from] body::Error),
     /// The connection ended inside a head.
     #[error("the connection ended inside a head")]
     Ended,
@@ -130,7 +130,7 @@
     ///
     /// Bytes that arrive meanwhile are buffered, up to a limit, so that a peer may pipeline its
     /// requests.
-    pub async fn closed(&mut self) {
+    pub async fn wait_closed(&mut self) {
         loop {
             if self.input.len() >= MAX_READ_AHEAD_BYTES {
                 return std::future::pending().await;
@@ -143,20 +143,20 @@
     }
 
     /// Discards the buffered bytes and returns whether there were any.
-    pub fn skip(&mut self) -> bool {
-        let any = self.has_rest();
+    pub fn discard_unread(&mut self) -> bool {
+        let any = self.has_unread();
         self.input.clear();
         any
     }
 
     /// Returns whether bytes are buffered beyond the messages read so far.
-    pub fn has_rest(&self) -> bool {
+    pub fn has_unread(&self) -> bool {
         !self.input.is_empty()
     }
 
     /// Checks, without waiting, whether the peer has sent bytes or closed or reset the connection.
-    pub fn is_disturbed(&mut self) -> bool {
-        if self.ended || self.has_rest() {
+    pub fn is_stale(&mut self) -> bool {
+        if self.ended || self.has_unread() {
             return true;
         }
         self.input.reserve(1);
@@ -181,7 +181,7 @@
     }
 
     /// Frees the buffer of an idle connection.
-    pub fn rest(&mut self) {
+    pub fn release_buffer(&mut self) {
         if self.input.is_empty() {
             self.input = BytesMut::new();
         }
--- a/crates/zinniastall-http/src/head.rs
+++ b/crates/zinniastall-http/src/head.rs
@@ -13,10 +13,10 @@
 
 /// Reason why a head is refused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
-pub enum Fault {
+pub enum Error {
     /// The head exceeds its limit of bytes or header fields.
     #[error("the head is too long")]
-    Long,
+    TooLong,
     /// The bytes are not a valid HTTP/1 head.
     #[error("the head is malformed: {0}")]
     Malformed(&'static str),
@@ -33,7 +33,7 @@
     /// Request target (path and query), exactly as sent.
     pub target: String,
     /// Whether the sender uses HTTP/1.1; the connection of an HTTP/1.0 sender ends with the answer.
-    pub is_modern: bool,
+    pub is_http11: bool,
     /// Header fields.
     pub headers: HeaderMap,
 }
@@ -44,7 +44,7 @@
     /// Status.
     pub status: StatusCode,
     /// Whether the sender uses HTTP/1.1.
-    pub is_modern: bool,
+    pub is_http11: bool,
     /// Header fields.
     pub headers: HeaderMap,
 }
@@ -56,7 +56,7 @@
     /// # Errors
     ///
     /// Fails if the head is invalid or longer than `limit` bytes.
-    fn parse(input: &mut BytesMut, limit: usize) -> Result<Option<Self>, Fault>;
+    fn parse(input: &mut BytesMut, limit: usize) -> Result<Option<Self>, Error>;
 }
 
 impl Request {
@@ -81,14 +81,14 @@
     ///
     /// # Errors
     ///
-    /// [`Fault::Ambiguous`] if the head doesn't determine a single end.
-    pub fn framing(&self) -> Result<Framing, Fault> {
+    /// [`Error::Ambiguous`] if the head doesn't determine a single end.
+    pub fn framing(&self) -> Result<Framing, Error> {
         Ok(declared_framing(&self.headers)?.unwrap_or(Framing::Length(0)))
     }
 
     /// Returns whether the sender keeps the connection open after this message.
-    pub fn keeps_open(&self) -> bool {
-        self.is_modern && !has_token(&self.headers, "close")
+    pub fn is_keep_alive(&self) -> bool {
+        self.is_http11 && !has_token(&self.headers, "close")
     }
 }
 
@@ -97,8 +97,8 @@
     ///
     /// # Errors
     ///
-    /// [`Fault::Ambiguous`] if the head doesn't determine a single end.
-    pub fn framing(&self, head_only: bool) -> Result<Framing, Fault> {
+    /// [`Error::Ambiguous`] if the head doesn't determine a single end.
+    pub fn framing(&self, head_only: bool) -> Result<Framing, Error> {
         let declared = declared_framing(&self.headers)?;
         let bodiless = head_only
             || self.status.is_informational()
@@ -111,13 +111,13 @@
     }
 
     /// Returns whether the sender keeps the connection open after this message.
-    pub fn keeps_open(&self) -> bool {
-        self.is_modern && !has_token(&self.headers, "close")
+    pub fn is_keep_alive(&self) -> bool {
+        self.is_http11 && !has_token(&self.headers, "close")
     }
 }
 
 impl Parse for Request {
-    fn parse(input: &mut BytesMut, limit: usize) -> Result<Option<Self>, Fault> {
+    fn parse(input: &mut BytesMut, limit: usize) -> Result<Option<Self>, Error> {
         let Some(length) = head_length(input, limit)? else {
             return Ok(None);
         };
@@ -125,21 +125,21 @@
         let mut parsed = httparse::Request::new(&mut fields);
         let status = parsed.parse(&input[..length]).map_err(parse_error)?;
         if !status.is_complete() {
-            return Err(Fault::Malformed("incomplete"));
+            return Err(Error::Malformed("incomplete"));
         }
         let method = parsed.method.unwrap_or_default().parse();
         let target = parsed.path.unwrap_or_default().to_owned();
         if !target.starts_with('/') && target != "*" {
-            return Err(Fault::Malformed("the target is no path"));
+            return Err(Error::Malformed("the target is no path"));
         }
         let request = Self {
-            method: method.map_err(|_| Fault::Malformed("method"))?,
+            method: method.map_err(|_| Error::Malformed("method"))?,
             target,
-            is_modern: parsed.version == Some(1),
+            is_http11: parsed.version == Some(1),
             headers: header_map(parsed.headers)?,
         };
         if request.headers.get_all(HOST).iter().count() > 1 {
-            return Err(Fault::Ambiguous("two hosts"));
+            return Err(Error::Ambiguous("two hosts"));
         }
         request.framing()?;
         input.advance(length);
@@ -148,9 +148,9 @@
 }
 
 impl Parse for Response {
-    fn parse(input: &mut BytesMut, limit: usize) -> Result<Option<Self>, Fault> {
+    fn parse(input: &mut BytesMut, limit: usize) -> Result<Option<Self>, Error> {
         if !b"HTTP/1.".starts_with(&input[..input.len().min(7)]) {
-            return Err(Fault::Malformed("no status line"));
+            return Err(Error::Malformed("no status line"));
         }
         let Some(length) = head_length(input, limit)? else {
             return Ok(None);
@@ -159,12 +159,12 @@
         let mut parsed = httparse::Response::new(&mut fields);
         let status = parsed.parse(&input[..length]).map_err(parse_error)?;
         if !status.is_complete() {
-            return Err(Fault::Malformed("incomplete"));
+            return Err(Error::Malformed("incomplete"));
         }
         let code = StatusCode::from_u16(parsed.code.unwrap_or_default());
         let response = Self {
-            status: code.map_err(|_| Fault::Malformed("status"))?,
-            is_modern: parsed.version == Some(1),
+            status: code.map_err(|_| Error::Malformed("status"))?,
+            is_http11: parsed.version == Some(1),
             headers: header_map(parsed.headers)?,
         };
         declared_framing(&response.headers)?;
@@ -177,18 +177,18 @@
 ///
 /// A bare line feed is refused: a recipient that accepts it as a line end would see another message
 /// than one that doesn't.
-fn head_length(input: &[u8], limit: usize) -> Result<Option<usize>, Fault> {
+fn head_length(input: &[u8], limit: usize) -> Result<Option<usize>, Error> {
     let mut line_start = 0;
     for (at, byte) in input.iter().enumerate().take(limit) {
         if *byte != b'\n' {
             continue;
         }
         if at == 0 || input[at - 1] != b'\r' {
-            return Err(Fault::Ambiguous("bare line end"));
+            return Err(Error::Ambiguous("bare line end"));
         }
         let is_empty = at - line_start == 1;
         if is_empty && line_start == 0 {
-            return Err(Fault::Malformed("empty first line"));
+            return Err(Error::Malformed("empty first line"));
         }
         if is_empty {
             return Ok(Some(at + 1));
@@ -196,62 +196,62 @@
         line_start = at + 1;
     }
     if input.len() >= limit {
-        return Err(Fault::Long);
+        return Err(Error::TooLong);
     }
     Ok(None)
 }
 
-fn parse_error(error: httparse::Error) -> Fault {
+fn parse_error(error: httparse::Error) -> Error {
     match error {
-        httparse::Error::TooManyHeaders => Fault::Long,
-        httparse::Error::HeaderName => Fault::Malformed("header name"),
-        httparse::Error::HeaderValue => Fault::Malformed("header value"),
-        httparse::Error::NewLine => Fault::Malformed("line end"),
-        httparse::Error::Status => Fault::Malformed("status"),
-        httparse::Error::Token => Fault::Malformed("token"),
-        httparse::Error::Version => Fault::Malformed("version"),
+        httparse::Error::TooManyHeaders => Error::TooLong,
+        httparse::Error::HeaderName => Error::Malformed("header name"),
+        httparse::Error::HeaderValue => Error::Malformed("header value"),
+        httparse::Error::NewLine => Error::Malformed("line end"),
+        httparse::Error::Status => Error::Malformed("status"),
+        httparse::Error::Token => Error::Malformed("token"),
+        httparse::Error::Version => Error::Malformed("version"),
     }
 }
 
-fn header_map(fields: &[httparse::Header<'_>]) -> Result<HeaderMap, Fault> {
+fn header_map(fields: &[httparse::Header<'_>]) -> Result<HeaderMap, Error> {
     let mut headers = HeaderMap::with_capacity(fields.len());
     for field in fields {
         let name = HeaderName::from_bytes(field.name.as_bytes());
-        let name = name.map_err(|_| Fault::Malformed("header name"))?;
+        let name = name.map_err(|_| Error::Malformed("header name"))?;
         let value = HeaderValue::from_bytes(field.value);
-        let value = value.map_err(|_| Fault::Malformed("header value"))?;
+        let value = value.map_err(|_| Error::Malformed("header value"))?;
         headers.append(name, value);
     }
     Ok(headers)
 }
 
 /// Returns the framing that the header fields declare, if any.
-fn declared_framing(headers: &HeaderMap) -> Result<Option<Framing>, Fault> {
+fn declared_framing(headers: &HeaderMap) -> Result<Option<Framing>, Error> {
     let lengths = headers.get_all(CONTENT_LENGTH).iter().count();
     let mut codings = headers.get_all(TRANSFER_ENCODING).iter();
     match (codings.next(), lengths) {
         (None, 0) => Ok(None),
         (None, 1) => Ok(Some(Framing::Length(content_length(headers)?))),
-        (None, _) => Err(Fault::Ambiguous("two lengths")),
-        (Some(_), 1..) => Err(Fault::Ambiguous("a length beside a transfer coding")),
+        (None, _) => Err(Error::Ambiguous("two lengths")),
+        (Some(_), 1..) => Err(Error::Ambiguous("a length beside a transfer coding")),
         (Some(coding), 0) => {
             let is_chunked = coding.as_bytes().eq_ignore_ascii_case(b"chunked");
             if !is_chunked || codings.next().is_some() {
-                return Err(Fault::Ambiguous("transfer coding"));
+                return Err(Error::Ambiguous("transfer coding"));
             }
             Ok(Some(Framing::Chunked))
         }
     }
 }
 
-fn content_length(headers: &HeaderMap) -> Result<u64, Fault> {
+fn content_length(headers: &HeaderMap) -> Result<u64, Error> {
     let value = headers.get(CONTENT_LENGTH).map(HeaderValue::as_bytes);
     let digits = value.unwrap_or_default();
     if digits.is_empty() || !digits.iter().all(u8::is_ascii_digit) {
-        return Err(Fault::Ambiguous("length"));
+        return Err(Error::Ambiguous("length"));
     }
     let text = std::str::from_utf8(digits).unwrap_or_default();
-    text.parse().map_err(|_| Fault::Ambiguous("length"))
+    text.parse().map_err(|_| Error::Ambiguous("length"))
 }
 
 fn has_token(headers: &HeaderMap, token: &str) -> bool {
--- a/crates/zinniastall-http/src/server.rs
+++ b/crates/zinniastall-http/src/server.rs
@@ -142,13 +142,13 @@
                 return Err(refusal.error);
             }
         };
-        let keep_alive = call.head.keeps_open();
+        let keep_alive = call.head.is_keep_alive();
         let reply = handler.call(call).await;
         write(&mut writer, reply, keep_alive).await?;
         if !keep_alive {
             return Ok(());
         }
-        reader.rest();
+        reader.release_buffer();
     }
 }
 
@@ -162,7 +162,7 @@
     const fn status(&self) -> StatusCode {
         match &self.error {
             _ if self.is_body_too_long => StatusCode::PAYLOAD_TOO_LARGE,
-            Error::Head(head::Fault::Long) => StatusCode::REQUEST_HEADER_FIELDS_TOO_LARGE,
+            Error::Head(head::Error::TooLong) => StatusCode::REQUEST_HEADER_FIELDS_TOO_LARGE,
             _ => StatusCode::BAD_REQUEST,
         }
     }
--- a/crates/zinniastall-http/tests/body.rs
+++ b/crates/zinniastall-http/tests/body.rs
@@ -5,7 +5,7 @@
     prelude::*,
     test_runner::{Config, RngSeed, TestRunner},
 };
-use zinniastall_http::body::{Decoder, Fault, Framing, LAST_CHUNK, Step, write_chunk};
+use zinniastall_http::body::{Decoder, Error, Framing, LAST_CHUNK, Step, write_chunk};
 
 const SEED: u64 = 5;
 
@@ -20,7 +20,7 @@
 }
 
 /// Decodes bytes fed in pieces; returns the body, whether it is complete, and the remaining input.
-fn decode(framing: Framing, bytes: &[u8], size: usize) -> Result<(Vec<u8>, bool, Vec<u8>), Fault> {
+fn decode(framing: Framing, bytes: &[u8], size: usize) -> Result<(Vec<u8>, bool, Vec<u8>), Error> {
     let mut decoder = Decoder::new(framing);
     let (mut input, mut body) = (BytesMut::new(), Vec::new());
     for piece in bytes.chunks(size.max(1)) {
@@ -67,7 +67,7 @@
     let mut decoder = Decoder::new(Framing::Length(10));
     let mut input = BytesMut::from(&b"123"[..]);
     assert!(matches!(decoder.decode(&mut input), Ok(Step::Piece(_))));
-    assert_eq!(decoder.finish(), Err(Fault::Cut));
+    assert_eq!(decoder.finish(), Err(Error::Truncated));
     let mut until_close = Decoder::new(Framing::Close);
     assert_eq!(until_close.finish(), Ok(()));
 }
@@ -89,7 +89,7 @@
     for bytes in malformed {
         let read = decode(Framing::Chunked, bytes, bytes.len());
         let text = String::from_utf8_lossy(bytes);
-        assert_eq!(read, Err(Fault::Chunk), "{text}");
+        assert_eq!(read, Err(Error::MalformedChunk), "{text}");
     }
 }
 
--- a/crates/zinniastall-http/tests/head.rs
+++ b/crates/zinniastall-http/tests/head.rs
@@ -7,17 +7,17 @@
 };
 use zinniastall_http::{
     body::Framing,
-    head::{Fault, Parse, Request, Response, strip_hop_by_hop},
+    head::{Error, Parse, Request, Response, strip_hop_by_hop},
 };
 
 const SEED: u64 = 6;
 const LIMIT: usize = 4_096;
 
-fn request(text: &str) -> Result<Option<Request>, Fault> {
+fn request(text: &str) -> Result<Option<Request>, Error> {
     Request::parse(&mut BytesMut::from(text), LIMIT)
 }
 
-fn response(text: &str) -> Result<Option<Response>, Fault> {
+fn response(text: &str) -> Result<Option<Response>, Error> {
     Response::parse(&mut BytesMut::from(text), LIMIT)
 }
 
@@ -39,7 +39,7 @@
 #[test]
 fn a_head_without_an_end_is_refused_at_the_limit() {
     let text = format!("GET / HTTP/1.1\r\nx: {}", "y".repeat(LIMIT));
-    assert_eq!(request(&text).err(), Some(Fault::Long));
+    assert_eq!(request(&text).err(), Some(Error::TooLong));
 }
 
 #[test]
--- a/crates/zinniastall-settings/src/load.rs
+++ b/crates/zinniastall-settings/src/load.rs
@@ -6,7 +6,7 @@
 
 use crate::{
     problem::{Fault, Problem},
-    reader::{Notes, Reader},
+    reader::{Problems, Reader},
 };
 
 /// A type that can be read from a settings file.
@@ -38,11 +38,11 @@
             column: error.column(),
         })
     })?;
-    let notes = Notes::default();
-    let mut reader = Reader::new(&value, "", &notes);
+    let problems = Problems::default();
+    let mut reader = Reader::new(&value, "", &problems);
     let settings = T::read(&mut reader);
     reader.finish();
-    let problems = notes.into_problems();
+    let problems = problems.into_vec();
     if problems.is_empty() {
         Ok(settings)
     } else {
--- a/crates/zinniastall-settings/src/log.rs
+++ b/crates/zinniastall-settings/src/log.rs
@@ -14,8 +14,8 @@
 
 /// Length of the queue: about one second of log lines of a busy instance, and at most a megabyte.
 const MAX_QUEUED_LINES: usize = 4_096;
-/// Interval at which the number of dropped lines should be reported.
-pub const TELL: Duration = Duration::from_secs(1);
+/// Interval between reports of dropped lines.
+pub const REPORT_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Guard of the logging thread, which writes the queued lines when it is dropped.
 #[derive(Debug)]
@@ -61,8 +61,10 @@
         self.dropped.as_ref().map_or(0, ErrorCounter::dropped_lines)
     }
 
-    /// Logs the number of lines dropped since the last report, if any; to be called every [`TELL`].
-    pub fn tell_dropped(&self) {
+    /// Logs the number of lines dropped since the last report, if any.
+    ///
+    /// It is meant to be called every [`REPORT_INTERVAL`].
+    pub fn report_dropped(&self) {
         let dropped = self.dropped();
         let lines = dropped.saturating_sub(self.reported.swap(dropped, Ordering::Relaxed));
         if lines > 0 {
--- a/crates/zinniastall-settings/src/metrics.rs
+++ b/crates/zinniastall-settings/src/metrics.rs
@@ -57,7 +57,7 @@
 
 /// All metrics of a process.
 #[derive(Debug, Clone)]
-pub struct Hub {
+pub struct Registry {
     statsd: Arc<StatsdClient>,
     shards: Arc<Mutex<Vec<Shard>>>,
 }
@@ -69,7 +69,7 @@
     shard: Shard,
 }
 
-impl Hub {
+impl Registry {
     /// Starts metrics whose names get a prefix, and sends them to a statsd server by UDP if its
     /// address is given.
     ///
--- a/crates/zinniastall-settings/src/reader.rs
+++ b/crates/zinniastall-settings/src/reader.rs
@@ -11,20 +11,20 @@
 
 /// Collects problems while a file is read.
 #[derive(Debug, Default)]
-pub struct Notes {
-    problems: RefCell<Vec<Problem>>,
+pub struct Problems {
+    entries: RefCell<Vec<Problem>>,
 }
 
-impl Notes {
+impl Problems {
     /// Adds a fault of the field at a path.
-    pub fn add(&self, path: impl Into<String>, fault: Fault) {
+    pub fn push(&self, path: impl Into<String>, fault: Fault) {
         let path = path.into();
-        self.problems.borrow_mut().push(Problem { path, fault });
+        self.entries.borrow_mut().push(Problem { path, fault });
     }
 
     /// Returns all problems.
-    pub fn into_problems(self) -> Vec<Problem> {
-        self.problems.into_inner()
+    pub fn into_vec(self) -> Vec<Problem> {
+        self.entries.into_inner()
     }
 }
 
@@ -35,7 +35,7 @@
 /// that.
 #[derive(Debug)]
 pub struct Reader<'a> {
-    notes: &'a Notes,
+    problems: &'a Problems,
     path: String,
     fields: Option<&'a Map<String, Value>>,
     fields_read: Vec<&'static str>,
@@ -43,17 +43,17 @@
 
 impl<'a> Reader<'a> {
     /// Creates a reader of the value at a path; a value that is not an object is a fault.
-    pub fn new(value: &'a Value, path: impl Into<String>, notes: &'a Notes) -> Self {
+    pub fn new(value: &'a Value, path: impl Into<String>, problems: &'a Problems) -> Self {
         let path = path.into();
         let fields = value.as_object();
         if fields.is_none() {
-            notes.add(
+            problems.push(
                 if path.is_empty() { "." } else { &path },
                 Fault::Type("an object"),
             );
         }
         Self {
-            notes,
+            problems,
             path,
             fields,
             fields_read: Vec::new(),
@@ -62,7 +62,7 @@
 
     /// Records a fault of a field.
     pub fn fault(&self, field: &str, fault: Fault) {
-        self.notes.add(self.path_of(field), fault);
+        self.problems.push(self.path_of(field), fault);
     }
 
     /// Reads a required IP address and port.
@@ -166,7 +166,7 @@
     pub fn nested<T>(&mut self, field: &'static str, read: impl FnOnce(&mut Reader<'_>) -> T) -> T {
         let empty = Value::Object(Map::new());
         let value = self.get(field).unwrap_or(&empty);
-        let mut reader = Reader::new(value, self.path_of(field), self.notes);
+        let mut reader = Reader::new(value, self.path_of(field), self.problems);
         let result = read(&mut reader);
         reader.finish();
         result
@@ -187,7 +187,7 @@
         };
         let path = self.path_of(field);
         let read_item = |(index, item)| {
-            let mut reader = Reader::new(item, format!("{path}[{index}]"), self.notes);
+            let mut reader = Reader::new(item, format!("{path}[{index}]"), self.problems);
             let result = read(&mut reader);
             reader.finish();
             result
--- a/crates/zinniastall-settings/tests/settings.rs
+++ b/crates/zinniastall-settings/tests/settings.rs
@@ -9,7 +9,7 @@
 use zinniastall_settings::{
     cli::{Action, Error},
     load::{self, Settings},
-    metrics::{Hub, OTHER},
+    metrics::{OTHER, Registry},
     problem::{Fault, Problem},
     reader::Reader,
 };
@@ -144,8 +144,8 @@
 /// beyond the limit are counted together.
 #[test]
 fn tags_are_bounded() {
-    let hub = Hub::start("test", None).unwrap();
-    let recorder = hub.recorder();
+    let registry = Registry::start("test", None).unwrap();
+    let recorder = registry.recorder();
     for number in 0..5_000 {
         recorder.time(
             "request.whole",
@@ -154,7 +154,7 @@
             Duration::from_millis(1),
         );
     }
-    let report = hub.report();
+    let report = registry.report();
     assert!(report.len() <= 2_049, "{}", report.len());
     let other = report.iter().find(|row| row.key.client == OTHER).unwrap();
     let counted: u64 = report.iter().map(|row| row.count).sum();
--- a/crates/zinniastall-store/src/fault.rs
+++ b/crates/zinniastall-store/src/error.rs
@@ -7,7 +7,7 @@
 
 /// Reason why a data folder can't be opened or written.
 #[derive(Debug, Error)]
-pub enum Fault {
+pub enum Error {
     /// A file operation failed.
     #[error("can't {action} {}: {source}", path.display())]
     Io {
@@ -65,7 +65,7 @@
     Gap,
 }
 
-impl Fault {
+impl Error {
     pub(crate) fn corrupt(path: &Path, offset: u64, damage: Damage) -> Self {
         Self::Corrupt {
             path: path.to_owned(),
@@ -77,12 +77,12 @@
 
 /// Adds the operation and the path to an I/O error.
 pub(crate) trait Context<T> {
-    fn at(self, action: &'static str, path: &Path) -> Result<T, Fault>;
+    fn at(self, action: &'static str, path: &Path) -> Result<T, Error>;
 }
 
 impl<T> Context<T> for io::Result<T> {
-    fn at(self, action: &'static str, path: &Path) -> Result<T, Fault> {
-        self.map_err(|source| Fault::Io {
+    fn at(self, action: &'static str, path: &Path) -> Result<T, Error> {
+        self.map_err(|source| Error::Io {
             action,
             path: path.to_owned(),
             source,
--- a/crates/zinniastall-store/src/folder.rs
+++ b/crates/zinniastall-store/src/folder.rs
@@ -7,7 +7,7 @@
 use nix::errno::Errno;
 use nix::fcntl::{Flock, FlockArg};
 
-use crate::fault::{Context, Fault};
+use crate::error::{Context, Error};
 
 const LOCK_FILE: &str = "lock";
 const TEMPORARY: &str = ".tmp";
@@ -22,7 +22,7 @@
 impl Folder {
     /// Opens and locks a folder, creating it if needed, and removes temporary files left over from
     /// interrupted writes.
-    pub(crate) fn open(path: &Path) -> Result<Self, Fault> {
+    pub(crate) fn open(path: &Path) -> Result<Self, Error> {
         fs::create_dir_all(path).at("create", path)?;
         let folder = Self {
             path: path.to_owned(),
@@ -41,7 +41,7 @@
     }
 
     /// Returns the file names that start with a prefix, sorted.
-    pub(crate) fn names(&self, prefix: &str) -> Result<Vec<String>, Fault> {
+    pub(crate) fn names(&self, prefix: &str) -> Result<Vec<String>, Error> {
         let mut names = Vec::new();
         for entry in fs::read_dir(&self.path).at("list", &self.path)? {
             let name = entry.at("list", &self.path)?.file_name();
@@ -54,7 +54,7 @@
     }
 
     /// Reads a file, or returns `None` if it doesn't exist.
-    pub(crate) fn read(&self, name: &str) -> Result<Option<Vec<u8>>, Fault> {
+    pub(crate) fn read(&self, name: &str) -> Result<Option<Vec<u8>>, Error> {
         let path = self.file(name);
         if !path.try_exists().at("look for", &path)? {
             return Ok(None);
@@ -66,7 +66,7 @@
     ///
     /// The bytes are written and synced under a temporary name, which is then renamed. A process
     /// killed in between leaves the old file intact and a temporary file that is never read.
-    pub(crate) fn replace(&self, name: &str, bytes: &[u8]) -> Result<(), Fault> {
+    pub(crate) fn replace(&self, name: &str, bytes: &[u8]) -> Result<(), Error> {
         let temporary = self.file(&format!("{name}{TEMPORARY}"));
         let mut file = File::create(&temporary).at("create", &temporary)?;
         file.write_all(bytes).at("write", &temporary)?;
@@ -76,13 +76,13 @@
         self.sync()
     }
 
-    pub(crate) fn remove(&self, name: &str) -> Result<(), Fault> {
+    pub(crate) fn remove(&self, name: &str) -> Result<(), Error> {
         let path = self.file(name);
         fs::remove_file(&path).at("remove", &path)
     }
 
     /// Syncs the folder itself; without that, a new file name may be lost in a power failure.
-    pub(crate) fn sync(&self) -> Result<(), Fault> {
+    pub(crate) fn sync(&self) -> Result<(), Error> {
         let folder = File::open(&self.path).at("open", &self.path)?;
         folder.sync_all().at("sync", &self.path)
     }
@@ -92,7 +92,7 @@
 ///
 /// Two processes on one folder would overwrite each other's log and vote twice under one id. The
 /// kernel releases the lock when the process ends, so a killed process leaves no stale lock.
-fn lock(path: &Path) -> Result<Flock<File>, Fault> {
+fn lock(path: &Path) -> Result<Flock<File>, Error> {
     let mut options = OpenOptions::new();
     let file = options
         .create(true)
@@ -102,7 +102,7 @@
         .at("open", path)?;
     match Flock::lock(file, FlockArg::LockExclusiveNonblock) {
         Ok(lock) => Ok(lock),
-        Err((_, Errno::EWOULDBLOCK)) => Err(Fault::Locked {
+        Err((_, Errno::EWOULDBLOCK)) => Err(Error::Locked {
             path: path.to_owned(),
         }),
         Err((_, errno)) => Err(errno.into()).at("lock", path),
--- a/crates/zinniastall-store/src/identity.rs
+++ b/crates/zinniastall-store/src/identity.rs
@@ -3,7 +3,7 @@
 use serde::{Deserialize, Serialize};
 use zinniastall_coord::{Cluster, Id};
 
-use crate::fault::Fault;
+use crate::error::Error;
 use crate::folder::Folder;
 use crate::record;
 
@@ -29,16 +29,16 @@
         }
     }
 
-    pub(crate) fn load(folder: &Folder) -> Result<Option<Self>, Fault> {
+    pub(crate) fn load(folder: &Folder) -> Result<Option<Self>, Error> {
         let Some(bytes) = folder.read(FILE_NAME)? else {
             return Ok(None);
         };
         let record = record::read(&bytes, 0, SALT);
-        let record = record.map_err(|damage| Fault::corrupt(&folder.file(FILE_NAME), 0, damage))?;
+        let record = record.map_err(|damage| Error::corrupt(&folder.file(FILE_NAME), 0, damage))?;
         Ok(Some(record.value))
     }
 
-    pub(crate) fn save(&self, folder: &Folder) -> Result<(), Fault> {
+    pub(crate) fn save(&self, folder: &Folder) -> Result<(), Error> {
         let mut bytes = Vec::new();
         record::write(&mut bytes, SALT, self);
         folder.replace(FILE_NAME, &bytes)
--- a/crates/zinniastall-store/src/journal.rs
+++ b/crates/zinniastall-store/src/journal.rs
@@ -7,7 +7,7 @@
 use zinniastall_coord::log::Position;
 use zinniastall_coord::replica::HardState;
 
-use crate::fault::{Damage, Fault};
+use crate::error::{Damage, Error};
 use crate::folder::Folder;
 use crate::segment::{self, Content, Header, Segment};
 use crate::tail::{Batch, Tail};
@@ -32,7 +32,7 @@
 
 impl Journal {
     /// Creates the first segment of a new folder.
-    pub(crate) fn create(folder: &Folder, segment_bytes: u64) -> Result<Self, Fault> {
+    pub(crate) fn create(folder: &Folder, segment_bytes: u64) -> Result<Self, Error> {
         let (last, hard) = (Position::default(), HardState::default());
         let open = Segment::create(
             folder,
@@ -52,7 +52,7 @@
         })
     }
 
-    pub(crate) fn is_absent(folder: &Folder) -> Result<bool, Fault> {
+    pub(crate) fn is_absent(folder: &Folder) -> Result<bool, Error> {
         Ok(segment::numbers(folder)?.is_empty())
     }
 
@@ -64,10 +64,10 @@
     }
 
     /// Reads all segments and opens the last one for appending.
-    pub(crate) fn load(folder: &Folder, segment_bytes: u64) -> Result<(Self, Tail), Fault> {
+    pub(crate) fn load(folder: &Folder, segment_bytes: u64) -> Result<(Self, Tail), Error> {
         let numbers = segment::numbers(folder)?;
         let (Some(oldest), Some(newest)) = (numbers.first(), numbers.last()) else {
-            return Err(Fault::Missing {
+            return Err(Error::Missing {
                 path: folder.file(&segment::name(1)),
             });
         };
@@ -98,7 +98,7 @@
     }
 
     /// Appends a batch and syncs it, in a new segment if the current one is full.
-    pub(crate) fn append(&mut self, folder: &Folder, batch: &Batch) -> Result<(), Fault> {
+    pub(crate) fn append(&mut self, folder: &Folder, batch: &Batch) -> Result<(), Error> {
         if self.open.size >= self.segment_bytes {
             self.rotate(folder)?;
         }
@@ -112,7 +112,7 @@
     }
 
     /// Removes the segments that a snapshot up to index `covered` makes unnecessary, oldest first.
-    pub(crate) fn compact(&mut self, folder: &Folder, covered: Index) -> Result<(), Fault> {
+    pub(crate) fn compact(&mut self, folder: &Folder, covered: Index) -> Result<(), Error> {
         if self.open.base.index < covered && self.last.index <= covered {
             self.rotate(folder)?;
         }
@@ -146,7 +146,7 @@
         first.map(|segment| segment.number)
     }
 
-    fn rotate(&mut self, folder: &Folder) -> Result<(), Fault> {
+    fn rotate(&mut self, folder: &Folder) -> Result<(), Error> {
         let header = Header {
             salt: rand::random(),
             base: self.last,
@@ -169,20 +169,20 @@
     number: u64,
     before: Option<Tail>,
     is_last: bool,
-) -> Result<(Tail, Content), Fault> {
+) -> Result<(Tail, Content), Error> {
     let path = folder.file(&segment::name(number));
     let Some(bytes) = folder.read(&segment::name(number))? else {
-        return Err(Fault::Missing { path });
+        return Err(Error::Missing { path });
     };
     let mut content = segment::read(&path, &bytes, is_last)?;
     let Header { base, hard, .. } = content.header;
     let mut tail = before.unwrap_or_else(|| Tail::new(base, hard));
     if tail.last() != base {
-        return Err(Fault::corrupt(&path, 0, Damage::Gap));
+        return Err(Error::corrupt(&path, 0, Damage::Gap));
     }
     for (at, batch) in content.batches.drain(..) {
         let applied = tail.apply(batch);
-        applied.map_err(|damage| Fault::corrupt(&path, at, damage))?;
+        applied.map_err(|damage| Error::corrupt(&path, at, damage))?;
     }
     Ok((tail, content))
 }
--- a/crates/zinniastall-store/src/lib.rs
+++ b/crates/zinniastall-store/src/lib.rs
@@ -7,7 +7,7 @@
 //! ```
 //! use zinniastall_store::Store;
 //!
-//! # fn main() -> Result<(), zinniastall_store::Fault> {
+//! # fn main() -> Result<(), zinniastall_store::Error> {
 //! # let folder = tempfile::tempdir().expect("a temporary folder");
 //! let (store, restored) = Store::open(folder.path())?;
 //! assert_ne!(store.id(), 0);
@@ -20,7 +20,7 @@
 //! been stored, a `snapshot-…`. `docs/design/store.md` describes their format and how each kind of
 //! damage is handled.
 
-mod fault;
+mod error;
 mod folder;
 mod identity;
 mod journal;
@@ -30,5 +30,5 @@
 mod store;
 mod tail;
 
-pub use fault::{Damage, Fault};
+pub use error::{Damage, Error};
 pub use store::{Options, Store};
--- a/crates/zinniastall-store/src/record.rs
+++ b/crates/zinniastall-store/src/record.rs
@@ -7,7 +7,7 @@
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
-use crate::fault::Damage;
+use crate::error::Damage;
 
 const FIELD_BYTES: usize = 4;
 const HEADER_BYTES: usize = 2 * FIELD_BYTES;
--- a/crates/zinniastall-store/src/segment.rs
+++ b/crates/zinniastall-store/src/segment.rs
@@ -9,7 +9,7 @@
 use zinniastall_coord::log::Position;
 use zinniastall_coord::replica::HardState;
 
-use crate::fault::{Context, Damage, Fault};
+use crate::error::{Context, Damage, Error};
 use crate::folder::Folder;
 use crate::record;
 use crate::tail::Batch;
@@ -56,7 +56,7 @@
 
 impl Segment {
     /// Creates a segment and syncs its header and its name.
-    pub(crate) fn create(folder: &Folder, number: u64, header: Header) -> Result<Self, Fault> {
+    pub(crate) fn create(folder: &Folder, number: u64, header: Header) -> Result<Self, Error> {
         let mut bytes = Vec::new();
         record::write(&mut bytes, HEADER_SALT, &header);
         folder.replace(&name(number), &bytes)?;
@@ -71,7 +71,7 @@
     }
 
     /// Opens a segment for appending and truncates it after the content that was read.
-    pub(crate) fn open(folder: &Folder, number: u64, content: &Content) -> Result<Self, Fault> {
+    pub(crate) fn open(folder: &Folder, number: u64, content: &Content) -> Result<Self, Error> {
         let path = folder.file(&name(number));
         let file = OpenOptions::new()
             .append(true)
@@ -97,7 +97,7 @@
     }
 
     /// Appends a batch and syncs it.
-    pub(crate) fn append(&mut self, batch: &Batch) -> Result<(), Fault> {
+    pub(crate) fn append(&mut self, batch: &Batch) -> Result<(), Error> {
         let mut bytes = Vec::new();
         record::write(&mut bytes, self.salt, batch);
         self.file.write_all(&bytes).at("write", &self.path)?;
@@ -113,8 +113,8 @@
 /// A record with a wrong checksum counts as torn only in the last segment and only if no complete
 /// record follows. Batches are synced one at a time, so whatever precedes a complete record was
 /// synced before it and has been damaged since.
-pub(crate) fn read(path: &Path, bytes: &[u8], is_last: bool) -> Result<Content, Fault> {
-    let corrupt = |at: usize, damage| Fault::corrupt(path, at as u64, damage);
+pub(crate) fn read(path: &Path, bytes: &[u8], is_last: bool) -> Result<Content, Error> {
+    let corrupt = |at: usize, damage| Error::corrupt(path, at as u64, damage);
     let head = record::read(bytes, 0, HEADER_SALT).map_err(|damage| corrupt(0, damage))?;
     let header: Header = head.value;
     let mut batches: Vec<(u64, Batch)> = Vec::new();
@@ -146,7 +146,7 @@
 }
 
 /// Returns the numbers of all segments in a folder, in ascending order.
-pub(crate) fn numbers(folder: &Folder) -> Result<Vec<u64>, Fault> {
+pub(crate) fn numbers(folder: &Folder) -> Result<Vec<u64>, Error> {
     let names = folder.names(PREFIX)?;
     Ok(names
         .iter()
--- a/crates/zinniastall-store/src/snapshot.rs
+++ b/crates/zinniastall-store/src/snapshot.rs
@@ -3,7 +3,7 @@
 use zinniastall_coord::Index;
 use zinniastall_coord::replica::Snapshot;
 
-use crate::fault::Fault;
+use crate::error::Error;
 use crate::folder::Folder;
 use crate::record;
 
@@ -14,7 +14,7 @@
 ///
 /// If it is damaged, no older one is used instead: the log may no longer contain the entries
 /// between the two.
-pub(crate) fn load(folder: &Folder) -> Result<Option<Snapshot>, Fault> {
+pub(crate) fn load(folder: &Folder) -> Result<Option<Snapshot>, Error> {
     let Some(name) = folder.names(PREFIX)?.pop() else {
         return Ok(None);
     };
@@ -22,12 +22,12 @@
         return Ok(None);
     };
     let record = record::read(&bytes, 0, SALT);
-    let record = record.map_err(|damage| Fault::corrupt(&folder.file(&name), 0, damage))?;
+    let record = record.map_err(|damage| Error::corrupt(&folder.file(&name), 0, damage))?;
     Ok(Some(record.value))
 }
 
 /// Stores a snapshot durably, then removes older ones.
-pub(crate) fn save(folder: &Folder, snapshot: &Snapshot) -> Result<(), Fault> {
+pub(crate) fn save(folder: &Folder, snapshot: &Snapshot) -> Result<(), Error> {
     let mut bytes = Vec::with_capacity(snapshot.data.len());
     record::write(&mut bytes, SALT, snapshot);
     let name = name(snapshot.last.index);
--- a/crates/zinniastall-store/src/store.rs
+++ b/crates/zinniastall-store/src/store.rs
@@ -6,7 +6,7 @@
 use zinniastall_coord::replica::{HardState, Ready, Restored, Snapshot};
 use zinniastall_coord::{Cluster, Id};
 
-use crate::fault::{Damage, Fault};
+use crate::error::{Damage, Error};
 use crate::folder::Folder;
 use crate::identity::{self, Identity};
 use crate::journal::Journal;
@@ -47,10 +47,10 @@
     ///
     /// # Errors
     ///
-    /// [`Fault::Locked`] if another process has the folder open, [`Fault::Corrupt`] or
-    /// [`Fault::Missing`] if its content is damaged or incomplete, [`Fault::Io`] if a file
+    /// [`Error::Locked`] if another process has the folder open, [`Error::Corrupt`] or
+    /// [`Error::Missing`] if its content is damaged or incomplete, [`Error::Io`] if a file
     /// operation fails.
-    pub fn open(path: impl AsRef<Path>) -> Result<(Self, Restored), Fault> {
+    pub fn open(path: impl AsRef<Path>) -> Result<(Self, Restored), Error> {
         Self::open_with(path, Options::default())
     }
 
@@ -59,7 +59,7 @@
     /// # Errors
     ///
     /// See [`open`](Self::open).
-    pub fn open_with(path: impl AsRef<Path>, options: Options) -> Result<(Self, Restored), Fault> {
+    pub fn open_with(path: impl AsRef<Path>, options: Options) -> Result<(Self, Restored), Error> {
         let folder = Folder::open(path.as_ref())?;
         match Identity::load(&folder)? {
             Some(identity) => Self::load(folder, identity, options),
@@ -69,9 +69,9 @@
 
     /// Initialises a folder. The log is created before the identity, so that an identity without a
     /// log means that the log was lost.
-    fn create(folder: Folder, options: Options) -> Result<(Self, Restored), Fault> {
+    fn create(folder: Folder, options: Options) -> Result<(Self, Restored), Error> {
         if holds_state(&folder, options)? {
-            return Err(Fault::Missing {
+            return Err(Error::Missing {
                 path: folder.file(identity::FILE_NAME),
             });
         }
@@ -85,7 +85,7 @@
         folder: Folder,
         identity: Identity,
         options: Options,
-    ) -> Result<(Self, Restored), Fault> {
+    ) -> Result<(Self, Restored), Error> {
         let snapshot = snapshot::load(&folder)?;
         let (mut journal, tail) = Journal::load(&folder, options.segment_bytes)?;
         let last = snapshot
@@ -93,7 +93,7 @@
             .map(|snapshot| snapshot.last)
             .unwrap_or_default();
         if !tail.starts_at_or_before(last) {
-            return Err(Fault::corrupt(&journal.first_path(&folder), 0, Damage::Gap));
+            return Err(Error::corrupt(&journal.first_path(&folder), 0, Damage::Gap));
         }
         let hard = tail.hard;
         let entries = if let Some(entries) = tail.into_entries_after(last) {
@@ -153,14 +153,14 @@
     ///
     /// # Errors
     ///
-    /// [`Fault::Founded`] if the folder already belongs to a cluster, otherwise as for
+    /// [`Error::Founded`] if the folder already belongs to a cluster, otherwise as for
     /// [`save`](Self::save).
-    pub fn found(&mut self, address: impl Into<String>) -> Result<Restored, Fault> {
+    pub fn found(&mut self, address: impl Into<String>) -> Result<Restored, Error> {
         if self.identity.cluster.is_some() {
-            return Err(Fault::Founded);
+            return Err(Error::Founded);
         }
         let restored = Restored::founding(rand::random(), self.identity.id, address);
-        self.hard(restored.hard);
+        self.set_hard_state(restored.hard);
         self.append(restored.entries.clone());
         self.sync()?;
         self.join(restored.cluster)?;
@@ -171,8 +171,8 @@
     ///
     /// # Errors
     ///
-    /// [`Fault::Io`] if a write or sync fails, and [`Fault::Failed`] on every call after that.
-    pub fn save(&mut self, ready: &Ready) -> Result<(), Fault> {
+    /// [`Error::Io`] if a write or sync fails, and [`Error::Failed`] on every call after that.
+    pub fn save(&mut self, ready: &Ready) -> Result<(), Error> {
         if ready.cluster.is_some() {
             self.join(ready.cluster)?;
         }
@@ -184,7 +184,7 @@
         }
         self.append(ready.append.iter().cloned());
         if let Some(hard) = ready.hard {
-            self.hard(hard);
+            self.set_hard_state(hard);
         }
         self.sync()
     }
@@ -197,7 +197,7 @@
     }
 
     /// Stages the term and vote for the next [`sync`](Self::sync).
-    pub const fn hard(&mut self, hard: HardState) {
+    pub const fn set_hard_state(&mut self, hard: HardState) {
         self.staged.hard = Some(hard);
     }
 
@@ -206,7 +206,7 @@
     /// # Errors
     ///
     /// See [`save`](Self::save).
-    pub fn sync(&mut self) -> Result<(), Fault> {
+    pub fn sync(&mut self) -> Result<(), Error> {
         if self.staged.is_empty() {
             return Ok(());
         }
@@ -222,7 +222,7 @@
     /// # Errors
     ///
     /// See [`save`](Self::save).
-    pub fn snapshot(&mut self, snapshot: &Snapshot) -> Result<(), Fault> {
+    pub fn snapshot(&mut self, snapshot: &Snapshot) -> Result<(), Error> {
         // The snapshot may cover staged entries that replace older ones in the log, so these must
         // be durable before it.
         self.sync()?;
@@ -233,12 +233,12 @@
     }
 
     /// Stores a leader's snapshot and stages a reset of the log to start after it.
-    fn install(&mut self, snapshot: &Snapshot) -> Result<(), Fault> {
+    fn install(&mut self, snapshot: &Snapshot) -> Result<(), Error> {
         self.staged.reset = Some(snapshot.last);
         self.fail_stop(|store| snapshot::save(&store.folder, snapshot))
     }
 
-    fn join(&mut self, cluster: Option<Cluster>) -> Result<(), Fault> {
+    fn join(&mut self, cluster: Option<Cluster>) -> Result<(), Error> {
         let identity = Identity {
             cluster,
             ..self.identity
@@ -254,10 +254,10 @@
     /// sync, so a later acknowledgement could cover data that was never written.
     fn fail_stop(
         &mut self,
-        write: impl FnOnce(&mut Self) -> Result<(), Fault>,
-    ) -> Result<(), Fault> {
+        write: impl FnOnce(&mut Self) -> Result<(), Error>,
+    ) -> Result<(), Error> {
         if self.failed {
-            return Err(Fault::Failed);
+            return Err(Error::Failed);
         }
         self.failed = true;
         write(self)?;
@@ -267,7 +267,7 @@
 }
 
 /// Returns whether a folder without an identity contains the state of a replica.
-fn holds_state(folder: &Folder, options: Options) -> Result<bool, Fault> {
+fn holds_state(folder: &Folder, options: Options) -> Result<bool, Error> {
     if snapshot::load(folder)?.is_some() {
         return Ok(true);
     }
--- a/crates/zinniastall-store/src/tail.rs
+++ b/crates/zinniastall-store/src/tail.rs
@@ -5,7 +5,7 @@
 use zinniastall_coord::log::{Entry, Position};
 use zinniastall_coord::replica::HardState;
 
-use crate::fault::Damage;
+use crate::error::Damage;
 
 /// A batch of changes, stored as one record.
 ///
--- a/crates/zinniastall-store/tests/folder/damage.rs
+++ b/crates/zinniastall-store/tests/folder/damage.rs
@@ -4,7 +4,7 @@
 
 use zinniastall_coord::log::{Entry, Payload, Position};
 use zinniastall_coord::replica::Snapshot;
-use zinniastall_store::{Damage, Fault, Options, Store};
+use zinniastall_store::{Damage, Error, Options, Store};
 
 use crate::{SMALL, entry, entry_in, files, founded, indices, reopen, snapshot};
 
@@ -63,7 +63,7 @@
             damaged[byte] ^= 4;
             fs::write(log, &damaged).unwrap();
             match reopen(&folder) {
-                Err(Fault::Corrupt {
+                Err(Error::Corrupt {
                     path,
                     offset,
                     damage: Damage::Checksum,
@@ -117,20 +117,20 @@
     let logs = files(folder.path(), "log-");
     let whole = fs::read(&logs[1]).unwrap();
     fs::remove_file(&logs[1]).unwrap();
-    assert!(matches!(reopen(&folder), Err(Fault::Missing { path }) if path == logs[1]));
+    assert!(matches!(reopen(&folder), Err(Error::Missing { path }) if path == logs[1]));
     fs::write(&logs[1], whole).unwrap();
     let whole = fs::read(&logs[0]).unwrap();
     fs::remove_file(&logs[0]).unwrap();
     assert!(matches!(
         reopen(&folder),
-        Err(Fault::Corrupt {
+        Err(Error::Corrupt {
             damage: Damage::Gap,
             ..
         })
     ));
     fs::write(&logs[0], whole).unwrap();
     fs::remove_file(folder.path().join("identity")).unwrap();
-    assert!(matches!(reopen(&folder), Err(Fault::Missing { .. })));
+    assert!(matches!(reopen(&folder), Err(Error::Missing { .. })));
     for log in files(folder.path(), "log-") {
         fs::remove_file(log).unwrap();
     }
@@ -228,5 +228,5 @@
     let middle = bytes.len() / 2;
     bytes[middle] ^= 1;
     fs::write(&path, bytes).unwrap();
-    assert!(matches!(reopen(&folder), Err(Fault::Corrupt { path: at, .. }) if at == path));
+    assert!(matches!(reopen(&folder), Err(Error::Corrupt { path: at, .. }) if at == path));
 });
--- a/crates/zinniastall-store/tests/folder/history.rs
+++ b/crates/zinniastall-store/tests/folder/history.rs
@@ -4,7 +4,7 @@
 use proptest::test_runner::{Config, RngSeed, TestRunner};
 use zinniastall_coord::log::{Entry, Position};
 use zinniastall_coord::replica::{HardState, Ready, Snapshot};
-use zinniastall_store::{Fault, Store};
+use zinniastall_store::{Error, Store};
 
 use crate::{SMALL, entry_in, founded, snapshot};
 
@@ -47,7 +47,7 @@
         self.base() + self.entries.len() as u64
     }
 
-    fn apply(&mut self, step: &Step, store: &mut Store) -> Result<(), Fault> {
+    fn apply(&mut self, step: &Step, store: &mut Store) -> Result<(), Error> {
         self.term += 1;
         match *step {
             Step::Append(count, back) => {
--- a/crates/zinniastall-store/tests/folder/main.rs
+++ b/crates/zinniastall-store/tests/folder/main.rs
@@ -7,7 +7,7 @@
 use zinniastall_coord::log::{Entry, Payload, Position};
 use zinniastall_coord::replica::{HardState, Ready, Restored, Snapshot};
 use zinniastall_coord::voters::Voters;
-use zinniastall_store::{Fault, Options, Store};
+use zinniastall_store::{Error, Options, Store};
 
 pub(crate) const SMALL: Options = Options { segment_bytes: 400 };
 
@@ -59,7 +59,7 @@
     files
 }
 
-pub(crate) fn reopen(folder: &TempDir) -> Result<Restored, Fault> {
+pub(crate) fn reopen(folder: &TempDir) -> Result<Restored, Error> {
     Store::open_with(folder.path(), SMALL).map(|(_, restored)| restored)
 }
 
@@ -81,7 +81,7 @@
     let (mut store, restored) = Store::open_with(folder.path(), SMALL).unwrap();
     assert_eq!(indices(&restored), (1..=20).collect::<Vec<_>>());
     assert!(files(folder.path(), "log-").len() > 3, "segments rotate");
-    assert!(matches!(store.found("1"), Err(Fault::Founded)));
+    assert!(matches!(store.found("1"), Err(Error::Founded)));
     let hard = HardState {
         term: 3,
         vote: Some(9),
@@ -126,7 +126,7 @@
 // the lock, both would vote under one id.
 case!(a_folder_is_open_once, SMALL, |folder| {
     let held = Store::open_with(folder.path(), SMALL).unwrap();
-    assert!(matches!(reopen(&folder), Err(Fault::Locked { .. })));
+    assert!(matches!(reopen(&folder), Err(Error::Locked { .. })));
     drop(held);
     reopen(&folder).unwrap();
 });
@@ -156,7 +156,7 @@
     let (mut store, _) = Store::open_with(folder.path(), SMALL).unwrap();
     fs::remove_dir_all(folder.path()).unwrap();
     let failed = store.snapshot(&snapshot(10));
-    assert!(matches!(failed, Err(Fault::Io { .. })), "{failed:?}");
+    assert!(matches!(failed, Err(Error::Io { .. })), "{failed:?}");
     store.append([entry(21)]);
-    assert!(matches!(store.sync(), Err(Fault::Failed)));
+    assert!(matches!(store.sync(), Err(Error::Failed)));
 });
