--- a/crates/zinniastall-control/src/control/start.rs
+++ b/crates/zinniastall-control/src/control/start.rs
@@ -54,7 +54,7 @@
 pub enum Failure {
     /// The disk failed.
     #[error("disk failed: {0}")]
-    Disk(zinniastall_store::Fault),
+    Disk(zinniastall_store::Error),
     /// A leader's snapshot cannot be read; it may come from a later version of this program.
     #[error("cannot read a snapshot from the leader: {0}")]
     Snapshot(ciborium::de::Error<std::io::Error>),
--- a/crates/zinniastall-control/src/disk.rs
+++ b/crates/zinniastall-control/src/disk.rs
@@ -9,7 +9,7 @@
 use actix::Recipient;
 use tokio::sync::oneshot;
 use zinniastall_coord::replica::{Ready, Restored, Snapshot};
-use zinniastall_store::{Fault, Store};
+use zinniastall_store::{Error, Store};
 
 use crate::control;
 
@@ -33,7 +33,7 @@
 #[derive(Debug)]
 pub struct Founded {
     /// State that the replica starts from.
-    pub outcome: Result<Restored, Fault>,
+    pub outcome: Result<Restored, Error>,
     /// Receives the outcome for the operator.
     pub reply: oneshot::Sender<Result<control::Founded, control::BootstrapError>>,
 }
@@ -49,7 +49,7 @@
     /// Founding a cluster has ended.
     Founded(Box<Founded>),
     /// The disk failed; nothing may be acknowledged from here on.
-    Failed(Fault),
+    Failed(Error),
 }
 
 /// Queue of the disk thread.
@@ -93,7 +93,7 @@
     first: Work,
     work: &mpsc::Receiver<Work>,
     done: &Recipient<Done>,
-) -> Result<(), Fault> {
+) -> Result<(), Error> {
     let mut synced = None;
     let mut snapshots = Vec::new();
     for work in std::iter::once(first).chain(work.try_iter()) {
@@ -118,7 +118,7 @@
 }
 
 /// Stages a batch; one that joins a cluster or installs a snapshot is stored at once.
-fn save(store: &mut Store, ready: Ready) -> Result<u64, Fault> {
+fn save(store: &mut Store, ready: Ready) -> Result<u64, Error> {
     if ready.cluster.is_some() || ready.install.is_some() {
         store.sync()?;
         store.save(&ready)?;
@@ -126,7 +126,7 @@
     }
     store.append(ready.append);
     if let Some(hard) = ready.hard {
-        store.hard(hard);
+        store.set_hard_state(hard);
     }
     Ok(ready.batch)
 }
--- a/crates/zinniastall-entry/src/daemon.rs
+++ b/crates/zinniastall-entry/src/daemon.rs
@@ -15,7 +15,7 @@
 };
 use zinniastall_settings::{
     cli, log,
-    metrics::Hub,
+    metrics::Registry,
     process::{incarnation, listening},
 };
 use zinniastall_wire::{hello::Purpose, link};
@@ -47,12 +47,12 @@
     let publisher = Publisher::new(shared_view.clone()).start();
     let sockets = Sockets::bind(&settings).await?;
     let identity = sockets.identity(&settings, &shared_view.view())?;
-    let hub = Hub::start("zinniastall.entry", settings.statsd)?;
+    let registry = Registry::start("zinniastall.entry", settings.statsd)?;
     let dependencies = Dependencies {
         identity: identity.clone(),
         shared_view: shared_view.clone(),
         publisher: publisher.clone(),
-        recorder: hub.recorder(),
+        recorder: registry.recorder(),
     };
     let spread = spread::start(&settings, dependencies);
     let registry = Registry {
@@ -62,7 +62,7 @@
     };
     let limits = settings.limits.clone();
     let service =
-        callers::Service::new(shared_view.clone(), hub.clone(), limits, &settings.callers)
+        callers::Service::new(shared_view.clone(), registry.clone(), limits, &settings.callers)
             .identity(identity.clone());
     let streams = callers::forward::Receiver::start(service.clone());
     let forwarding = streams.arbiter();
@@ -80,7 +80,7 @@
         identity.clone(),
         shared_view,
         publisher.clone(),
-        hub,
+        registry,
     );
     let acceptors = Acceptors::new(identity)
         .owner(Purpose::Gossip, spread::Gossip(spread.clone()))
--- a/crates/zinniastall-entry/src/follow/mod.rs
+++ b/crates/zinniastall-entry/src/follow/mod.rs
@@ -21,7 +21,7 @@
 
 use actix::{Actor, Addr};
 use tokio::sync::watch;
-use zinniastall_settings::metrics::{Hub, Row};
+use zinniastall_settings::metrics::{Registry, Row};
 use zinniastall_wire::{
     feed::{self, Event, Feed},
     follow::{Message, Summary},
@@ -42,7 +42,7 @@
     identity: Identity,
     shared_view: Shared,
     publisher: Addr<Publisher>,
-    metrics: Hub,
+    metrics: Registry,
 ) -> Follow {
     let follower = Follower::new(settings, identity.clone(), shared_view.clone(), publisher);
     let feed = follower.feed();
@@ -75,7 +75,7 @@
 pub struct Follow {
     follower: Addr<Follower>,
     feed: watch::Receiver<Feed>,
-    metrics: Hub,
+    metrics: Registry,
 }
 
 impl Acceptor for Follow {
@@ -107,7 +107,7 @@
     }
 }
 
-fn summarize(metrics: &Hub) -> Vec<Summary> {
+fn summarize(metrics: &Registry) -> Vec<Summary> {
     let figure = |row: Row| Summary {
         name: row.key.name.to_owned(),
         client: row.key.client,
--- a/crates/zinniastall-entry/tests/spread.rs
+++ b/crates/zinniastall-entry/tests/spread.rs
@@ -25,7 +25,7 @@
     view::{Shared, View},
 };
 use zinniastall_model::{object::Subject, place::Place};
-use zinniastall_settings::metrics::Hub;
+use zinniastall_settings::metrics::Registry;
 use zinniastall_wire::{
     gossip::{Peer, Serving, Target},
     hello::Purpose,
@@ -314,7 +314,7 @@
         identity: identity.clone(),
         shared_view: shared_view.clone(),
         publisher: Publisher::new(shared_view.clone()).start(),
-        recorder: Hub::start("test", None)
+        recorder: Registry::start("test", None)
             .expect("no socket is needed")
             .recorder(),
     };
--- a/crates/zinniastall-http/tests/head.rs
+++ b/crates/zinniastall-http/tests/head.rs
@@ -1,4 +1,4 @@
-//! Heads: parsed strictly, in whatever pieces they come.
+//! Tests of the strict parsing of heads.
 
 use bytes::BytesMut;
 use proptest::{
@@ -7,17 +7,17 @@
 };
 use zinniastall_http::{
     body::Framing,
-    head::{Fault, Parse, Request, Response, strip_hop_by_hop},
+    head::{Error, Parse, Request, Response, strip_hop_by_hop},
 };
 
 const SEED: u64 = 6;
 const LIMIT: usize = 4_096;
 
-fn request(text: &str) -> Result<Option<Request>, Fault> {
+fn request(text: &str) -> Result<Option<Request>, Error> {
     Request::parse(&mut BytesMut::from(text), LIMIT)
 }
 
-fn response(text: &str) -> Result<Option<Response>, Fault> {
+fn response(text: &str) -> Result<Option<Response>, Error> {
     Response::parse(&mut BytesMut::from(text), LIMIT)
 }
 
@@ -39,7 +39,7 @@
 #[test]
 fn a_head_without_an_end_is_refused_at_the_limit() {
     let text = format!("GET / HTTP/1.1\r\nx: {}", "y".repeat(LIMIT));
-    assert_eq!(request(&text).err(), Some(Fault::Long));
+    assert_eq!(request(&text).err(), Some(Error::TooLong));
 }
 
 #[test]
@@ -66,7 +66,8 @@
     );
 }
 
-/// Bytes that are no answer are told from the first on, instead of being awaited until they might be.
+/// Input that can't become a status line is refused at its first wrong byte, without waiting for
+/// the rest of the head.
 #[test]
 fn invalid_status_lines_are_refused_at_once() {
     for bytes in ["x", "HTTQ", "\r\n", "200 OK"] {
@@ -85,7 +86,7 @@
     assert_eq!(names, ["x"]);
 }
 
-/// Whatever bytes come, parsing neither panics nor finds a head with an ambiguous end.
+/// On arbitrary input, parsing neither panics nor returns a head with an ambiguous end.
 #[test]
 fn arbitrary_heads_never_panic() {
     println!("seed {SEED}");
--- a/crates/zinniastall-settings/src/load.rs
+++ b/crates/zinniastall-settings/src/load.rs
@@ -1,4 +1,4 @@
-//! Loads a settings file.
+//! Loading and validation of settings files.
 
 use std::path::Path;
 
@@ -6,31 +6,31 @@
 
 use crate::{
     problem::{Fault, Problem},
-    reader::{Notes, Reader},
+    reader::{Problems, Reader},
 };
 
-/// A type that a settings file describes.
+/// A type that can be read from a settings file.
 pub trait Settings: Sized {
-    /// Reads itself, noting faults in the reader.
+    /// Reads the settings and records faults in the reader.
     fn read(reader: &mut Reader<'_>) -> Self;
 }
 
-/// Loads and checks a settings file.
+/// Loads and validates a settings file.
 ///
 /// # Errors
 ///
-/// Every fault of the file, with its path.
+/// Returns all problems of the file.
 pub fn load<T: Settings>(path: &Path) -> Result<T, Vec<Problem>> {
     let text = std::fs::read_to_string(path)
         .map_err(|error| file_problem(Fault::Unreadable(error.kind())))?;
     parse(&text)
 }
 
-/// Checks settings given as text.
+/// Parses and validates settings.
 ///
 /// # Errors
 ///
-/// Every fault of the text, with its path.
+/// Returns all problems of the text.
 pub fn parse<T: Settings>(text: &str) -> Result<T, Vec<Problem>> {
     let value: Value = serde_json::from_str(text).map_err(|error| {
         file_problem(Fault::Syntax {
@@ -38,11 +38,11 @@
             column: error.column(),
         })
     })?;
-    let notes = Notes::default();
-    let mut reader = Reader::new(&value, "", &notes);
+    let problems = Problems::default();
+    let mut reader = Reader::new(&value, "", &problems);
     let settings = T::read(&mut reader);
     reader.finish();
-    let problems = notes.into_problems();
+    let problems = problems.into_vec();
     if problems.is_empty() {
         Ok(settings)
     } else {
--- a/crates/zinniastall-store/src/folder.rs
+++ b/crates/zinniastall-store/src/folder.rs
@@ -1,4 +1,4 @@
-//! The data folder: its lock, and files that are replaced as a whole.
+//! Data folder: its lock and atomic file replacement.
 
 use std::fs::{self, File, OpenOptions};
 use std::io::Write;
@@ -7,12 +7,12 @@
 use nix::errno::Errno;
 use nix::fcntl::{Flock, FlockArg};
 
-use crate::fault::{Context, Fault};
+use crate::error::{Context, Error};
 
 const LOCK_FILE: &str = "lock";
 const TEMPORARY: &str = ".tmp";
 
-/// An open data folder that no other process can open.
+/// An open data folder, locked against other processes.
 #[derive(Debug)]
 pub(crate) struct Folder {
     path: PathBuf,
@@ -20,8 +20,9 @@
 }
 
 impl Folder {
-    /// Opens a folder, creating it if needed, and removes what an interrupted write left.
-    pub(crate) fn open(path: &Path) -> Result<Self, Fault> {
+    /// Opens and locks a folder, creating it if needed, and removes temporary files left over from
+    /// interrupted writes.
+    pub(crate) fn open(path: &Path) -> Result<Self, Error> {
         fs::create_dir_all(path).at("create", path)?;
         let folder = Self {
             path: path.to_owned(),
@@ -39,8 +40,8 @@
         self.path.join(name)
     }
 
-    /// Returns the names that start with a prefix, in order.
-    pub(crate) fn names(&self, prefix: &str) -> Result<Vec<String>, Fault> {
+    /// Returns the file names that start with a prefix, sorted.
+    pub(crate) fn names(&self, prefix: &str) -> Result<Vec<String>, Error> {
         let mut names = Vec::new();
         for entry in fs::read_dir(&self.path).at("list", &self.path)? {
             let name = entry.at("list", &self.path)?.file_name();
@@ -52,8 +53,8 @@
         Ok(names)
     }
 
-    /// Reads a whole file, if there is one.
-    pub(crate) fn read(&self, name: &str) -> Result<Option<Vec<u8>>, Fault> {
+    /// Reads a file, or returns `None` if it doesn't exist.
+    pub(crate) fn read(&self, name: &str) -> Result<Option<Vec<u8>>, Error> {
         let path = self.file(name);
         if !path.try_exists().at("look for", &path)? {
             return Ok(None);
@@ -61,11 +62,11 @@
         fs::read(&path).at("read", &path).map(Some)
     }
 
-    /// Replaces a file as a whole.
+    /// Creates or replaces a file atomically.
     ///
-    /// The bytes are synced under another name before they take the file's name. A process killed
-    /// in between leaves the old file valid and the new one under a name that nobody reads.
-    pub(crate) fn replace(&self, name: &str, bytes: &[u8]) -> Result<(), Fault> {
+    /// The bytes are written and synced under a temporary name, which is then renamed. A process
+    /// killed in between leaves the old file intact and a temporary file that is never read.
+    pub(crate) fn replace(&self, name: &str, bytes: &[u8]) -> Result<(), Error> {
         let temporary = self.file(&format!("{name}{TEMPORARY}"));
         let mut file = File::create(&temporary).at("create", &temporary)?;
         file.write_all(bytes).at("write", &temporary)?;
@@ -75,23 +76,23 @@
         self.sync()
     }
 
-    pub(crate) fn remove(&self, name: &str) -> Result<(), Fault> {
+    pub(crate) fn remove(&self, name: &str) -> Result<(), Error> {
         let path = self.file(name);
         fs::remove_file(&path).at("remove", &path)
     }
 
-    /// Syncs the names in the folder: a file whose name isn't synced is gone after a power cut.
-    pub(crate) fn sync(&self) -> Result<(), Fault> {
+    /// Syncs the folder itself; without that, a new file name may be lost in a power failure.
+    pub(crate) fn sync(&self) -> Result<(), Error> {
         let folder = File::open(&self.path).at("open", &self.path)?;
         folder.sync_all().at("sync", &self.path)
     }
 }
 
-/// Locks against a second process.
+/// Locks a folder against a second process.
 ///
-/// Two processes on one folder would write over each other's log and vote twice under one id. The
-/// system drops the lock with the process, so a kill leaves nothing to clear up.
-fn lock(path: &Path) -> Result<Flock<File>, Fault> {
+/// Two processes on one folder would overwrite each other's log and vote twice under one id. The
+/// kernel releases the lock when the process ends, so a killed process leaves no stale lock.
+fn lock(path: &Path) -> Result<Flock<File>, Error> {
     let mut options = OpenOptions::new();
     let file = options
         .create(true)
@@ -101,7 +102,7 @@
         .at("open", path)?;
     match Flock::lock(file, FlockArg::LockExclusiveNonblock) {
         Ok(lock) => Ok(lock),
-        Err((_, Errno::EWOULDBLOCK)) => Err(Fault::Locked {
+        Err((_, Errno::EWOULDBLOCK)) => Err(Error::Locked {
             path: path.to_owned(),
         }),
         Err((_, errno)) => Err(errno.into()).at("lock", path),
--- a/crates/zinniastall-store/src/journal.rs
+++ b/crates/zinniastall-store/src/journal.rs
@@ -1,4 +1,4 @@
-//! The log in its segments.
+//! The log, stored as a sequence of segments.
 
 use std::collections::VecDeque;
 use std::path::PathBuf;
@@ -7,12 +7,12 @@
 use zinniastall_coord::log::Position;
 use zinniastall_coord::replica::HardState;
 
-use crate::fault::{Damage, Fault};
+use crate::error::{Damage, Error};
 use crate::folder::Folder;
 use crate::segment::{self, Content, Header, Segment};
 use crate::tail::{Batch, Tail};
 
-/// A segment that is only read.
+/// A full segment, which is no longer written to.
 #[derive(Debug, Clone, Copy)]
 struct Closed {
     number: u64,
@@ -20,7 +20,7 @@
     floor: Index,
 }
 
-/// The segments of a log, the last one open for appending.
+/// The segments of a log; the last one is open for appending.
 #[derive(Debug)]
 pub(crate) struct Journal {
     closed: VecDeque<Closed>,
@@ -32,7 +32,7 @@
 
 impl Journal {
     /// Creates the first segment of a new folder.
-    pub(crate) fn create(folder: &Folder, segment_bytes: u64) -> Result<Self, Fault> {
+    pub(crate) fn create(folder: &Folder, segment_bytes: u64) -> Result<Self, Error> {
         let (last, hard) = (Position::default(), HardState::default());
         let open = Segment::create(
             folder,
@@ -52,22 +52,22 @@
         })
     }
 
-    pub(crate) fn is_absent(folder: &Folder) -> Result<bool, Fault> {
+    pub(crate) fn is_absent(folder: &Folder) -> Result<bool, Error> {
         Ok(segment::numbers(folder)?.is_empty())
     }
 
-    /// Returns the file with which the log begins.
+    /// Returns the path of the oldest segment.
     pub(crate) fn first_path(&self, folder: &Folder) -> PathBuf {
         let oldest = self.closed.front();
         let number = oldest.map_or(self.open.number, |closed| closed.number);
         folder.file(&segment::name(number))
     }
 
-    /// Reads all segments and opens the last one.
-    pub(crate) fn load(folder: &Folder, segment_bytes: u64) -> Result<(Self, Tail), Fault> {
+    /// Reads all segments and opens the last one for appending.
+    pub(crate) fn load(folder: &Folder, segment_bytes: u64) -> Result<(Self, Tail), Error> {
         let numbers = segment::numbers(folder)?;
         let (Some(oldest), Some(newest)) = (numbers.first(), numbers.last()) else {
-            return Err(Fault::Missing {
+            return Err(Error::Missing {
                 path: folder.file(&segment::name(1)),
             });
         };
@@ -97,8 +97,8 @@
         ))
     }
 
-    /// Appends a batch and syncs it, in a new segment if the present one is full.
-    pub(crate) fn append(&mut self, folder: &Folder, batch: &Batch) -> Result<(), Fault> {
+    /// Appends a batch and syncs it, in a new segment if the current one is full.
+    pub(crate) fn append(&mut self, folder: &Folder, batch: &Batch) -> Result<(), Error> {
         if self.open.size >= self.segment_bytes {
             self.rotate(folder)?;
         }
@@ -111,8 +111,8 @@
         Ok(())
     }
 
-    /// Removes the segments whose entries a snapshot covers, the oldest first.
-    pub(crate) fn compact(&mut self, folder: &Folder, covered: Index) -> Result<(), Fault> {
+    /// Removes the segments that a snapshot up to index `covered` makes unnecessary, oldest first.
+    pub(crate) fn compact(&mut self, folder: &Folder, covered: Index) -> Result<(), Error> {
         if self.open.base.index < covered && self.last.index <= covered {
             self.rotate(folder)?;
         }
@@ -125,12 +125,12 @@
         Ok(())
     }
 
-    /// Returns the latest segment with which the log may begin.
+    /// Returns the number of the latest segment that the log may start with.
     ///
-    /// Entries of an old leader may stand at the end of one segment and be replaced in the next.
-    /// The next one then reaches below its own base, and without the segment before it the folder
-    /// would be refused as damaged. So a log may begin only with a segment from which on nothing
-    /// reaches below its base.
+    /// Entries of a former leader may end one segment and be replaced in the next. That next
+    /// segment then writes below its own base, and without its predecessor the folder would be
+    /// refused as damaged. A log may therefore start with a segment only if neither that segment
+    /// nor any later one writes below the segment's base.
     fn first_needed(&self, covered: Index) -> Option<u64> {
         let open = Closed {
             number: self.open.number,
@@ -146,7 +146,7 @@
         first.map(|segment| segment.number)
     }
 
-    fn rotate(&mut self, folder: &Folder) -> Result<(), Fault> {
+    fn rotate(&mut self, folder: &Folder) -> Result<(), Error> {
         let header = Header {
             salt: rand::random(),
             base: self.last,
@@ -163,26 +163,26 @@
     }
 }
 
-/// Reads a segment and applies its batches to what came before it.
+/// Reads a segment and applies its batches to the tail rebuilt from earlier segments.
 fn replay(
     folder: &Folder,
     number: u64,
     before: Option<Tail>,
     is_last: bool,
-) -> Result<(Tail, Content), Fault> {
+) -> Result<(Tail, Content), Error> {
     let path = folder.file(&segment::name(number));
     let Some(bytes) = folder.read(&segment::name(number))? else {
-        return Err(Fault::Missing { path });
+        return Err(Error::Missing { path });
     };
     let mut content = segment::read(&path, &bytes, is_last)?;
     let Header { base, hard, .. } = content.header;
     let mut tail = before.unwrap_or_else(|| Tail::new(base, hard));
     if tail.last() != base {
-        return Err(Fault::corrupt(&path, 0, Damage::Gap));
+        return Err(Error::corrupt(&path, 0, Damage::Gap));
     }
     for (at, batch) in content.batches.drain(..) {
         let applied = tail.apply(batch);
-        applied.map_err(|damage| Fault::corrupt(&path, at, damage))?;
+        applied.map_err(|damage| Error::corrupt(&path, at, damage))?;
     }
     Ok((tail, content))
 }
--- a/crates/zinniastall-store/tests/folder/history.rs
+++ b/crates/zinniastall-store/tests/folder/history.rs
@@ -1,10 +1,10 @@
-//! Random histories of a folder against a model of it.
+//! Random operations on a folder, compared with a model.
 
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngSeed, TestRunner};
 use zinniastall_coord::log::{Entry, Position};
 use zinniastall_coord::replica::{HardState, Ready, Snapshot};
-use zinniastall_store::{Fault, Store};
+use zinniastall_store::{Error, Store};
 
 use crate::{SMALL, entry_in, founded, snapshot};
 
@@ -27,7 +27,7 @@
     ]
 }
 
-/// What a folder must give back.
+/// Expected state of a folder.
 #[derive(Default)]
 struct Model {
     hard: HardState,
@@ -47,7 +47,7 @@
         self.base() + self.entries.len() as u64
     }
 
-    fn apply(&mut self, step: &Step, store: &mut Store) -> Result<(), Fault> {
+    fn apply(&mut self, step: &Step, store: &mut Store) -> Result<(), Error> {
         self.term += 1;
         match *step {
             Step::Append(count, back) => {
@@ -106,7 +106,7 @@
     }
 }
 
-// Whatever was stored in whatever order, a restart gives it back.
+// State stored by any sequence of operations must be there after a restart.
 #[test]
 fn any_history_survives_reopening() {
     let config = Config {
--- a/crates/zinniastall-store/tests/folder/main.rs
+++ b/crates/zinniastall-store/tests/folder/main.rs
@@ -1,4 +1,4 @@
-//! Tests of the data folder, with damage done to its files.
+//! Tests of a data folder, including damage to its files.
 
 use std::fs;
 use std::path::{Path, PathBuf};
@@ -7,7 +7,7 @@
 use zinniastall_coord::log::{Entry, Payload, Position};
 use zinniastall_coord::replica::{HardState, Ready, Restored, Snapshot};
 use zinniastall_coord::voters::Voters;
-use zinniastall_store::{Fault, Options, Store};
+use zinniastall_store::{Error, Options, Store};
 
 pub(crate) const SMALL: Options = Options { segment_bytes: 400 };
 
@@ -36,7 +36,7 @@
     restored.entries.iter().map(|entry| entry.index).collect()
 }
 
-/// Founds a folder and appends entries, each batch synced by itself.
+/// Founds a cluster in a new folder and appends entries, each synced by itself.
 pub(crate) fn founded(options: Options, last_index: u64) -> TempDir {
     let folder = tempfile::tempdir().expect("a temporary folder");
     let (mut store, _) = Store::open_with(folder.path(), options).expect("a new folder opens");
@@ -59,11 +59,11 @@
     files
 }
 
-pub(crate) fn reopen(folder: &TempDir) -> Result<Restored, Fault> {
+pub(crate) fn reopen(folder: &TempDir) -> Result<Restored, Error> {
     Store::open_with(folder.path(), SMALL).map(|(_, restored)| restored)
 }
 
-/// Names a case and gives it a folder with twenty entries in segments of a size.
+/// Defines a test that runs on a folder with twenty entries and the given options.
 macro_rules! case {
     ($name:ident, $options:expr, |$folder:ident| $body:block) => {
         #[test]
@@ -81,7 +81,7 @@
     let (mut store, restored) = Store::open_with(folder.path(), SMALL).unwrap();
     assert_eq!(indices(&restored), (1..=20).collect::<Vec<_>>());
     assert!(files(folder.path(), "log-").len() > 3, "segments rotate");
-    assert!(matches!(store.found("1"), Err(Fault::Founded)));
+    assert!(matches!(store.found("1"), Err(Error::Founded)));
     let hard = HardState {
         term: 3,
         vote: Some(9),
@@ -122,11 +122,11 @@
     assert_eq!(indices(&reopen(&folder).unwrap()), [0; 0]);
 });
 
-// A second process is started on the same folder, as by a script that runs twice. Both would vote
-// under one id.
+// A second process is started on the same folder, for example by a script that runs twice. Without
+// the lock, both would vote under one id.
 case!(a_folder_is_open_once, SMALL, |folder| {
     let held = Store::open_with(folder.path(), SMALL).unwrap();
-    assert!(matches!(reopen(&folder), Err(Fault::Locked { .. })));
+    assert!(matches!(reopen(&folder), Err(Error::Locked { .. })));
     drop(held);
     reopen(&folder).unwrap();
 });
@@ -150,13 +150,13 @@
     assert_eq!(store.syncs(), 1);
 });
 
-// The disk refuses a write. What it holds is not known any more, and a later success must not be
-// taken for a promise that the earlier bytes are there.
+// A write fails. The content of the disk is unknown from then on, and a later write that succeeds
+// would not mean that the earlier bytes are stored.
 case!(writes_after_a_failure_are_refused, SMALL, |folder| {
     let (mut store, _) = Store::open_with(folder.path(), SMALL).unwrap();
     fs::remove_dir_all(folder.path()).unwrap();
     let failed = store.snapshot(&snapshot(10));
-    assert!(matches!(failed, Err(Fault::Io { .. })), "{failed:?}");
+    assert!(matches!(failed, Err(Error::Io { .. })), "{failed:?}");
     store.append([entry(21)]);
-    assert!(matches!(store.sync(), Err(Fault::Failed)));
+    assert!(matches!(store.sync(), Err(Error::Failed)));
 });
