--- a/crates/zinniastall-http/src/body.rs
+++ b/crates/zinniastall-http/src/body.rs
@@ -49,7 +49,7 @@
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum State {
-    Remaining(u64),
+    Data(u64),
     ChunkSize,
     ChunkData(u64),
     ChunkEnd,
@@ -63,7 +63,7 @@
     pub const fn new(framing: Framing) -> Self {
         let state = match framing {
             Framing::Length(0) => State::Done,
-            Framing::Length(length) => State::Remaining(length),
+            Framing::Length(length) => State::Data(length),
             Framing::Chunked => State::ChunkSize,
             Framing::Close => State::UntilClose,
         };
@@ -84,11 +84,9 @@
         loop {
             match self.state {
                 State::Done => return Ok(Step::End),
-                State::Remaining(left) => {
-                    return Ok(self.take_piece(input, left, State::Done, State::Remaining));
-                }
+                State::Data(left) => return Ok(self.piece(input, left, State::Done, State::Data)),
                 State::ChunkData(left) => {
-                    return Ok(self.take_piece(input, left, State::ChunkEnd, State::ChunkData));
+                    return Ok(self.piece(input, left, State::ChunkEnd, State::ChunkData));
                 }
                 State::UntilClose if input.is_empty() => return Ok(Step::More),
                 State::UntilClose => return Ok(Step::Piece(input.split().freeze())),
@@ -131,7 +129,7 @@
         }
     }
 
-    fn take_piece(
+    fn piece(
         &mut self,
         input: &mut BytesMut,
         left: u64,
--- a/crates/zinniastall-http/tests/body.rs
+++ b/crates/zinniastall-http/tests/body.rs
@@ -61,7 +61,7 @@
 fn a_truncated_body_is_never_complete() {
     let bytes = chunked(&[b"first".to_vec(), b"second".to_vec()]);
     for length in 0..bytes.len() {
-        let (_, done, _) = decode(Framing::Chunked, &bytes[..length], 7).expect("a beginning");
+        let (_, done, _) = decode(Framing::Chunked, &bytes[..length], 7).expect("a valid prefix");
         assert!(!done, "cut at {length}");
     }
     let mut decoder = Decoder::new(Framing::Length(10));
--- a/crates/zinniastall-http/tests/head.rs
+++ b/crates/zinniastall-http/tests/head.rs
@@ -30,8 +30,8 @@
     }
     let mut input = BytesMut::from(text);
     let head = Request::parse(&mut input, LIMIT)
-        .expect("a head")
-        .expect("a whole one");
+        .expect("a valid head")
+        .expect("a complete head");
     assert_eq!((head.path(), head.query(), head.host()), ("/a", "b=c", "h"));
     assert_eq!(&input[..], b"rest");
 }
@@ -47,8 +47,8 @@
     let framing = |fields: &str, head_only| {
         let parsed = response(&format!("HTTP/1.1 200 OK\r\n{fields}\r\n"));
         parsed
-            .expect("a head")
-            .expect("a whole one")
+            .expect("a valid head")
+            .expect("a complete head")
             .framing(head_only)
     };
     assert_eq!(
@@ -80,7 +80,10 @@
 fn hop_by_hop_fields_are_stripped() {
     let hop_by_hop = "connection: close, x-own\r\nx-own: 1\r\nkeep-alive: 1\r\nte: a\r\n";
     let parsed = request(&format!("GET / HTTP/1.1\r\n{hop_by_hop}x: 1\r\n\r\n"));
-    let mut headers = parsed.expect("a head").expect("a whole one").headers;
+    let mut headers = parsed
+        .expect("a valid head")
+        .expect("a complete head")
+        .headers;
     strip_hop_by_hop(&mut headers);
     let names: Vec<&str> = headers.keys().map(http::HeaderName::as_str).collect();
     assert_eq!(names, ["x"]);
--- a/crates/zinniastall-store/src/journal.rs
+++ b/crates/zinniastall-store/src/journal.rs
@@ -12,7 +12,7 @@
 use crate::segment::{self, Content, Header, Segment};
 use crate::tail::{Batch, Tail};
 
-/// A full segment, which is no longer written to.
+/// A segment that is no longer written to.
 #[derive(Debug, Clone, Copy)]
 struct Closed {
     number: u64,
@@ -111,7 +111,8 @@
         Ok(())
     }
 
-    /// Removes the segments that a snapshot up to index `covered` makes unnecessary, oldest first.
+    /// Removes the segments that are not needed beside a snapshot up to index `covered`, oldest
+    /// first.
     pub(crate) fn compact(&mut self, folder: &Folder, covered: Index) -> Result<(), Error> {
         if self.open.base.index < covered && self.last.index <= covered {
             self.rotate(folder)?;
