--- a/tests/tests/control_disk.rs
+++ b/tests/tests/control_disk.rs
@@ -24,7 +24,7 @@
 }
 
 /// Returns the newest file of a control replica's log.
-fn newest(settings: &Value) -> Result<PathBuf> {
+fn newest_log_file(settings: &Value) -> Result<PathBuf> {
     let folder = Path::new(settings["data"].as_str().unwrap_or_default());
     let mut files = Vec::new();
     for entry in std::fs::read_dir(folder)? {
@@ -42,7 +42,7 @@
 /// It must come back by itself and hold everything that was accepted; an operator who had to repair
 /// a disk after each power cut would lose the group to the second one.
 #[actix_rt::test]
-async fn a_torn_last_record_is_mended_by_the_others() -> Result<()> {
+async fn a_torn_last_record_is_recovered_from_the_others() -> Result<()> {
     let mut cluster = group(3).start().await?;
     let mut accepted = 0;
     for torn in [1, 7, 40] {
@@ -50,7 +50,7 @@
         cluster.next_loss_safe(true).await?;
         let leader = cluster.leader().await?;
         cluster.control(&leader)?.process().kill()?;
-        let log = newest(cluster.control(&leader)?.settings())?;
+        let log = newest_log_file(cluster.control(&leader)?.settings())?;
         let file = std::fs::OpenOptions::new().write(true).open(&log)?;
         file.set_len(log.metadata()?.len() - torn)?;
         cluster.control(&leader)?.restart().await?;
@@ -68,26 +68,26 @@
     let mut cluster = group(3).start().await?;
     let accepted = change(&cluster, "m").await?;
     let damaged = cluster.leader().await?;
-    let forgotten = cluster.replica_id(&damaged).await?;
+    let lost_id = cluster.replica_id(&damaged).await?;
     cluster.control(&damaged)?.process().kill()?;
-    let log = newest(cluster.control(&damaged)?.settings())?;
+    let log = newest_log_file(cluster.control(&damaged)?.settings())?;
     let mut bytes = std::fs::read(&log)?;
     let middle = bytes.len() / 2;
     bytes[middle] ^= 1;
     std::fs::write(&log, bytes)?;
     let started = cluster.control(&damaged)?.restart().await;
     assert!(matches!(started, Err(Error::Ended { .. })), "{started:?}");
-    let said = cluster
+    let lines = cluster
         .control(&damaged)?
         .process()
         .log()
         .lines()
         .join("\n");
-    assert!(said.contains(&log.display().to_string()), "{said}");
+    assert!(lines.contains(&log.display().to_string()), "{lines}");
     cluster.leader_besides(&[&damaged]).await?;
     let more = change(&cluster, "n").await?;
     cluster.wipe(&damaged).await?;
-    cluster.replace(&damaged, &forgotten).await?;
+    cluster.replace(&damaged, &lost_id).await?;
     assert_eq!(models(&cluster).await?, Some(accepted + more));
     Ok(())
 }
--- a/tests/tests/control_force.rs
+++ b/tests/tests/control_force.rs
@@ -21,15 +21,15 @@
 
 /// An election timeout within which a test can cut off a replica and restart an instance, in
 /// milliseconds; a busy machine that takes longer brings nothing about.
-const LONG_ELECTION: u64 = 8_000;
+const LONG_ELECTION_MS: u64 = 8_000;
 
 /// A zone's instances and the control replica beside them.
-const BEHIND: [&str; 3] = ["control-1", "patras-a-1", "patras-a-2"];
+const ISOLATED: [&str; 3] = ["control-1", "patras-a-1", "patras-a-2"];
 
 /// Longest time that an instance may need to connect to a target, in milliseconds.
-const CONNECT: f64 = 1_000.0;
+const CONNECT_TIMEOUT_MS: f64 = 1_000.0;
 /// A day in milliseconds.
-const DAY: f64 = 86_400_000.0;
+const DAY_MS: f64 = 86_400_000.0;
 
 fn builder(replicas: usize) -> Builder {
     Cluster::builder()
@@ -42,15 +42,15 @@
     json!({"residency": {"id": "home", "client": "studio", "regions": regions}}).to_string()
 }
 
-async fn code(cluster: &Cluster, revision: u64) -> Option<i32> {
+async fn exit_code(cluster: &Cluster, revision: u64) -> Option<i32> {
     let run = cluster.ctl(&["change", &revision.to_string()]).await.ok()?;
     run.code
 }
 
-async fn becomes(cluster: &Cluster, revision: u64, wanted: Option<i32>) -> Result<()> {
+async fn wait_for_exit_code(cluster: &Cluster, revision: u64, wanted: Option<i32>) -> Result<()> {
     let what = format!("exit code {wanted:?} for revision {revision}");
     wait::until(&what, async || {
-        (code(cluster, revision).await == wanted).then_some(())
+        (exit_code(cluster, revision).await == wanted).then_some(())
     })
     .await
 }
@@ -63,7 +63,7 @@
 }
 
 /// Waits until members are known and have everything in force, and returns the revision.
-async fn settled(cluster: &Cluster, members: usize) -> Result<u64> {
+async fn wait_settled(cluster: &Cluster, members: usize) -> Result<u64> {
     wait::until("all members up to date", async || {
         let status = cluster.ctl(&["status"]).await.ok()?.json().ok()?;
         let instances = status["instances"].as_array()?;
@@ -82,7 +82,7 @@
 }
 
 /// Returns the time of day of a log line's stamp, in milliseconds.
-fn of_day(stamp: &str) -> Option<f64> {
+fn time_of_day_ms(stamp: &str) -> Option<f64> {
     let time = stamp.split_once('T')?.1.trim_end_matches('Z');
     let mut parts = time.split(':').map(str::parse::<f64>);
     let seconds = parts.try_fold(0.0, |sum, part| part.map(|part| sum * 60.0 + part));
@@ -90,14 +90,14 @@
 }
 
 /// Cuts these nodes off from all others; among themselves everything passes.
-fn cut_off(cluster: &Cluster, inside: &[&str]) {
+fn isolate(cluster: &Cluster, inside: &[&str]) {
     let inside = |node: &Node| inside.contains(&node.name());
     cluster.partition(inside);
     cluster.links(|from, to| (inside(from) && inside(to)).then(Rule::default));
 }
 
 /// Restarts an instance, and checks that it puts nothing older in force than a revision.
-async fn restarts_at(cluster: &mut Cluster, name: &str, revision: u64) -> Result<()> {
+async fn check_restart(cluster: &mut Cluster, name: &str, revision: u64) -> Result<()> {
     cluster.entry(name)?.restart().await?;
     let first = wait::until("a configuration in force", async || {
         in_force(cluster, name).ok()?.first().copied()
@@ -117,7 +117,7 @@
         .zone("athens", "a", 1)
         .start()
         .await?;
-    settled(&cluster, 2).await?;
+    wait_settled(&cluster, 2).await?;
     cluster.client("studio", "key").await?;
     let wide = rule(&["patras", "athens"]);
     cluster
@@ -132,15 +132,15 @@
     let answer: Value = serde_json::from_str(&run.output)?;
     assert_eq!(answer["waiting"], json!(["athens-a-1"]));
     let revision = answer["revision"].as_u64().unwrap_or_default();
-    assert_eq!(code(&cluster, revision).await, PENDING);
+    assert_eq!(exit_code(&cluster, revision).await, PENDING);
     cluster.heal();
-    becomes(&cluster, revision, ACCEPTED).await?;
+    wait_for_exit_code(&cluster, revision, ACCEPTED).await?;
     cluster.entry("athens-a-1")?.process().kill()?;
     let run = cluster.ctl(&["delete", "residency", "home"]).await?;
     assert_eq!(run.code, PENDING, "{run:?}");
     let answer: Value = serde_json::from_str(&run.output)?;
     cluster.ctl(&["retire", "athens-a-1"]).await?.json()?;
-    becomes(
+    wait_for_exit_code(
         &cluster,
         answer["revision"].as_u64().unwrap_or_default(),
         ACCEPTED,
@@ -152,15 +152,15 @@
 /// a target. It may still leave after the rule has come into force, for as long as a connection may
 /// take; only after that the operator may be told that no further one runs there.
 #[actix_rt::test]
-async fn a_narrower_rule_waits_for_what_was_judged_before() -> Result<()> {
+async fn a_narrower_rule_waits_for_requests_decided_before() -> Result<()> {
     let mut cluster = builder(1)
         .zone("patras", "a", 1)
         .zone("athens", "a", 1)
         .start()
         .await?;
-    settled(&cluster, 2).await?;
+    wait_settled(&cluster, 2).await?;
     cluster.client("studio", "key").await?;
-    narrows_in_time(&mut cluster, || Ok(())).await
+    check_acceptance_delay(&mut cluster, || Ok(())).await
 }
 
 /// The same where the instance could not keep its first configuration, so that it serves but has
@@ -172,26 +172,32 @@
     std::fs::write(&data, "no folder")?;
     // Another instance's confirmation would hold the change back as long.
     let mut cluster = builder(1).zone("athens", "a", 1).start().await?;
-    settled(&cluster, 1).await?;
+    wait_settled(&cluster, 1).await?;
     cluster.client("studio", "key").await?;
     cluster.entry("athens-a-1")?.settings()["data"] = json!(data);
     cluster.entry("athens-a-1")?.restart().await?;
     let process = cluster.entry("athens-a-1")?.process();
     process.event("configuration-not-kept").await?;
-    narrows_in_time(&mut cluster, || Ok(std::fs::remove_file(&data)?)).await
+    check_acceptance_delay(&mut cluster, || Ok(std::fs::remove_file(&data)?)).await
 }
 
 /// Widens and narrows a rule, and checks how long after it came into force each was accepted.
-async fn narrows_in_time(cluster: &mut Cluster, mend: impl Fn() -> Result<()>) -> Result<()> {
-    for (regions, least) in [(&["patras", "athens"][..], 0.0), (&["patras"], CONNECT)] {
-        if least > 0.0 {
-            mend()?;
+async fn check_acceptance_delay(
+    cluster: &mut Cluster,
+    repair: impl Fn() -> Result<()>,
+) -> Result<()> {
+    for (regions, min_delay_ms) in [
+        (&["patras", "athens"][..], 0.0),
+        (&["patras"], CONNECT_TIMEOUT_MS),
+    ] {
+        if min_delay_ms > 0.0 {
+            repair()?;
         }
         let rule = rule(regions);
         let run = cluster.ctl(&["--wait", "10000", "apply", &rule]).await?;
         let answer = run.json()?;
         let now = SystemTime::now().duration_since(UNIX_EPOCH);
-        let accepted = now.unwrap_or_default().as_secs_f64() * 1e3 % DAY;
+        let accepted = now.unwrap_or_default().as_secs_f64() * 1e3 % DAY_MS;
         let revision = answer["revision"].to_string();
         let lines = cluster
             .entry("athens-a-1")?
@@ -201,11 +207,11 @@
         let in_force = lines
             .iter()
             .find(|line| field(line, "revision") == Some(&revision));
-        let shown = in_force.and_then(|line| field(line, "ts"));
-        let waited = accepted - shown.and_then(of_day).unwrap_or_default();
+        let stamp = in_force.and_then(|line| field(line, "ts"));
+        let delay_ms = accepted - stamp.and_then(time_of_day_ms).unwrap_or_default();
         assert!(
-            waited.rem_euclid(DAY) >= least,
-            "accepted after {waited} ms"
+            delay_ms.rem_euclid(DAY_MS) >= min_delay_ms,
+            "accepted after {delay_ms} ms"
         );
     }
     Ok(())
@@ -220,7 +226,7 @@
         .zone("patras", "a", 2)
         .start()
         .await?;
-    settled(&cluster, 2).await?;
+    wait_settled(&cluster, 2).await?;
     let slow = "patras-a-2";
     cluster.entry(slow)?.process().freeze()?;
     for batch in 0..25 {
@@ -229,7 +235,7 @@
         futures_util::future::try_join_all(changes).await?;
     }
     cluster.entry(slow)?.process().thaw()?;
-    let revision = settled(&cluster, 2).await?;
+    let revision = wait_settled(&cluster, 2).await?;
     let revisions = in_force(&mut cluster, slow)?;
     assert!(revisions.is_sorted(), "{revisions:?}");
     assert_eq!(revisions.last(), Some(&revision));
@@ -240,20 +246,20 @@
 /// and reaches only that replica and a neighbour. The replica's configuration is older than what
 /// the instance had in force before; it must take the neighbour's.
 #[actix_rt::test]
-async fn a_restarted_instance_does_not_step_back() -> Result<()> {
+async fn a_restarted_instance_does_not_roll_back() -> Result<()> {
     let mut cluster = builder(3)
         .zone("patras", "a", 2)
         .zone("athens", "a", 0)
         .zone("nantes", "a", 0)
         .start()
         .await?;
-    settled(&cluster, 2).await?;
+    wait_settled(&cluster, 2).await?;
     cluster.partition(|node| node.name() == "control-1");
     cluster.leader_besides(&["control-1"]).await?;
     change(&cluster, "m").await?;
-    let newest = settled(&cluster, 2).await?;
-    cut_off(&cluster, &BEHIND);
-    restarts_at(&mut cluster, "patras-a-1", newest).await
+    let newest = wait_settled(&cluster, 2).await?;
+    isolate(&cluster, &ISOLATED);
+    check_restart(&mut cluster, "patras-a-1", newest).await
 }
 
 /// A control replica has been cut off from the others a moment ago: it has heard its leader within
@@ -261,37 +267,37 @@
 /// force at an instance of its zone, which restarts and reaches only that replica and a neighbour. The
 /// replica believes that it is up to date; the instance must not go back with it.
 #[actix_rt::test]
-async fn a_replica_cut_off_a_moment_ago_takes_nobody_back() -> Result<()> {
+async fn a_replica_just_cut_off_rolls_no_instance_back() -> Result<()> {
     let mut cluster = builder(3)
-        .control(json!({"timing": {"heartbeat_ms": 200, "election_ms": LONG_ELECTION}}))
+        .control(json!({"timing": {"heartbeat_ms": 200, "election_ms": LONG_ELECTION_MS}}))
         .zone("patras", "a", 2)
         .zone("athens", "a", 0)
         .zone("nantes", "a", 0)
         .start()
         .await?;
-    settled(&cluster, 2).await?;
+    wait_settled(&cluster, 2).await?;
     // SIGTERM passes leadership on at once; a kill would cost an election timeout.
     cluster.control("control-1")?.process().stop().await?;
     cluster.control("control-1")?.restart().await?;
     cluster.leader_besides(&["control-1"]).await?;
     change(&cluster, "before").await?;
-    settled(&cluster, 2).await?;
+    wait_settled(&cluster, 2).await?;
     cluster.partition(|node| node.name() == "control-1");
     change(&cluster, "after").await?;
-    let newest = settled(&cluster, 2).await?;
-    cut_off(&cluster, &BEHIND);
+    let newest = wait_settled(&cluster, 2).await?;
+    isolate(&cluster, &ISOLATED);
     // Those behind the cut are not dialled first, which would take time that the others use.
     let near = cluster.control("control-1")?.address("links")?;
     cluster.entry("patras-a-1")?.settings()["control"] = json!([near]);
-    restarts_at(&mut cluster, "patras-a-1", newest).await
+    check_restart(&mut cluster, "patras-a-1", newest).await
 }
 
 /// A zone's instances get their configuration through relays. Those that follow control directly
 /// are killed; the one that is left must find another way, within seconds and by itself.
 #[actix_rt::test]
-async fn a_zone_outlives_its_relays() -> Result<()> {
+async fn a_zone_survives_the_loss_of_its_relays() -> Result<()> {
     let mut cluster = builder(1).zone("patras", "a", 3).start().await?;
-    settled(&cluster, 3).await?;
+    wait_settled(&cluster, 3).await?;
     let links = cluster.control("control-1")?.address("links")?.to_string();
     let names: Vec<String> = cluster
         .entries()
@@ -309,7 +315,7 @@
     })
     .await?;
     change(&cluster, "before").await?;
-    settled(&cluster, 3).await?;
+    wait_settled(&cluster, 3).await?;
     for relay in &relays {
         cluster.entry(relay)?.process().kill()?;
     }
@@ -326,7 +332,7 @@
 /// All instances of a zone restart while it is cut off from everything else. They must serve under
 /// the last configuration that was in force there, and say that they are cut off.
 #[actix_rt::test]
-async fn a_zone_restarted_while_cut_off_serves_on() -> Result<()> {
+async fn a_zone_restarted_while_cut_off_keeps_serving() -> Result<()> {
     let folder = tempfile::tempdir()?;
     let mut cluster = builder(1)
         .zone("athens", "a", 0)
@@ -340,7 +346,7 @@
         cluster.entry(name)?.restart().await?;
     }
     change(&cluster, "m").await?;
-    let revision = settled(&cluster, 2).await?;
+    let revision = wait_settled(&cluster, 2).await?;
     cluster.partition(|node| zone.contains(&node.name()));
     for name in zone {
         cluster.entry(name)?.process().kill()?;
@@ -370,7 +376,7 @@
         .zone("nantes", "a", 2)
         .start()
         .await?;
-    settled(&cluster, 6).await?;
+    wait_settled(&cluster, 6).await?;
     let entries: Vec<String> = cluster.entries().map(|node| node.name().into()).collect();
     let is_entry = |node: &Node| entries.iter().any(|name| name == node.name());
     let stalled = Rule::default().with(Way::Both, |lane| lane.stalled = true);
@@ -378,7 +384,7 @@
     let leader = cluster.leader().await?;
     change(&cluster, "m0").await?;
     // Whoever followed a neighbour has found control by now.
-    settled(&cluster, 6).await?;
+    wait_settled(&cluster, 6).await?;
     cluster.control(&leader)?.process().kill()?;
     let revision = change(&cluster, "m1").await?;
     let bound = Duration::from_secs(10);
@@ -404,7 +410,7 @@
     let wide = rule(&["patras", "athens", "thessaloniki"]);
     let answer = cluster.ctl(&["apply", &wide]).await?.json()?;
     let held = answer["revision"].to_string();
-    settled(&cluster, 3).await?;
+    wait_settled(&cluster, 3).await?;
     let leader = cluster.leader().await?;
     // One of the five replicas is in that region, so three are left whichever one leads.
     let cut = "thessaloniki";
@@ -434,5 +440,5 @@
     })
     .await?;
     cluster.heal();
-    becomes(&cluster, revision, ACCEPTED).await
+    wait_for_exit_code(&cluster, revision, ACCEPTED).await
 }
--- a/tests/tests/control_group.rs
+++ b/tests/tests/control_group.rs
@@ -117,7 +117,7 @@
 /// Cuts the leader off as `cut` says for a long time, lets the others go on, and heals. The others
 /// must keep the leader that they chose meanwhile, and nobody may be told the old state: who hears
 /// the others can name their leader, and who hears nobody has nothing to say.
-async fn returns_without_disturbance(hears: bool, cut: impl Fn(&Cluster, &str)) -> Result<()> {
+async fn rejoins_without_disruption(receives: bool, cut: impl Fn(&Cluster, &str)) -> Result<()> {
     let mut cluster = group(3).start().await?;
     change(&cluster, "m", "old").await?;
     let leader = cluster.leader().await?;
@@ -127,15 +127,15 @@
     change(&cluster, "m", "new").await?;
     let asked = ctl::run(&[old], &["--timeout", "1000", "get", "model", "m"]).await?;
     assert!(!asked.output.contains("old"), "{asked:?}");
-    assert!(hears || asked.code == FAILED, "{asked:?}");
+    assert!(receives || asked.code == FAILED, "{asked:?}");
     // Long enough for an isolated replica without pre-votes to raise its term several times.
     actix_rt::time::sleep(Duration::from_millis(ELECTION * 6)).await;
     let before = term(&cluster.status_of(&successor).await?);
     cluster.heal();
-    let news = cluster.status_of(&successor).await?["revision"].clone();
+    let latest = cluster.status_of(&successor).await?["revision"].clone();
     wait::until("the returned replica up to date", async || {
         let status = cluster.status_of(&leader).await.ok()?;
-        (status["revision"] == news).then_some(())
+        (status["revision"] == latest).then_some(())
     })
     .await?;
     assert_eq!(term(&cluster.status_of(&successor).await?), before);
@@ -149,7 +149,7 @@
 /// others their leader: operators would see commands fail each time a link heals.
 #[actix_rt::test]
 async fn an_isolated_leader_returns_without_disturbance() -> Result<()> {
-    returns_without_disturbance(false, |cluster, leader| {
+    rejoins_without_disruption(false, |cluster, leader| {
         cluster.partition(|node| node.name() == leader);
     })
     .await
@@ -175,16 +175,16 @@
 /// would keep the others from choosing another leader, and no command could ever commit. After a
 /// long time the link heals, and its return must cost the others nothing.
 #[actix_rt::test]
-async fn a_deaf_leader_makes_way() -> Result<()> {
-    returns_without_disturbance(false, |cluster, leader| one_way(cluster, leader, false)).await
+async fn a_leader_that_receives_nothing_is_replaced() -> Result<()> {
+    rejoins_without_disruption(false, |cluster, leader| one_way(cluster, leader, false)).await
 }
 
 /// The other way round: the leader hears everyone, and nothing that it sends arrives. The others
 /// must choose another leader soon, or every operator's command would wait for the link; after a
 /// long time the link heals, and the former leader's return must cost the others nothing.
 #[actix_rt::test]
-async fn a_mute_leader_makes_way() -> Result<()> {
-    returns_without_disturbance(true, |cluster, leader| one_way(cluster, leader, true)).await
+async fn a_leader_that_nobody_hears_is_replaced() -> Result<()> {
+    rejoins_without_disruption(true, |cluster, leader| one_way(cluster, leader, true)).await
 }
 
 /// The leader's disk is lost, and it comes back empty at the same address. It must not vote with
@@ -200,15 +200,15 @@
     }
     cluster.next_loss_safe(true).await?;
     let lost = cluster.leader().await?;
-    let forgotten = cluster.replica_id(&lost).await?;
+    let lost_id = cluster.replica_id(&lost).await?;
     cluster.wipe(&lost).await?;
     let address = cluster.control(&lost)?.address("operators")?;
     cluster.leader_besides(&[&lost]).await?;
     let refused = ctl::run(&[address], &["bootstrap"]).await?;
     assert_eq!(refused.code, FAILED, "{refused:?}");
     cluster.next_loss_safe(false).await?;
-    let fresh = cluster.replace(&lost, &forgotten).await?;
-    assert_ne!(fresh, forgotten);
+    let new_id = cluster.replace(&lost, &lost_id).await?;
+    assert_ne!(new_id, lost_id);
     let next = cluster.leader().await?;
     cluster.control(&next)?.process().kill()?;
     cluster.leader_besides(&[&next]).await?;
@@ -248,8 +248,8 @@
     let lost = cluster.leader().await?;
     let names: Vec<String> = cluster.controls().map(|node| node.name().into()).collect();
     let others: Vec<&String> = names.iter().filter(|name| **name != lost).collect();
-    let (unaware, aware) = others.split_at(2);
-    cluster.partition(|node| unaware.iter().any(|name| *name == node.name()));
+    let (outdated, updated) = others.split_at(2);
+    cluster.partition(|node| outdated.iter().any(|name| *name == node.name()));
     // What is sent on a link before it is given up would arrive once the sides change.
     wait::until("both links given up", async || {
         let log = cluster.control(&lost).ok()?.process().log();
@@ -257,31 +257,31 @@
     })
     .await?;
     change(&cluster, "m", "2").await?;
-    let forgotten = cluster.replica_id(&lost).await?;
-    cluster.partition(|node| aware.iter().any(|name| *name == node.name()));
+    let lost_id = cluster.replica_id(&lost).await?;
+    cluster.partition(|node| updated.iter().any(|name| *name == node.name()));
     cluster.wipe(&lost).await?;
-    let knows = |node: &Node| aware.iter().any(|name| *name == node.name());
-    cluster.links(|from, to| (!knows(from) && !knows(to)).then(Rule::default));
+    let is_updated = |node: &Node| updated.iter().any(|name| *name == node.name());
+    cluster.links(|from, to| (!is_updated(from) && !is_updated(to)).then(Rule::default));
     // Long enough for three that count each other as voters to elect a leader several times.
     actix_rt::time::sleep(Duration::from_millis(ELECTION * 6)).await;
-    let cut = unaware[1];
+    let cut = outdated[1];
     cluster.heal();
     cluster.partition(|node| node.name() == cut);
     cluster.leader_besides(&[&lost]).await?;
     assert_eq!(version(&cluster, "m").await.as_deref(), Some("2"));
     cluster.enlist(&lost).await?;
     cluster
-        .ctl(&["replica", "remove", &forgotten])
+        .ctl(&["replica", "remove", &lost_id])
         .await?
         .json()?;
     change(&cluster, "m", "3").await?;
     cluster.heal();
     let leader = cluster.leader().await?;
-    let news = cluster.status_of(&leader).await?["commit"].clone();
+    let latest = cluster.status_of(&leader).await?["commit"].clone();
     wait::until("the returned replica up to date", async || {
         let status = cluster.status_of(cut).await.ok()?;
         let replicas = status["replicas"].as_array()?.len();
-        (status["commit"] == news && replicas == 5).then_some(())
+        (status["commit"] == latest && replicas == 5).then_some(())
     })
     .await?;
     cluster.next_loss_safe(true).await?;
@@ -367,7 +367,7 @@
 /// Five replicas, two of which are lost together. The remaining three are a majority and must go
 /// on with everything that was accepted.
 #[actix_rt::test]
-async fn five_replicas_outlive_two() -> Result<()> {
+async fn five_replicas_survive_the_loss_of_two() -> Result<()> {
     let mut cluster = group(5).start().await?;
     change(&cluster, "m", "1").await?;
     let leader = cluster.leader().await?;
--- a/tests/tests/control_history.rs
+++ b/tests/tests/control_history.rs
@@ -18,7 +18,7 @@
 /// after the other. Everything that they were told must fit one order of events; otherwise some
 /// operator has decided on a state that never was, or lost a change that was accepted.
 #[actix_rt::test]
-async fn what_operators_were_told_fits_one_order() -> Result<()> {
+async fn operator_calls_are_linearizable() -> Result<()> {
     let mut cluster = group(3).start().await?;
     let history = Rc::new(Recorder::default());
     let done = Rc::new(Cell::new(false));
@@ -34,7 +34,7 @@
                 }
                 addresses.rotate_left(number % 2 + 1);
                 let value = format!("{number}-{turn}");
-                let wanted = if turn % 3 == 0 {
+                let request = if turn % 3 == 0 {
                     Request::Read
                 } else {
                     Request::Write {
@@ -42,7 +42,7 @@
                         value: Some(value),
                     }
                 };
-                held = one_call(&history, &addresses, wanted)
+                held = record_call(&history, &addresses, request)
                     .await?
                     .unwrap_or(held);
             }
@@ -81,7 +81,7 @@
 }
 
 /// Makes one call, records it, and returns the revision that the operator knows now.
-async fn one_call(
+async fn record_call(
     history: &Recorder<Request, Answer>,
     addresses: &[SocketAddr],
     request: Request,
@@ -106,11 +106,11 @@
             ctl::run(addresses, &arguments).await?
         }
     };
-    let said = run.answer();
-    let number = |field: &str| said[field].as_u64().unwrap_or_default();
-    let (told, known) = match (&request, run.code) {
+    let output = run.answer();
+    let number = |field: &str| output[field].as_u64().unwrap_or_default();
+    let (answer, revision) = match (&request, run.code) {
         (Request::Read, ACCEPTED) => {
-            let value = said["object"]["model"]["version"]
+            let value = output["object"]["model"]["version"]
                 .as_str()
                 .map(str::to_owned);
             let revision = number("revision");
@@ -127,6 +127,6 @@
         // Nobody answered, or nothing has been created yet: the caller knows nothing.
         _ => return Ok(None),
     };
-    history.end(call, told);
-    Ok(Some(known))
+    history.end(call, answer);
+    Ok(Some(revision))
 }
--- a/tests/tests/control_load.rs
+++ b/tests/tests/control_load.rs
@@ -20,7 +20,7 @@
 /// Operators who write at once.
 const OPERATORS: usize = 8;
 /// Accepted changes that must have come before and after a fault.
-const CHANGES: usize = 24;
+const MIN_PROGRESS: usize = 24;
 
 /// What operators were told: names of models and the revisions that made them.
 type Ledger = Rc<RefCell<Vec<(String, u64)>>>;
@@ -61,10 +61,10 @@
     }
 
     /// Waits until some more changes were accepted.
-    async fn goes_on(&self) -> Result<()> {
+    async fn wait_for_progress(&self) -> Result<()> {
         let before = self.ledger.borrow().len();
         wait::until("more accepted changes", async || {
-            (self.ledger.borrow().len() >= before + CHANGES).then_some(())
+            (self.ledger.borrow().len() >= before + MIN_PROGRESS).then_some(())
         })
         .await
     }
@@ -78,7 +78,7 @@
         }
         let listed = cluster.ctl(&["list", "model"]).await?.json()?;
         let records = listed["records"].as_array().cloned().unwrap_or_default();
-        let mut held: Vec<(String, u64)> = records
+        let mut stored: Vec<(String, u64)> = records
             .iter()
             .map(|record| {
                 let name = record["object"]["model"]["id"].as_str().unwrap_or_default();
@@ -86,11 +86,14 @@
                 (name.to_owned(), revision)
             })
             .collect();
-        let mut told = self.ledger.take();
-        println!("accepted={}", told.len());
-        held.sort_unstable();
-        told.sort_unstable();
-        assert_eq!(told, held, "what operators were told, and what is there");
+        let mut acknowledged = self.ledger.take();
+        println!("accepted={}", acknowledged.len());
+        stored.sort_unstable();
+        acknowledged.sort_unstable();
+        assert_eq!(
+            acknowledged, stored,
+            "what operators were told, and what is there"
+        );
         Ok(())
     }
 }
@@ -135,11 +138,11 @@
     let mut cluster = group(3).start().await?;
     let load = Load::start(&cluster);
     for _ in 0..3 {
-        load.goes_on().await?;
+        load.wait_for_progress().await?;
         let leader = cut_off_leader(&cluster).await?;
         cluster.control(&leader)?.process().kill()?;
         cluster.leader_besides(&[&leader]).await?;
-        load.goes_on().await?;
+        load.wait_for_progress().await?;
         cluster.heal();
         cluster.control(&leader)?.restart().await?;
         cluster.next_loss_safe(true).await?;
@@ -154,17 +157,17 @@
 async fn a_leader_wiped_under_load_loses_nothing_accepted() -> Result<()> {
     let mut cluster = group(3).start().await?;
     let load = Load::start(&cluster);
-    load.goes_on().await?;
+    load.wait_for_progress().await?;
     let lost = cut_off_leader(&cluster).await?;
-    let forgotten = cluster.replica_id(&lost).await?;
+    let lost_id = cluster.replica_id(&lost).await?;
     cluster.wipe(&lost).await?;
     cluster.heal();
     cluster.leader_besides(&[&lost]).await?;
-    load.goes_on().await?;
-    cluster.replace(&lost, &forgotten).await?;
+    load.wait_for_progress().await?;
+    cluster.replace(&lost, &lost_id).await?;
     let next = cluster.leader().await?;
     cluster.control(&next)?.process().kill()?;
     cluster.leader_besides(&[&next]).await?;
-    load.goes_on().await?;
+    load.wait_for_progress().await?;
     load.check(&cluster).await
 }
--- a/tests/tests/control_orders.rs
+++ b/tests/tests/control_orders.rs
@@ -23,32 +23,32 @@
         .zone("nantes", "a", 0)
 }
 
-async fn engine(cluster: &mut Cluster, name: &str, checks: bool) -> Result<()> {
+async fn start_engine(cluster: &mut Cluster, name: &str, checks: bool) -> Result<()> {
     let kind = if checks { "checking" } else { "ignoring" };
     let change = json!({"announce": {"kind": kind}, "engine": {"checks_fence": checks}});
     cluster.engine(name, PLACE, "m", change).await
 }
 
-async fn versioned(cluster: &Cluster, version: &str) -> Result<()> {
+async fn apply_version(cluster: &Cluster, version: &str) -> Result<()> {
     cluster
         .apply(&json!({"model": {"id": "m", "version": version}}))
         .await?;
     Ok(())
 }
 
-async fn role(cluster: &Cluster) -> Result<()> {
+async fn apply_role(cluster: &Cluster) -> Result<()> {
     let role = json!({"role": {"id": "all", "region": "patras", "role": "both", "models": ["m"]}});
     cluster.apply(&role).await?;
     Ok(())
 }
 
 /// Starts three control replicas and a target of each kind, which are to hold one model.
-async fn both_kinds() -> Result<Cluster> {
+async fn start_both_kinds() -> Result<Cluster> {
     let mut cluster = builder(3).start().await?;
-    versioned(&cluster, "1").await?;
-    role(&cluster).await?;
-    engine(&mut cluster, "checks", true).await?;
-    engine(&mut cluster, "ignores", false).await?;
+    apply_version(&cluster, "1").await?;
+    apply_role(&cluster).await?;
+    start_engine(&mut cluster, "checks", true).await?;
+    start_engine(&mut cluster, "ignores", false).await?;
     Ok(cluster)
 }
 
@@ -65,7 +65,7 @@
         .unwrap_or_default()
 }
 
-async fn obeys(cluster: &mut Cluster, target: &str, wanted: &str) -> Result<()> {
+async fn wait_obeyed(cluster: &mut Cluster, target: &str, wanted: &str) -> Result<()> {
     let what = format!("{target} ordered to hold {wanted}");
     wait::until(&what, async || {
         let orders = orders(cluster, target).await.ok()?;
@@ -79,13 +79,13 @@
 /// are ordered. The next leader must order them, those that check numbers and those that do not,
 /// and once they hold the version nobody may bother them any more.
 #[actix_rt::test]
-async fn a_new_leader_orders_what_the_last_one_owed() -> Result<()> {
-    let mut cluster = both_kinds().await?;
+async fn a_new_leader_sends_the_orders_of_a_lost_one() -> Result<()> {
+    let mut cluster = start_both_kinds().await?;
     let leader = cluster.leader().await?;
-    versioned(&cluster, "2").await?;
+    apply_version(&cluster, "2").await?;
     cluster.control(&leader)?.process().kill()?;
-    obeys(&mut cluster, "checks", "2").await?;
-    obeys(&mut cluster, "ignores", "2").await?;
+    wait_obeyed(&mut cluster, "checks", "2").await?;
+    wait_obeyed(&mut cluster, "ignores", "2").await?;
     let before = orders(&mut cluster, "ignores").await?.len();
     // Several reports and repairs would fit into this time.
     actix_rt::time::sleep(Duration::from_secs(6)).await;
@@ -96,24 +96,24 @@
 
 /// Freezes the leader between its look at the lease and the write of an order, until a new leader
 /// has given the target a newer one; then lets the old order go out. Returns the target's orders.
-async fn after_a_stale_order(checks: bool) -> Result<Vec<Value>> {
+async fn orders_after_a_stale_one(checks: bool) -> Result<Vec<Value>> {
     let mut cluster = builder(3).start().await?;
-    versioned(&cluster, "1").await?;
-    role(&cluster).await?;
-    engine(&mut cluster, "target", checks).await?;
+    apply_version(&cluster, "1").await?;
+    apply_role(&cluster).await?;
+    start_engine(&mut cluster, "target", checks).await?;
     let leader = cluster.leader().await?;
     // An order that is obeyed first shows that this leader orders this kind by now.
-    versioned(&cluster, "1b").await?;
-    obeys(&mut cluster, "target", "1b").await?;
+    apply_version(&cluster, "1b").await?;
+    wait_obeyed(&mut cluster, "target", "1b").await?;
     let data = cluster.control(&leader)?.settings()["data"].clone();
     let pause = std::path::Path::new(data.as_str().unwrap_or_default()).join("pause-order");
     std::fs::write(&pause, "")?;
-    versioned(&cluster, "2").await?;
+    apply_version(&cluster, "2").await?;
     cluster.control(&leader)?.process().event("paused").await?;
     cluster.control(&leader)?.process().freeze()?;
     cluster.leader_besides(&[&leader]).await?;
-    versioned(&cluster, "3").await?;
-    obeys(&mut cluster, "target", "3").await?;
+    apply_version(&cluster, "3").await?;
+    wait_obeyed(&mut cluster, "target", "3").await?;
     std::fs::remove_file(&pause)?;
     cluster.control(&leader)?.process().thaw()?;
     wait::until("the stale order", async || {
@@ -123,7 +123,7 @@
         (newest > before).then_some(())
     })
     .await?;
-    obeys(&mut cluster, "target", "3").await?;
+    wait_obeyed(&mut cluster, "target", "3").await?;
     orders(&mut cluster, "target").await
 }
 
@@ -133,7 +133,7 @@
 /// it.
 #[actix_rt::test]
 async fn a_stale_order_is_refused() -> Result<()> {
-    let orders = after_a_stale_order(true).await?;
+    let orders = orders_after_a_stale_one(true).await?;
     let newest = orders.iter().position(|order| version(order) == "3");
     let obeyed = |order: &&Value| version(order) == "2" && order["obeyed"] == true;
     let stale = orders[newest.unwrap_or_default()..].iter().find(obeyed);
@@ -145,7 +145,7 @@
 /// version that the operator has replaced; it must be back at the new one soon.
 #[actix_rt::test]
 async fn a_stale_order_is_repaired() -> Result<()> {
-    let orders = after_a_stale_order(false).await?;
+    let orders = orders_after_a_stale_one(false).await?;
     assert_eq!(orders.last().map(version), Some("3"), "{orders:?}");
     Ok(())
 }
@@ -157,16 +157,16 @@
 async fn loads_are_paced() -> Result<()> {
     let pace = json!({"targets": {"loads_per_minute": 120, "burst": 1}});
     let mut cluster = builder(1).control(pace).start().await?;
-    versioned(&cluster, "1").await?;
-    role(&cluster).await?;
+    apply_version(&cluster, "1").await?;
+    apply_role(&cluster).await?;
     let names: Vec<String> = (0..4).map(|number| format!("engine-{number}")).collect();
     for name in &names {
-        engine(&mut cluster, name, true).await?;
+        start_engine(&mut cluster, name, true).await?;
     }
-    versioned(&cluster, "2").await?;
+    apply_version(&cluster, "2").await?;
     let mut times = Vec::new();
     for name in &names {
-        obeys(&mut cluster, name, "2").await?;
+        wait_obeyed(&mut cluster, name, "2").await?;
         let orders = orders(&mut cluster, name).await?;
         times.extend(orders.first().and_then(|order| order["at"].as_u64()));
     }
--- a/tests/tests/documented.rs
+++ b/tests/tests/documented.rs
@@ -15,13 +15,13 @@
 const CHAT: &str = "/v1/chat/completions";
 
 /// An answer as a page shows it.
-struct Shown {
+struct Example {
     status: u16,
     headers: Vec<String>,
     body: Value,
 }
 
-impl Shown {
+impl Example {
     /// Reads a block: a status and headers, if the page shows them, and a JSON body.
     fn parse(block: &str) -> Result<Self> {
         let status = block
@@ -60,7 +60,7 @@
     request.key(KEY).send().await
 }
 
-async fn callers() -> Result<Cluster> {
+async fn start_for_callers() -> Result<Cluster> {
     let entry = json!({"tickets": {"linger_ms": 200}});
     let builder = Cluster::builder().zone("patras", "a", 2).entry(entry);
     let mut cluster = builder.start().await?;
@@ -82,7 +82,7 @@
 
 #[actix_rt::test]
 async fn callers_page_shows_what_is_answered() -> Result<()> {
-    let mut cluster = callers().await?;
+    let mut cluster = start_for_callers().await?;
     let address = cluster.entry("patras-a-1")?.address("callers")?;
     let room = json!({"model": MODEL, "messages": [{"role": "user", "content": "room"}]});
     cluster.serves(address, KEY, &room).await?;
@@ -99,13 +99,13 @@
             continue;
         }
         let got = call(address, request).await?;
-        Shown::parse(answer)?.check(&got, request)?;
+        Example::parse(answer)?.check(&got, request)?;
         tried += 1;
     }
     assert_eq!(tried, 4, "calls on the page");
     let refused = blocks.iter().find(|block| block.starts_with("404"));
     let unknown = call(address, &format!("POST {CHAT}\n{{\"model\":\"none\"}}")).await?;
-    Shown::parse(refused.map_or("", String::as_str))?.check(&unknown, "no route")?;
+    Example::parse(refused.map_or("", String::as_str))?.check(&unknown, "no route")?;
     let shown = blocks.iter().find(|block| block.starts_with("data: "));
     check_events(address, shown.map_or("", String::as_str)).await?;
     cluster.stop().await
@@ -207,8 +207,8 @@
         let run = cluster.ctl(&words).await?;
         println!("{command}: {:?}", run.code);
         // What narrows is pending until the last instance has confirmed it.
-        let fine = run.code == Some(0) || run.code == Some(4) && command.contains("residency");
-        assert!(fine, "{command}: {run:?}");
+        let accepted = run.code == Some(0) || run.code == Some(4) && command.contains("residency");
+        assert!(accepted, "{command}: {run:?}");
         tried += 1;
     }
     assert!(tried >= 16, "{tried} commands");
--- a/tests/tests/history.rs
+++ b/tests/tests/history.rs
@@ -175,7 +175,7 @@
     ($($name:ident: [$($answer:expr),*], $runs:literal => $expected:literal;)+) => {$(
         #[test]
         fn $name() {
-            let answers = [$($answer),*].map(told);
+            let answers = [$($answer),*].map(parse_answer);
             let mut calls = Vec::new();
             for (answer, began) in answers.into_iter().zip((1..).step_by(2)) {
                 calls.push(Call {
@@ -197,7 +197,7 @@
     )+};
 }
 
-fn told(answer: &str) -> Option<ticket::Answer> {
+fn parse_answer(answer: &str) -> Option<ticket::Answer> {
     match answer {
         "unknown" => None,
         "not run" => Some(ticket::Answer::NotRun),
--- a/tests/tests/load.rs
+++ b/tests/tests/load.rs
@@ -14,12 +14,12 @@
 const MODEL: &str = "map-labels";
 
 /// Runs the load tool against one stand-in engine without the system between.
-async fn direct(engine: Value, change: Value) -> Result<Value> {
-    Ok(connecting(engine, change).await?.0)
+async fn run_direct(engine: Value, change: Value) -> Result<Value> {
+    Ok(run_counting_connections(engine, change).await?.0)
 }
 
-/// As [`direct`]; returns also how many connections the load tool opened.
-async fn connecting(engine: Value, change: Value) -> Result<(Value, u64)> {
+/// As [`run_direct`]; returns also how many connections the load tool opened.
+async fn run_counting_connections(engine: Value, change: Value) -> Result<(Value, u64)> {
     let mut engine_settings = json!({
         "kind": "engine", "listen": ANY,
         "engine": {"models": [{"model": "map-labels", "version": "1"}]},
@@ -55,7 +55,7 @@
         {"client": "maps", "model": "map-labels", "rate": 10, "arrivals": "fixed", "tokens": 2,
          "stream": true},
     ]});
-    let (variant, opened) = connecting(json!({}), few).await?;
+    let (variant, opened) = run_counting_connections(json!({}), few).await?;
     let answered = variant["all"]["answered"].as_u64();
     println!("{answered:?} streams, {opened} connections");
     assert!(answered > Some(10), "{variant}");
@@ -65,7 +65,7 @@
 
 #[actix_rt::test]
 async fn answers_are_counted_and_audited() -> Result<()> {
-    let variant = direct(json!({}), json!({})).await?;
+    let variant = run_direct(json!({}), json!({})).await?;
     let all = &variant["all"];
     assert!(all["requests"].as_u64() > Some(20));
     assert_eq!(all["answered"], all["requests"]);
@@ -127,7 +127,7 @@
         {"client": "maps", "model": "map-labels", "rate": 200, "arrivals": "fixed",
          "until_ms": 200, "tokens": 1},
     ]});
-    let variant = direct(slow, fixed).await?;
+    let variant = run_direct(slow, fixed).await?;
     let all = &variant["all"];
     assert_eq!(all["answered"], 39);
     assert!(all["whole"]["max"].as_u64() > Some(1_500_000), "{all}");
@@ -139,7 +139,7 @@
 /// the right text, whoever was told "not run" none, and no work that may run once may have run twice:
 /// work that ran twice is billed twice.
 #[actix_rt::test]
-async fn the_system_keeps_its_word_while_an_engine_is_lost() -> Result<()> {
+async fn outcomes_match_ledgers_while_an_engine_is_lost() -> Result<()> {
     let files = tempfile::tempdir()?;
     let mut cluster = Cluster::builder()
         .zone("patras", "a", 2)
@@ -155,7 +155,7 @@
     cluster.client("studio", "key-2").await?;
     cluster.model(MODEL).await?;
     cluster.located("patras-a-1", "key-1", MODEL, 3).await?;
-    let mut load = under_load(&cluster, &files.path().join("report.json"))?;
+    let mut load = start_load(&cluster, &files.path().join("report.json"))?;
     let engine = cluster.target("engine-1")?.address("http")?;
     wait::until("a run at the engine", async || {
         let ledger = http::get(engine, "/ledger")
@@ -179,7 +179,7 @@
     Ok(())
 }
 
-fn under_load(cluster: &Cluster, report: &Path) -> Result<Process> {
+fn start_load(cluster: &Cluster, report: &Path) -> Result<Process> {
     let of = |role: &str| -> Vec<SocketAddr> {
         let nodes = cluster.nodes();
         nodes.filter_map(|node| node.address(role).ok()).collect()
--- a/tests/tests/operator_calls.rs
+++ b/tests/tests/operator_calls.rs
@@ -17,7 +17,7 @@
     Ok(cluster)
 }
 
-async fn print(cluster: &Cluster, arguments: &[&str]) -> Result<Value> {
+async fn ctl_json(cluster: &Cluster, arguments: &[&str]) -> Result<Value> {
     cluster.ctl(arguments).await?.json()
 }
 
@@ -57,15 +57,15 @@
     for (kind, object) in &objects {
         let id = object["id"].as_str().unwrap_or_default();
         cluster.apply(&json!({*kind: object})).await?;
-        let record = print(&cluster, &["get", kind, id]).await?;
+        let record = ctl_json(&cluster, &["get", kind, id]).await?;
         assert_eq!(record["object"][kind]["id"], id, "{record}");
-        let list = print(&cluster, &["list", kind]).await?;
+        let list = ctl_json(&cluster, &["list", kind]).await?;
         assert!(names(&list, kind).contains(&id.to_owned()), "{list}");
     }
     for (kind, object) in objects.iter().rev() {
         let id = object["id"].as_str().unwrap_or_default();
-        print(&cluster, &["--wait", "10000", "delete", kind, id]).await?;
-        let list = print(&cluster, &["list", kind]).await?;
+        ctl_json(&cluster, &["--wait", "10000", "delete", kind, id]).await?;
+        let list = ctl_json(&cluster, &["list", kind]).await?;
         assert!(!names(&list, kind).contains(&id.to_owned()), "{list}");
     }
     cluster.stop().await
@@ -96,18 +96,20 @@
     let messages = json!([{"role": "user", "content": "Which rooms are there?"}]);
     let body = json!({"model": MODEL, "max_tokens": 2, "messages": messages});
     cluster.serves(address, KEY, &body).await?;
-    let status = print(&cluster, &["status"]).await?;
+    let status = ctl_json(&cluster, &["status"]).await?;
     assert_eq!(status["instances"][0]["instance"], "patras-a-1", "{status}");
-    let instance = print(&cluster, &["instance", "patras-a-1"]).await?;
+    let instance = ctl_json(&cluster, &["instance", "patras-a-1"]).await?;
     assert_eq!(instance["region"], "patras", "{instance}");
     let revision = status["revision"].to_string();
     wait::until("the change in force", async || {
-        let change = print(&cluster, &["change", &revision]).await.ok()?;
+        let change = ctl_json(&cluster, &["change", &revision]).await.ok()?;
         (change["waiting"] == json!([])).then_some(())
     })
     .await?;
     wait::until("the client's histogram", async || {
-        let answer = print(&cluster, &["histograms", "patras-a-1"]).await.ok()?;
+        let answer = ctl_json(&cluster, &["histograms", "patras-a-1"])
+            .await
+            .ok()?;
         let rows = answer["histograms"].as_array()?.clone();
         let whole = |row: &&Value| row["name"] == "request.whole" && row["client"] == CLIENT;
         (rows.iter().find(whole)?["count"].as_u64()? > 0).then_some(())
--- a/tests/tests/pages.rs
+++ b/tests/tests/pages.rs
@@ -14,12 +14,12 @@
 }
 
 /// Files below a folder whose name ends with `ending`, build results left out.
-fn files(folder: &Path, ending: &str, found: &mut Vec<PathBuf>) {
+fn collect_files(folder: &Path, ending: &str, found: &mut Vec<PathBuf>) {
     for entry in fs::read_dir(folder).expect("folder is readable").flatten() {
         let path = entry.path();
         let name = entry.file_name().to_string_lossy().into_owned();
         if path.is_dir() && name != "target" && !name.starts_with('.') {
-            files(&path, ending, found);
+            collect_files(&path, ending, found);
         } else if name.ends_with(ending) {
             found.push(path);
         }
@@ -38,7 +38,7 @@
 }
 
 /// Finds the lines of a test file that name a test, as a function or as a case of a macro.
-fn holds(file: &str, name: &str, sources: &[PathBuf]) -> bool {
+fn has_test(file: &str, name: &str, sources: &[PathBuf]) -> bool {
     let last = name.rsplit("::").next().unwrap_or(name);
     sources
         .iter()
@@ -56,10 +56,10 @@
     // A row that names a test which was renamed or removed claims a proof nobody can rerun.
     let page = fs::read_to_string(root().join("docs/PROOFS.md")).expect("docs/PROOFS.md");
     let mut sources = Vec::new();
-    files(&root(), ".rs", &mut sources);
+    collect_files(&root(), ".rs", &mut sources);
     let missing: Vec<_> = named_tests(&page)
         .into_iter()
-        .filter(|(file, name)| !holds(file, name, &sources))
+        .filter(|(file, name)| !has_test(file, name, &sources))
         .collect();
     assert!(
         missing.is_empty(),
@@ -71,21 +71,21 @@
 fn every_row_of_proofs_has_a_test_or_says_why_not() {
     // An empty cell reads as proved to a hurried reader.
     let page = fs::read_to_string(root().join("docs/PROOFS.md")).expect("docs/PROOFS.md");
-    let silent: Vec<&str> = page
+    let unexplained: Vec<&str> = page
         .lines()
         .filter(|line| line.starts_with("| ") && !line.contains("| test |"))
         .filter(|line| !line.contains("::") && !line.contains("not proved: "))
         .collect();
     assert!(
-        silent.is_empty(),
-        "rows without a test or a reason: {silent:?}"
+        unexplained.is_empty(),
+        "rows without a test or a reason: {unexplained:?}"
     );
 }
 
 #[test]
-fn every_link_between_pages_leads_somewhere() {
+fn every_link_between_pages_resolves() {
     let mut pages = Vec::new();
-    files(&root(), ".md", &mut pages);
+    collect_files(&root(), ".md", &mut pages);
     let mut broken = Vec::new();
     for page in &pages {
         let text = fs::read_to_string(page).expect("page is readable");
--- a/tests/tests/path/cold.rs
+++ b/tests/tests/path/cold.rs
@@ -9,8 +9,8 @@
 
 /// Requests that must have gone elsewhere after the first one that was served at home again, and
 /// those at home one after the other by which all traffic counts as returned.
-const ELSEWHERE: usize = 3;
-const RETURNED: usize = 30;
+const MIN_ELSEWHERE: usize = 3;
+const MIN_CONSECUTIVE_AT_HOME: usize = 30;
 
 /// Asks once and returns the target that served.
 async fn served_by(address: SocketAddr, number: usize) -> Option<String> {
@@ -20,7 +20,7 @@
 }
 
 /// Waits until a target serves.
-async fn serving(address: SocketAddr, target: &str) -> Result<()> {
+async fn wait_served_by(address: SocketAddr, target: &str) -> Result<()> {
     wait::until(&format!("{target} serving"), async || {
         (served_by(address, 0).await? == target).then_some(())
     })
@@ -46,14 +46,14 @@
     configure(&mut cluster).await?;
     cluster.located("patras-a-1", KEY, MODEL, 2).await?;
     let address = cluster.entry("patras-a-1")?.address("callers")?;
-    serving(address, "engine-1").await?;
+    wait_served_by(address, "engine-1").await?;
     cluster.target("engine-1")?.process().kill()?;
     cluster
         .entry("patras-a-1")?
         .process()
         .event("target-gone")
         .await?;
-    serving(address, "engine-2").await?;
+    wait_served_by(address, "engine-2").await?;
     cluster.target("engine-1")?.restart().await?;
     let mut asked = 0;
     wait::until("the first request at home", async || {
@@ -62,15 +62,15 @@
     })
     .await?;
     let mut elsewhere = 0;
-    let mut row = 0;
+    let mut consecutive = 0;
     wait::until("all requests at home", async || {
         asked += 1;
         let home = served_by(address, asked).await? == "engine-1";
         elsewhere += usize::from(!home);
-        row = if home { row + 1 } else { 0 };
-        (row >= RETURNED).then_some(())
+        consecutive = if home { consecutive + 1 } else { 0 };
+        (consecutive >= MIN_CONSECUTIVE_AT_HOME).then_some(())
     })
     .await?;
-    assert!(elsewhere >= ELSEWHERE, "{elsewhere} went elsewhere");
+    assert!(elsewhere >= MIN_ELSEWHERE, "{elsewhere} went elsewhere");
     cluster.stop().await
 }
--- a/tests/tests/path/drain.rs
+++ b/tests/tests/path/drain.rs
@@ -5,7 +5,7 @@
 use zinniastall_tests::{Result, http, wait};
 
 use super::support::{
-    ask, ask_once, chat, ends_well, error, expected, terminate, ticket, zone, zone_with,
+    ask, ask_once, chat, error, exits_cleanly, expected, terminate, ticket, zone, zone_with,
 };
 
 // An operator restarts an instance while a long answer streams through it. The stream must arrive
@@ -30,7 +30,7 @@
     assert_eq!(error(&answer).0, "not-run");
     let answer = reading.await.expect("the reader ends")?;
     assert_eq!(answer, (expected("a long brief", 40), true));
-    ends_well(&mut cluster, "patras-a-1").await
+    exits_cleanly(&mut cluster, "patras-a-1").await
 }
 
 // An instance is told to stop right after it has run a billed proposal whose answer was lost. The
@@ -50,13 +50,13 @@
         let again = ask_once(address, &ticket, &body).send().await?;
         assert_eq!(again.text(), answer.text());
     }
-    ends_well(&mut cluster, "patras-a-1").await
+    exits_cleanly(&mut cluster, "patras-a-1").await
 }
 
 // Engines are replaced while callers keep asking. No request may fail for it, and an engine that
 // has said it leaves gets no new work after two seconds.
 #[actix_rt::test]
-async fn leaving_target_under_load_fails_nobody() -> Result<()> {
+async fn leaving_target_under_load_fails_no_request() -> Result<()> {
     let engine = json!({"engine": {"token_us": 2000}, "slots": 16});
     let mut cluster = zone_with(&[engine.clone(), engine], json!({})).await?;
     let address = cluster.entry("patras-a-1")?.address("callers")?;
--- a/tests/tests/path/entry_lost.rs
+++ b/tests/tests/path/entry_lost.rs
@@ -26,7 +26,7 @@
 
 /// Loses an instance when the engine has stopped at a point of a stream, and asks again at the other
 /// instance of the zone. Compares what both were told with the engine's ledger.
-async fn lose(point: &str, events: usize, freeze: bool, once: bool) -> Result<()> {
+async fn lose_instance(point: &str, events: usize, freeze: bool, once: bool) -> Result<()> {
     let entry = json!({"stall_ms": 2000, "tickets": {"linger_ms": 200}});
     let mut cluster = zone_with(&[engine("none", "die", 0)], entry).await?;
     cluster
@@ -89,7 +89,7 @@
     ($($name:ident: $point:literal, $events:expr, $freeze:literal, $once:literal;)+) => {$(
         #[actix_rt::test]
         async fn $name() -> Result<()> {
-            lose($point, $events, $freeze, $once).await
+            lose_instance($point, $events, $freeze, $once).await
         }
     )+};
 }
--- a/tests/tests/path/forward.rs
+++ b/tests/tests/path/forward.rs
@@ -13,8 +13,8 @@
 };
 
 use super::support::{
-    CLIENT, KEY, MODEL, System, ask, ask_once, chat, configure, error, expected, linger, runs,
-    ticket,
+    CLIENT, KEY, MODEL, System, ask, ask_once, chat, configure, error, expected, runs,
+    short_linger, ticket,
 };
 
 /// Starts two regions; only the far one has an engine.
@@ -27,7 +27,7 @@
     let builder = Cluster::builder()
         .zone("patras", "a", 1)
         .zone("athens", "a", 1)
-        .entry(linger())
+        .entry(short_linger())
         .entry(entry);
     let mut cluster = System::start(builder).await?;
     cluster
@@ -86,10 +86,10 @@
 // An operator withdraws a region from a client while its requests fly there. Once the change is
 // accepted, no further request runs in that region, and callers are told that theirs did not.
 #[actix_rt::test]
-async fn narrowed_residency_holds_while_requests_fly() -> Result<()> {
+async fn narrowed_residency_holds_while_requests_are_in_flight() -> Result<()> {
     let mut cluster = regions().await?;
     let address = cluster.entry("patras-a-1")?.address("callers")?;
-    let flying = actix_rt::spawn(async move {
+    let in_flight = actix_rt::spawn(async move {
         let mut refused = 0;
         for number in 0..400 {
             let body = chat(&format!("flying {number}"), 1, false);
@@ -116,7 +116,7 @@
     .await?;
     let accepted = now();
     assert!(
-        flying.await.expect("the load ends")? > 0,
+        in_flight.await.expect("the load ends")? > 0,
         "none was refused"
     );
     let late: Vec<Value> = cluster.ledger("engine-1").await?;
@@ -147,7 +147,7 @@
         .serves(address, KEY, &chat("probe", 1, false))
         .await?;
     let long = |number| chat(&format!("long {number}"), 150, false);
-    let flying: Vec<_> = (0..4)
+    let in_flight: Vec<_> = (0..4)
         .map(|number| actix_rt::spawn(ask(address, &long(number)).send()))
         .collect();
     wait::until("the engine busy", async || {
@@ -162,8 +162,8 @@
         .await?;
     assert_eq!(run.json()?["outcome"], "accepted");
     let mut refused = 0;
-    for flying in flying {
-        let answer = flying.await.map_err(std::io::Error::other)??;
+    for in_flight in in_flight {
+        let answer = in_flight.await.map_err(std::io::Error::other)??;
         if answer.status() != 200 {
             assert_eq!(error(&answer).0, "not-run", "{}", answer.text());
             refused += 1;
@@ -219,7 +219,7 @@
     let far = cluster.entry("athens-a-1")?.address("callers")?;
     let body = chat("a long request", 150, false);
     let request = ask(address, &body).header("x-zinniastall-deadline-ms", "30000");
-    let flying = actix_rt::spawn(request.send());
+    let in_flight = actix_rt::spawn(request.send());
     wait::until("the request running", async || {
         let runs = runs(&mut cluster, "engine-1", &body).await.ok()?;
         (runs.len() == 1).then_some(())
@@ -230,7 +230,7 @@
     }
     cluster.partition(|node| node.region() == "athens");
     let cut = Instant::now();
-    let answer = flying.await.expect("the request ends")?;
+    let answer = in_flight.await.expect("the request ends")?;
     assert_eq!(error(&answer).0, "unknown", "{}", answer.text());
     // Long before its deadline: the link was found silent.
     assert!(
--- a/tests/tests/path/forwarded.rs
+++ b/tests/tests/path/forwarded.rs
@@ -7,7 +7,7 @@
 
 use super::{
     forward::{regions, regions_with},
-    support::{ask, ask_once, chat, ends_well, expected, runs, terminate, ticket},
+    support::{ask, ask_once, chat, exits_cleanly, expected, runs, terminate, ticket},
 };
 
 /// Names a case: an instance that is asked to end while requests cross from Patras to Athens, as a
@@ -36,7 +36,7 @@
             assert_eq!(once?, (expected("a bill", 20), true));
             let whole = whole.await.map_err(std::io::Error::other)??;
             assert_eq!(whole.status(), 200, "{}", whole.text());
-            ends_well(&mut cluster, $entry).await?;
+            exits_cleanly(&mut cluster, $entry).await?;
             for body in &bodies {
                 assert_eq!(runs(&mut cluster, "engine-1", body).await?.len(), 1);
             }
@@ -72,7 +72,7 @@
     let (text, done) = reading.await.map_err(std::io::Error::other)??;
     assert!(done, "cut after {} bytes", text.len());
     assert_eq!(text, expected("a long proposal", 1000));
-    ends_well(&mut cluster, "athens-a-1").await
+    exits_cleanly(&mut cluster, "athens-a-1").await
 }
 
 // A long proposal streams for several times the deadline of its first part, across regions, while
@@ -98,7 +98,7 @@
         started.elapsed()
     );
     for entry in ["athens-a-1", "patras-a-1"] {
-        ends_well(&mut cluster, entry).await?;
+        exits_cleanly(&mut cluster, entry).await?;
     }
     Ok(())
 }
--- a/tests/tests/path/frames.rs
+++ b/tests/tests/path/frames.rs
@@ -14,19 +14,19 @@
 };
 
 /// Request whose frames are changed.
-const ID: &str = "changed-on-its-way";
+const REQUEST_ID: &str = "changed-on-its-way";
 const TOKENS: usize = 8;
 const PROMPT: &str = "a billed proposal";
 
-/// Puts a relay before Athens that changes the frames of the request [`ID`].
-async fn changing(
+/// Puts a relay before Athens that changes the frames of the request [`REQUEST_ID`].
+async fn start_with_relay(
     mut change: impl FnMut(Way, Message) -> Vec<Message> + Send + 'static,
 ) -> Result<(System, Frames)> {
     let mut cluster = regions().await?;
     let mut marked = None;
     let change = move |way, message: Message| {
         if let Message::Open(open) = &message
-            && open.request == ID
+            && open.request == REQUEST_ID
         {
             marked = Some(open.stream);
         }
@@ -49,7 +49,7 @@
 }
 
 /// Asks again over the same link. A region that has broken an answer is left alone for a while.
-async fn next_is_whole(cluster: &System, address: SocketAddr) -> Result<()> {
+async fn check_next_answer(cluster: &System, address: SocketAddr) -> Result<()> {
     cluster
         .serves(address, KEY, &chat("probe", 1, false))
         .await?;
@@ -66,10 +66,10 @@
     ($($name:ident: $whole:literal, $change:expr;)+) => {$(
         #[actix_rt::test]
         async fn $name() -> Result<()> {
-            let (mut cluster, _frames) = changing($change).await?;
+            let (mut cluster, _frames) = start_with_relay($change).await?;
             let address = cluster.entry("patras-a-1")?.address("callers")?;
             let (ticket, body) = (ticket(address).await?, chat(PROMPT, TOKENS, true));
-            let request = ask_once(address, &ticket, &body).header("x-zinniastall-request", ID);
+            let request = ask_once(address, &ticket, &body).header("x-zinniastall-request", REQUEST_ID);
             let (_, events) = request.stream().await?;
             let (text, done) = http::content(events).await?;
             assert_eq!(done, $whole, "{text}");
@@ -79,7 +79,7 @@
             let outcome = if done { String::new() } else { "unknown".to_owned() };
             assert_eq!(error(&again).0, outcome, "{}", again.text());
             assert_eq!(runs(&mut cluster, "engine-1", &body).await?.len(), 1);
-            next_is_whole(&cluster, address).await?;
+            check_next_answer(&cluster, address).await?;
             cluster.stop().await
         }
     )+};
@@ -144,7 +144,7 @@
         async fn $name() -> Result<()> {
             let (mut opened, mut ended) = (None, false);
             let (again, mut repeated) = tokio::sync::mpsc::unbounded_channel();
-            let (mut cluster, _frames) = changing(move |way, message| {
+            let (mut cluster, _frames) = start_with_relay(move |way, message| {
                 if let Message::Open(open) = &message {
                     opened = Some(Message::Open(open.clone()));
                 }
@@ -161,11 +161,11 @@
             let ticket = ticket(address).await?;
             let body = chat(PROMPT, TOKENS, true);
             let request = if $once { ask_once(address, &ticket, &body) } else { ask(address, &body) };
-            let (_, events) = request.header("x-zinniastall-request", ID).stream().await?;
+            let (_, events) = request.header("x-zinniastall-request", REQUEST_ID).stream().await?;
             assert_eq!(http::content(events).await?, (expected(PROMPT, TOKENS), true));
             assert_eq!(repeated.recv().await, Some(()));
             // Whatever the doubled frame has started would be in the ledger before this one.
-            next_is_whole(&cluster, address).await?;
+            check_next_answer(&cluster, address).await?;
             assert_eq!(runs(&mut cluster, "engine-1", &body).await?.len(), 1);
             cluster.stop().await
         }
--- a/tests/tests/path/hops.rs
+++ b/tests/tests/path/hops.rs
@@ -83,8 +83,8 @@
     let name = match dial(None).await {
         Ok(link) => {
             let name = link.peer().cluster.clone();
-            let told = answer(link, open(1, &["patras/a", "athens/a"])).await;
-            assert_eq!(told, None, "a stranger was answered");
+            let reply = answer(link, open(1, &["patras/a", "athens/a"])).await;
+            assert_eq!(reply, None, "a stranger was answered");
             name
         }
         Err(error) => panic!("{error}"),
@@ -104,23 +104,23 @@
     ];
     for hops in forged {
         let link = dial(name.clone()).await.map_err(std::io::Error::other)?;
-        let told = answer(link, open(1, hops)).await;
+        let reply = answer(link, open(1, hops)).await;
         let Some(Message::Failed {
             failure: Failure::NotRun { reason, .. },
             ..
-        }) = told
+        }) = reply
         else {
-            panic!("{hops:?} was not refused: {told:?}");
+            panic!("{hops:?} was not refused: {reply:?}");
         };
         assert!(reason.contains("border"), "{hops:?}: {reason}");
     }
     let body = chat("forged", 1, false);
     assert_eq!(runs(&mut cluster, "engine-1", &body).await?.len(), 0);
     let link = dial(name).await.map_err(std::io::Error::other)?;
-    let told = answer(link, open(1, &["patras/a", "athens/a"])).await;
+    let reply = answer(link, open(1, &["patras/a", "athens/a"])).await;
     assert!(
-        matches!(told, Some(Message::Head { status: 200, .. })),
-        "{told:?}"
+        matches!(reply, Some(Message::Head { status: 200, .. })),
+        "{reply:?}"
     );
     cluster.stop().await
 }
@@ -155,27 +155,30 @@
     for region in places {
         cluster.target(region)?.process().kill()?;
     }
-    let asking = (0..6).map(|number| {
+    let requests = (0..6).map(|number| {
         let body = chat(&format!("request {number}"), 1, false);
         let request = ask(addresses[number % 2], &body);
         request
             .header("x-zinniastall-request", &format!("round-{number}"))
             .send()
     });
-    for answer in join_all(asking).await {
+    for answer in join_all(requests).await {
         let answer = answer?;
         assert_ne!(answer.status(), 200, "{}", answer.text());
     }
     for (side, region) in places.iter().enumerate() {
         let process = cluster.entry(&format!("{region}-a-1"))?.process();
         process.stop().await?;
-        let came = process.log().events("forwarded");
+        let received = process.log().events("forwarded");
         let round = |line: &String| field(line, "request")?.strip_prefix("round-")?.parse().ok();
-        let came: Vec<usize> = came.iter().filter_map(round).collect();
-        assert!(!came.is_empty(), "nothing was sent to {region}");
+        let received: Vec<usize> = received.iter().filter_map(round).collect();
+        assert!(!received.is_empty(), "nothing was sent to {region}");
         // Even numbers were received in the first region, odd ones in the second.
-        let back: Vec<_> = came.iter().filter(|number| *number % 2 == side).collect();
-        assert!(back.is_empty(), "sent back to {region}: {back:?}");
+        let sent_back: Vec<_> = received
+            .iter()
+            .filter(|number| *number % 2 == side)
+            .collect();
+        assert!(sent_back.is_empty(), "sent back to {region}: {sent_back:?}");
     }
     Ok(())
 }
--- a/tests/tests/path/once.rs
+++ b/tests/tests/path/once.rs
@@ -9,14 +9,14 @@
     CHAT, KEY, ONCE, ask, ask_once, chat, error, expected, runs, text, ticket, zone,
 };
 
-const SLOW: u64 = 150_000;
+const TOKEN_US: u64 = 150_000;
 
 fn engines() -> [serde_json::Value; 2] {
-    let engine = json!({"engine": {"token_us": SLOW}});
+    let engine = json!({"engine": {"token_us": TOKEN_US}});
     [engine.clone(), engine]
 }
 
-async fn ran(
+async fn count_runs(
     cluster: &mut zinniastall_tests::cluster::Cluster,
     body: &serde_json::Value,
 ) -> Result<usize> {
@@ -25,21 +25,21 @@
 }
 
 #[actix_rt::test]
-async fn without_a_ticket_it_is_refused_with_one() -> Result<()> {
+async fn request_without_a_ticket_is_refused_with_a_new_one() -> Result<()> {
     let mut cluster = zone(&engines()).await?;
     let address = cluster.entry("patras-a-1")?.address("callers")?;
     let body = chat("a schedule", 2, false);
     let answer = ask(address, &body).header(ONCE.0, ONCE.1).send().await?;
     assert_eq!(answer.status(), 428);
     assert_eq!(error(&answer), ("not-run".into(), "ticket-required".into()));
-    assert_eq!(ran(&mut cluster, &body).await?, 0);
+    assert_eq!(count_runs(&mut cluster, &body).await?, 0);
     let ticket = text(&answer.json()?["error"]["ticket"]);
     let answer = ask_once(address, &ticket, &body).send().await?;
     assert_eq!(answer.status(), 200, "{}", answer.text());
     let other = chat("another schedule", 2, false);
     let answer = ask_once(address, &ticket, &other).send().await?;
     assert_eq!(answer.status(), 409);
-    assert_eq!(ran(&mut cluster, &other).await?, 0);
+    assert_eq!(count_runs(&mut cluster, &other).await?, 0);
     cluster.stop().await
 }
 
@@ -47,7 +47,7 @@
 // the same instance or to another one. It must run once, and the caller gets
 // the answer of that one run.
 #[actix_rt::test]
-async fn lost_answer_is_read_again_anywhere() -> Result<()> {
+async fn lost_answer_is_replayed_by_any_instance() -> Result<()> {
     let mut cluster = zone(&engines()).await?;
     let first = cluster.entry("patras-a-1")?.address("callers")?;
     let second = cluster.entry("patras-a-2")?.address("callers")?;
@@ -63,7 +63,7 @@
         let answer = text(&answer.json()?["choices"][0]["message"]["content"]);
         assert_eq!(answer, expected("a billed proposal", 4));
     }
-    assert_eq!(ran(&mut cluster, &body).await?, 1);
+    assert_eq!(count_runs(&mut cluster, &body).await?, 1);
     cluster.stop().await
 }
 
@@ -86,21 +86,21 @@
     for answer in futures_util::future::join_all(reading).await {
         assert_eq!(answer?, (expected("a proposal", 4), true));
     }
-    assert_eq!(ran(&mut cluster, &body).await?, 1);
+    assert_eq!(count_runs(&mut cluster, &body).await?, 1);
     cluster.stop().await
 }
 
 // The instance that issued the ticket is killed while the request runs, and later started again. It
 // has lost its marks, so nobody may run the ticket, and nobody may say "not run".
 #[actix_rt::test]
-async fn killed_issuer_leaves_it_unknown() -> Result<()> {
+async fn killed_issuer_leaves_the_outcome_unknown() -> Result<()> {
     let mut cluster = zone(&engines()).await?;
     let first = cluster.entry("patras-a-1")?.address("callers")?;
     let second = cluster.entry("patras-a-2")?.address("callers")?;
     let (ticket, body) = (ticket(first).await?, chat("a billed proposal", 20, false));
     let running = actix_rt::spawn(ask_once(first, &ticket, &body).send());
     wait::until("the request running", async || {
-        (ran(&mut cluster, &body).await.ok()? == 1).then_some(())
+        (count_runs(&mut cluster, &body).await.ok()? == 1).then_some(())
     })
     .await?;
     cluster.entry("patras-a-1")?.process().kill()?;
@@ -117,7 +117,7 @@
         .await?;
     let answer = ask_once(address, &ticket, &body).send().await?;
     assert_eq!(error(&answer).0, "unknown", "{}", answer.text());
-    assert_eq!(ran(&mut cluster, &body).await?, 1);
+    assert_eq!(count_runs(&mut cluster, &body).await?, 1);
     Ok(())
 }
 
@@ -135,7 +135,7 @@
         .send()
         .await?;
     assert_eq!(error(&answer).0, "unknown", "{}", answer.text());
-    assert_eq!(ran(&mut cluster, &body).await?, 0);
+    assert_eq!(count_runs(&mut cluster, &body).await?, 0);
     cluster.entry("patras-a-1")?.process().thaw()?;
     let what = "the issuer answering again";
     wait::until(what, async || {
@@ -147,6 +147,6 @@
     .await?;
     // The frame that the issuer found when it went on may have come later than the resend.
     tokio::time::sleep(Duration::from_millis(300)).await;
-    assert_eq!(ran(&mut cluster, &body).await?, 1);
+    assert_eq!(count_runs(&mut cluster, &body).await?, 1);
     cluster.stop().await
 }
--- a/tests/tests/path/overtake.rs
+++ b/tests/tests/path/overtake.rs
@@ -11,7 +11,7 @@
 use super::support::{CLIENT, KEY, ask, chat, error};
 
 /// How much later than the home region the far one hears of a change.
-const LATE: Duration = Duration::from_millis(200);
+const CHANGE_DELAY: Duration = Duration::from_millis(200);
 
 // A client is let in again, and its first request leaves for another region before the change has
 // arrived there. Judged by the older configuration it would be refused, although the operator has
@@ -28,7 +28,7 @@
         .ctl(&["--wait", "10000", "apply", &withdraw])
         .await?;
     withdrawn.json()?;
-    let slow = Rule::default().with(Way::Both, |lane| lane.delay = LATE);
+    let slow = Rule::default().with(Way::Both, |lane| lane.delay = CHANGE_DELAY);
     cluster.links(|from, to| {
         let far = from.name() == "athens-a-1" && to.name().starts_with("control");
         far.then_some(slow)
--- a/tests/tests/path/poison.rs
+++ b/tests/tests/path/poison.rs
@@ -9,7 +9,7 @@
 
 /// Engines of the zone, and how many of them one request may take down.
 const ENGINES: usize = 5;
-const LIMIT: usize = 3;
+const MAX_CRASHED: usize = 3;
 
 /// A caller's request takes down one engine after the other, over two entry instances.
 #[actix_rt::test]
@@ -30,6 +30,6 @@
     for name in &names {
         ended += usize::from(cluster.target(name)?.process().ended().is_some());
     }
-    assert!(ended <= LIMIT, "{ended} engines ended");
+    assert!(ended <= MAX_CRASHED, "{ended} engines ended");
     Ok(())
 }
--- a/tests/tests/path/races.rs
+++ b/tests/tests/path/races.rs
@@ -18,10 +18,10 @@
 const SEED: u64 = 20_261_202;
 const CALLERS: usize = 8;
 /// Pieces of work of a caller.
-const WORK: usize = 6;
+const WORK_PER_CALLER: usize = 6;
 const TOKENS: usize = 6;
 /// Most times that a piece of work is asked for, two at a time.
-const ASKED: usize = 4;
+const MAX_ROUNDS: usize = 4;
 /// Instances lost, by turns killed and frozen.
 const LOSSES: usize = 6;
 
@@ -37,7 +37,7 @@
     let body = chat(&work.prompt, TOKENS, false);
     let request = ask_once(address, ticket, &body).header("x-zinniastall-deadline-ms", "2000");
     let answer = request.send().await.ok()?;
-    let told = if answer.status() == 200 {
+    let reply = if answer.status() == 200 {
         let chosen = &answer.json().ok()?["choices"][0];
         Answer::Whole(text(&chosen["message"]["content"]))
     } else if error(&answer).0 == "not-run" {
@@ -45,8 +45,8 @@
     } else {
         return None;
     };
-    work.calls.end(call, told.clone());
-    Some(told)
+    work.calls.end(call, reply.clone());
+    Some(reply)
 }
 
 /// Asks for work until its end is known, at random instances, often at two at once.
@@ -55,29 +55,29 @@
     addresses: [SocketAddr; 2],
     random: Rc<RefCell<StdRng>>,
 ) -> Vec<Work> {
-    let any = || *addresses.choose(&mut *random.borrow_mut()).expect("two");
+    let pick = || *addresses.choose(&mut *random.borrow_mut()).expect("two");
     let mut done = Vec::new();
-    for piece in 0..WORK {
+    for piece in 0..WORK_PER_CALLER {
         let work = Work {
             prompt: format!("bill {number}-{piece} of {SEED}"),
             calls: Recorder::default(),
         };
         let ticket = loop {
-            match ticket(any()).await {
+            match ticket(pick()).await {
                 Ok(ticket) if !ticket.is_empty() => break ticket,
                 // The instance is away for a moment.
                 _ => tokio::time::sleep(Duration::from_millis(50)).await,
             }
         };
-        for _ in 0..ASKED {
-            let (one, other) = (any(), any());
+        for _ in 0..MAX_ROUNDS {
+            let (one, other) = (pick(), pick());
             let pause = Duration::from_millis(random.borrow_mut().random_range(0..100));
             let again = async {
                 tokio::time::sleep(pause).await;
                 send(&work, other, &ticket).await
             };
-            let told = join(send(&work, one, &ticket), again).await;
-            if told.0.or(told.1).is_some() {
+            let reply = join(send(&work, one, &ticket), again).await;
+            if reply.0.or(reply.1).is_some() {
                 break;
             }
         }
@@ -87,7 +87,7 @@
 }
 
 /// Kills and freezes the instances by turns; each returns before the next is lost.
-async fn lose(cluster: &mut System, random: &RefCell<StdRng>) -> Result<()> {
+async fn lose_instances(cluster: &mut System, random: &RefCell<StdRng>) -> Result<()> {
     for loss in 0..LOSSES {
         let pause = random.borrow_mut().random_range(200..600);
         tokio::time::sleep(Duration::from_millis(pause)).await;
@@ -108,7 +108,7 @@
 // at most, and nobody may have been told something about it that another answer or the engines'
 // ledgers belie.
 #[actix_rt::test]
-async fn racing_callers_are_told_one_truth_for_each_ticket() -> Result<()> {
+async fn racing_callers_get_consistent_outcomes_for_each_ticket() -> Result<()> {
     println!("seed {SEED}");
     let engine = json!({"engine": {"token_us": 20_000}, "slots": 4});
     let entry = json!({"tickets": {"linger_ms": 200}});
@@ -119,7 +119,7 @@
     ];
     let random = Rc::new(RefCell::new(StdRng::seed_from_u64(SEED)));
     let callers = (0..CALLERS).map(|number| caller(number, addresses, Rc::clone(&random)));
-    let (done, lost) = join(join_all(callers), lose(&mut cluster, &random)).await;
+    let (done, lost) = join(join_all(callers), lose_instances(&mut cluster, &random)).await;
     lost?;
     let (mut whole, mut refused, mut unknown) = (0, 0, 0);
     for work in done.into_iter().flatten() {
--- a/tests/tests/path/support.rs
+++ b/tests/tests/path/support.rs
@@ -23,21 +23,21 @@
 
 /// Systems that run at once. Each has half a dozen processes; many more than the machine has cores
 /// for would only measure how busy it is.
-static PLACES: Semaphore = Semaphore::const_new(4);
+static PERMITS: Semaphore = Semaphore::const_new(4);
 
 /// A system that holds its place among those that run at once.
 pub(crate) struct System {
     cluster: Cluster,
-    _place: SemaphorePermit<'static>,
+    _permit: SemaphorePermit<'static>,
 }
 
 impl System {
     /// Waits for a place and starts a system.
     pub(crate) async fn start(builder: Builder) -> Result<Self> {
-        let place = PLACES.acquire().await.expect("never closed");
+        let place = PERMITS.acquire().await.expect("never closed");
         Ok(Self {
             cluster: builder.start().await?,
-            _place: place,
+            _permit: place,
         })
     }
 }
@@ -58,12 +58,12 @@
 
 /// Starts one zone with two entry instances and engines that have these settings.
 pub(crate) async fn zone(engines: &[Value]) -> Result<System> {
-    zone_with(engines, linger()).await
+    zone_with(engines, short_linger()).await
 }
 
 /// Returns settings of entry instances that have used tickets and linger for a moment only when they
 /// stop; a test need not wait for that.
-pub(crate) fn linger() -> Value {
+pub(crate) fn short_linger() -> Value {
     json!({"tickets": {"linger_ms": 200}})
 }
 
@@ -81,7 +81,7 @@
     configure(&mut cluster).await?;
     for entry in ["patras-a-1", "patras-a-2"] {
         cluster.located(entry, KEY, MODEL, 2).await?;
-        knows(&mut cluster, entry, engines.len()).await?;
+        wait_uses_targets(&mut cluster, entry, engines.len()).await?;
     }
     Ok(cluster)
 }
@@ -94,7 +94,11 @@
 }
 
 /// Waits until an entry instance sends requests to this many targets.
-pub(crate) async fn knows(cluster: &mut Cluster, entry: &str, targets: usize) -> Result<()> {
+pub(crate) async fn wait_uses_targets(
+    cluster: &mut Cluster,
+    entry: &str,
+    targets: usize,
+) -> Result<()> {
     let address = cluster.entry(entry)?.address("callers")?;
     let mut seen = indexmap::IndexSet::new();
     wait::until(&format!("{entry} using {targets} targets"), async || {
@@ -144,7 +148,7 @@
 }
 
 /// Waits until an instance has ended by itself, without having cut a request.
-pub(crate) async fn ends_well(cluster: &mut System, entry: &str) -> Result<()> {
+pub(crate) async fn exits_cleanly(cluster: &mut System, entry: &str) -> Result<()> {
     let status = cluster.entry(entry)?.process().ends().await?;
     assert!(status.success(), "{entry}: {status}");
     let cut = cluster.entry(entry)?.process().log().events("drain-cut");
--- a/tests/tests/path/together.rs
+++ b/tests/tests/path/together.rs
@@ -7,14 +7,14 @@
     forward::regions,
     loss::{engine, failure},
     support::{
-        ask, ask_once, chat, ends_well, error, expected, runs, terminate, ticket, zone_with,
+        ask, ask_once, chat, error, exits_cleanly, expected, runs, terminate, ticket, zone_with,
     },
 };
 
 const TOKENS: usize = 60;
 
 /// Returns settings of an engine that is slow enough for a fault within an answer.
-fn slow() -> serde_json::Value {
+fn slow_engine() -> serde_json::Value {
     let mut settings = engine("none", "die", 0);
     settings["engine"]["token_us"] = json!(20_000);
     settings
@@ -24,7 +24,7 @@
 // breaks. The instance still takes the stream up again where it broke, and ends after its last token.
 #[actix_rt::test]
 async fn stream_resumes_at_an_instance_that_drains() -> Result<()> {
-    let mut cluster = zone_with(&[slow()], json!({})).await?;
+    let mut cluster = zone_with(&[slow_engine()], json!({})).await?;
     let address = cluster.entry("patras-a-1")?.address("callers")?;
     cluster
         .fail("engine-1", &failure("events", "cut", 30))
@@ -37,7 +37,7 @@
     let runs = runs(&mut cluster, "engine-1", &body).await?;
     let offsets: Vec<_> = runs.iter().map(|run| run["offset"].as_u64()).collect();
     assert_eq!(offsets, [Some(0), Some(30)]);
-    ends_well(&mut cluster, "patras-a-1").await
+    exits_cleanly(&mut cluster, "patras-a-1").await
 }
 
 // The same for work that runs once, and the engine breaks off for good. The caller sees that the
@@ -46,7 +46,7 @@
 #[actix_rt::test]
 async fn once_stays_unknown_at_an_instance_that_drains() -> Result<()> {
     let linger = json!({"tickets": {"linger_ms": 3000}});
-    let mut cluster = zone_with(&[slow(), slow()], linger).await?;
+    let mut cluster = zone_with(&[slow_engine(), slow_engine()], linger).await?;
     let first = cluster.entry("patras-a-1")?.address("callers")?;
     let second = cluster.entry("patras-a-2")?.address("callers")?;
     for engine in ["engine-1", "engine-2"] {
@@ -64,7 +64,7 @@
         let again = ask_once(address, &ticket, &body).send().await?;
         assert_eq!(error(&again).0, "unknown", "{}", again.text());
     }
-    ends_well(&mut cluster, "patras-a-1").await?;
+    exits_cleanly(&mut cluster, "patras-a-1").await?;
     let again = ask_once(second, &ticket, &body).send().await?;
     assert_eq!(error(&again).0, "unknown", "{}", again.text());
     let ran = runs(&mut cluster, "engine-1", &body).await?.len();
--- a/tests/tests/proxy.rs
+++ b/tests/tests/proxy.rs
@@ -16,9 +16,9 @@
 };
 
 /// Time after which silence counts as silence; a busy machine only makes it longer.
-const SILENCE: Duration = Duration::from_millis(300);
+const SILENCE_TIMEOUT: Duration = Duration::from_millis(300);
 /// Longest wait for bytes that must come.
-const BOUND: Duration = Duration::from_secs(30);
+const REPLY_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// Starts a server that sends every byte back.
 fn echo() -> SocketAddr {
@@ -36,26 +36,26 @@
     address
 }
 
-fn proxied() -> (Proxy, TcpStream) {
+fn connect_through_proxy() -> (Proxy, TcpStream) {
     let proxy = Proxy::bind().expect("a proxy");
     proxy.upstream(echo());
     let stream = TcpStream::connect(proxy.address()).expect("a connection");
     (proxy, stream)
 }
 
-fn answers(stream: &mut TcpStream, bound: Duration) -> std::io::Result<()> {
-    stream.set_read_timeout(Some(bound))?;
+fn round_trip(stream: &mut TcpStream, timeout: Duration) -> std::io::Result<()> {
+    stream.set_read_timeout(Some(timeout))?;
     stream.write_all(b"x")?;
-    answer(stream, bound)
+    read_byte(stream, timeout)
 }
 
-fn answer(stream: &mut TcpStream, bound: Duration) -> std::io::Result<()> {
-    stream.set_read_timeout(Some(bound))?;
+fn read_byte(stream: &mut TcpStream, timeout: Duration) -> std::io::Result<()> {
+    stream.set_read_timeout(Some(timeout))?;
     stream.read_exact(&mut [0])
 }
 
-fn silent(stream: &mut TcpStream) -> bool {
-    let answered = answers(stream, SILENCE);
+fn is_silent(stream: &mut TcpStream) -> bool {
+    let answered = round_trip(stream, SILENCE_TIMEOUT);
     answered.is_err_and(|error| timed_out(&error))
 }
 
@@ -63,8 +63,8 @@
     error.kind() == std::io::ErrorKind::WouldBlock
 }
 
-fn broken(stream: &mut TcpStream) -> bool {
-    answer(stream, BOUND).is_err_and(|error| !timed_out(&error))
+fn is_broken(stream: &mut TcpStream) -> bool {
+    read_byte(stream, REPLY_TIMEOUT).is_err_and(|error| !timed_out(&error))
 }
 
 macro_rules! stalls {
@@ -72,12 +72,12 @@
         /// Bytes stop without an error and arrive once the way is open again.
         #[test]
         fn $name() {
-            let (proxy, mut stream) = proxied();
-            answers(&mut stream, BOUND).unwrap();
+            let (proxy, mut stream) = connect_through_proxy();
+            round_trip(&mut stream, REPLY_TIMEOUT).unwrap();
             proxy.stall($way);
-            assert!(silent(&mut stream));
+            assert!(is_silent(&mut stream));
             proxy.heal();
-            answer(&mut stream, BOUND).unwrap();
+            read_byte(&mut stream, REPLY_TIMEOUT).unwrap();
         }
     )*};
 }
@@ -90,65 +90,65 @@
 
 #[test]
 fn cut_resets_open_and_new_connections() {
-    let (proxy, mut stream) = proxied();
-    answers(&mut stream, BOUND).unwrap();
+    let (proxy, mut stream) = connect_through_proxy();
+    round_trip(&mut stream, REPLY_TIMEOUT).unwrap();
     proxy.cut();
-    assert!(broken(&mut stream));
+    assert!(is_broken(&mut stream));
     let mut second = TcpStream::connect(proxy.address()).unwrap();
-    assert!(broken(&mut second));
+    assert!(is_broken(&mut second));
     proxy.heal();
     let mut third = TcpStream::connect(proxy.address()).unwrap();
-    answers(&mut third, BOUND).unwrap();
+    round_trip(&mut third, REPLY_TIMEOUT).unwrap();
 }
 
 #[test]
 fn half_open_leaves_the_caller_waiting() {
-    let (proxy, mut stream) = proxied();
-    answers(&mut stream, BOUND).unwrap();
+    let (proxy, mut stream) = connect_through_proxy();
+    round_trip(&mut stream, REPLY_TIMEOUT).unwrap();
     proxy.half_open();
-    assert!(silent(&mut stream));
+    assert!(is_silent(&mut stream));
     proxy.cut();
-    assert!(broken(&mut stream));
+    assert!(is_broken(&mut stream));
 }
 
 #[test]
 fn delay_holds_each_byte() {
-    let (proxy, mut stream) = proxied();
-    answers(&mut stream, BOUND).unwrap();
+    let (proxy, mut stream) = connect_through_proxy();
+    round_trip(&mut stream, REPLY_TIMEOUT).unwrap();
     proxy.delay(Way::Both, Duration::from_millis(50));
     let start = Instant::now();
-    answers(&mut stream, BOUND).unwrap();
+    round_trip(&mut stream, REPLY_TIMEOUT).unwrap();
     assert!(start.elapsed() >= Duration::from_millis(100));
 }
 
 #[test]
 fn rate_limits_bytes() {
-    let (proxy, mut stream) = proxied();
+    let (proxy, mut stream) = connect_through_proxy();
     proxy.rate(Way::Up, 100_000);
     let start = Instant::now();
     let mut bytes = vec![0; 50_000];
     stream.write_all(&bytes).unwrap();
-    stream.set_read_timeout(Some(BOUND)).unwrap();
+    stream.set_read_timeout(Some(REPLY_TIMEOUT)).unwrap();
     stream.read_exact(&mut bytes).unwrap();
     assert!(start.elapsed() >= Duration::from_millis(450));
 }
 
 #[test]
 fn cut_after_lets_exactly_that_much_pass() {
-    let (proxy, mut stream) = proxied();
+    let (proxy, mut stream) = connect_through_proxy();
     proxy.cut_after(Way::Down, 3);
     stream.write_all(b"abcdef").unwrap();
-    stream.set_read_timeout(Some(BOUND)).unwrap();
+    stream.set_read_timeout(Some(REPLY_TIMEOUT)).unwrap();
     stream.read_exact(&mut [0; 3]).unwrap();
-    assert!(broken(&mut stream));
+    assert!(is_broken(&mut stream));
 }
 
 #[test]
 fn an_orderly_end_passes() {
-    let (_proxy, mut stream) = proxied();
+    let (_proxy, mut stream) = connect_through_proxy();
     stream.write_all(b"abc").unwrap();
     stream.shutdown(std::net::Shutdown::Write).unwrap();
-    stream.set_read_timeout(Some(BOUND)).unwrap();
+    stream.set_read_timeout(Some(REPLY_TIMEOUT)).unwrap();
     let mut text = String::new();
     stream.read_to_string(&mut text).unwrap();
     assert_eq!(text, "abc");
@@ -165,10 +165,10 @@
     proxy.upstream(echo());
     proxy.rule_for("another", stalled);
     let mut stream = TcpStream::connect(proxy.address()).unwrap();
-    answers(&mut stream, BOUND).unwrap();
+    round_trip(&mut stream, REPLY_TIMEOUT).unwrap();
     proxy.rule_for("this test", stalled);
     wait::until("the rule in force", async || {
-        silent(&mut stream).then_some(())
+        is_silent(&mut stream).then_some(())
     })
     .await
     .unwrap();
@@ -190,14 +190,14 @@
     };
     let own = |_: &TcpStream| std::process::id();
     let mut stream = callers.start("this test", dial, own).unwrap();
-    assert!(silent(&mut stream));
+    assert!(is_silent(&mut stream));
 }
 
 /// A caller dials while the way is cut, writes, and gives up. Without the cut it would have had a
 /// connection; with it nobody must hear of it when the way opens, or a request that its caller has
 /// written off would run.
 #[actix_rt::test]
-async fn who_gave_up_during_a_cut_is_not_heard_after_it() {
+async fn connection_abandoned_during_a_cut_never_reaches_upstream() {
     let proxy = Proxy::bind().unwrap();
     let listener = TcpListener::bind(("127.0.0.1", 0)).unwrap();
     proxy.upstream(listener.local_addr().unwrap());
@@ -214,7 +214,7 @@
     .unwrap();
     proxy.heal();
     let (mut arrived, _) = listener.accept().unwrap();
-    arrived.set_read_timeout(Some(BOUND)).unwrap();
+    arrived.set_read_timeout(Some(REPLY_TIMEOUT)).unwrap();
     let mut text = [0; 5];
     arrived.read_exact(&mut text).unwrap();
     assert_eq!(&text, b"secon");
--- a/tests/tests/routing_calls.rs
+++ b/tests/tests/routing_calls.rs
@@ -23,7 +23,7 @@
     cluster.ctl(&["publish", &table.to_string()]).await?.json()
 }
 
-async fn held(cluster: &Cluster) -> Result<(u64, Value)> {
+async fn table_in_force(cluster: &Cluster) -> Result<(u64, Value)> {
     let routing = cluster.ctl(&["routing"]).await?.json()?;
     let number = routing["table"]["number"].as_u64().unwrap_or_default();
     let service = routing["table"]["routes"][0]["split"][0]["service"].clone();
@@ -39,10 +39,10 @@
     for stale in [table(7, "other"), table(6, "other"), table(7, "api")] {
         let answer = publish(&cluster, &stale).await?;
         assert_eq!(answer["outcome"], "accepted", "{answer}");
-        assert_eq!(held(&cluster).await?, (7, json!("api")));
+        assert_eq!(table_in_force(&cluster).await?, (7, json!("api")));
     }
     publish(&cluster, &table(12, "other")).await?;
-    assert_eq!(held(&cluster).await?, (12, json!("other")));
+    assert_eq!(table_in_force(&cluster).await?, (12, json!("other")));
     Ok(())
 }
 
@@ -62,13 +62,13 @@
     }
     let mut misspelt = table(9, "api");
     misspelt["routes"][0]["tiemout_ms"] = json!(1);
-    let faults = [
+    let invalid = [
         (table(9, "nobody"), "unknown service"),
         (weightless, "add up to 0"),
         (timeless, "timeout of 0"),
         (doubled, "share host and prefix"),
     ];
-    for (table, reason) in faults {
+    for (table, reason) in invalid {
         let run = cluster.ctl(&["publish", &table.to_string()]).await?;
         assert_eq!(run.code, INVALID, "{reason}");
         let answer = run.answer();
@@ -82,7 +82,7 @@
     }
     let run = cluster.ctl(&["publish", &misspelt.to_string()]).await?;
     assert_eq!(run.code, Some(2), "an unknown field is a usage error");
-    assert_eq!(held(&cluster).await?, (7, json!("api")));
+    assert_eq!(table_in_force(&cluster).await?, (7, json!("api")));
     Ok(())
 }
 
@@ -139,14 +139,14 @@
                 let ids: Vec<&str> = voters
                     .filter_map(|replica| replica["id"].as_str())
                     .collect();
-                let whole =
+                let repaired =
                     ids.len() == 3 && replicas.len() == 3 && !ids.contains(&before.as_str());
-                (whole && status["next_loss_safe"] == true).then_some(())
+                (repaired && status["next_loss_safe"] == true).then_some(())
             },
         )
         .await?;
         assert_eq!(
-            held(&cluster).await?,
+            table_in_force(&cluster).await?,
             (number, json!("api")),
             "after {lost} was lost"
         );
--- a/tests/tests/spread/cuts.rs
+++ b/tests/tests/spread/cuts.rs
@@ -2,13 +2,13 @@
 
 use zinniastall_tests::{Result, cluster::Cluster, node::Node};
 
-use crate::system::{ask, cut_one_way, lists, start, start_patient};
+use crate::system::{ask, cut_one_way, start, start_with_slow_link_timeout, wait_listed};
 
 /// Checks that each side of a cut names itself alone and serves with its own target, and that after
 /// healing all name all.
-async fn serve_their_own(mut cluster: Cluster, sides: [[&str; 2]; 2]) -> Result<()> {
+async fn check_sides_serve_alone(mut cluster: Cluster, sides: [[&str; 2]; 2]) -> Result<()> {
     for side in &sides {
-        lists(&cluster, side[0], side).await?;
+        wait_listed(&cluster, side[0], side).await?;
     }
     for entry in sides.as_flattened() {
         let target = ask(&mut cluster, entry).await?.unwrap_or_default();
@@ -21,7 +21,7 @@
     }
     cluster.heal();
     for entry in sides.as_flattened() {
-        lists(&cluster, entry, sides.as_flattened()).await?;
+        wait_listed(&cluster, entry, sides.as_flattened()).await?;
     }
     cluster.stop().await
 }
@@ -35,9 +35,9 @@
             let cluster = start(zones, 2).await?;
             let inside: fn(&Node) -> bool = $inside;
             cluster.partition(inside);
-            let answer = lists(&cluster, within[0], &within).await?;
+            let answer = wait_listed(&cluster, within[0], &within).await?;
             assert!(answer["valid_ms"].as_u64().is_some_and(|valid| valid <= 10_000));
-            serve_their_own(cluster, [within, without]).await
+            check_sides_serve_alone(cluster, [within, without]).await
         }
     )*};
 }
@@ -61,38 +61,38 @@
 // there.
 #[actix_rt::test]
 async fn one_way_cut_between_two_instances() -> Result<()> {
-    let mut cluster = start_patient(&[("athens", "a")], 3).await?;
+    let mut cluster = start_with_slow_link_timeout(&[("athens", "a")], 3).await?;
     cut_one_way(
         &cluster,
         |node| node.name() == "athens-a-1",
         |node| node.name() == "athens-a-2",
     );
-    lists(&cluster, "athens-a-1", &["athens-a-1", "athens-a-3"]).await?;
-    lists(&cluster, "athens-a-2", &["athens-a-2", "athens-a-3"]).await?;
+    wait_listed(&cluster, "athens-a-1", &["athens-a-1", "athens-a-3"]).await?;
+    wait_listed(&cluster, "athens-a-2", &["athens-a-2", "athens-a-3"]).await?;
     let all = ["athens-a-1", "athens-a-2", "athens-a-3"];
-    lists(&cluster, "athens-a-3", &all).await?;
+    wait_listed(&cluster, "athens-a-3", &all).await?;
     cluster.heal();
     for entry in all {
-        lists(&cluster, entry, &all).await?;
+        wait_listed(&cluster, entry, &all).await?;
     }
     cluster.stop().await
 }
 
 macro_rules! one_way {
-    ($($name:ident: $zones:expr, $deaf:expr, $within:expr, $without:expr;)*) => {$(
+    ($($name:ident: $zones:expr, $receives_nothing:expr, $within:expr, $without:expr;)*) => {$(
         #[actix_rt::test]
         async fn $name() -> Result<()> {
             let (zones, within, without): (&[(&str, &str)], [&str; 2], [&str; 2]) =
                 ($zones, $within, $without);
-            let cluster = start_patient(zones, 2).await?;
+            let cluster = start_with_slow_link_timeout(zones, 2).await?;
             let entry = |node: &Node| !node.name().starts_with("control");
-            let deaf: fn(&Node) -> bool = $deaf;
+            let receives_nothing: fn(&Node) -> bool = $receives_nothing;
             cut_one_way(
                 &cluster,
-                |node| entry(node) && !deaf(node),
-                |node| entry(node) && deaf(node),
+                |node| entry(node) && !receives_nothing(node),
+                |node| entry(node) && receives_nothing(node),
             );
-            serve_their_own(cluster, [within, without]).await
+            check_sides_serve_alone(cluster, [within, without]).await
         }
     )*};
 }
--- a/tests/tests/spread/locate.rs
+++ b/tests/tests/spread/locate.rs
@@ -5,17 +5,17 @@
 use serde_json::Value;
 use zinniastall_tests::{Result, cluster::Cluster, wait};
 
-use crate::system::{lists, locate, start};
+use crate::system::{locate, start, wait_listed};
 
-const ALL: [&str; 3] = ["athens-a-1", "athens-a-2", "athens-a-3"];
+const INSTANCES: [&str; 3] = ["athens-a-1", "athens-a-2", "athens-a-3"];
 /// Callers that ask, all of them the one instance that they know.
 const CALLERS: usize = 300;
 
 /// Asks once for each caller and counts the instances that are named first.
-async fn firsts(cluster: &Cluster) -> BTreeMap<String, usize> {
+async fn count_first_choices(cluster: &Cluster) -> BTreeMap<String, usize> {
     let mut counts = BTreeMap::new();
     for _ in 0..CALLERS {
-        let answer = locate(cluster, ALL[0]).await.unwrap_or_default();
+        let answer = locate(cluster, INSTANCES[0]).await.unwrap_or_default();
         let first = answer["instances"][0]["instance"]
             .as_str()
             .unwrap_or_default();
@@ -34,9 +34,9 @@
 }
 
 /// Waits until an instance has been up for long enough to have its whole weight.
-async fn whole(cluster: &Cluster, name: &str) -> Result<()> {
+async fn wait_full_weight(cluster: &Cluster, name: &str) -> Result<()> {
     wait::until(&format!("whole weight of {name}"), async || {
-        let answer = locate(cluster, ALL[0]).await?;
+        let answer = locate(cluster, INSTANCES[0]).await?;
         (weight(&answer, name) == 1_000).then_some(())
     })
     .await
@@ -46,20 +46,20 @@
 // the others idle; and an instance that has just started would get a third of all callers at once,
 // with everything cold.
 #[actix_rt::test]
-async fn callers_spread_and_a_newcomer_ramps() -> Result<()> {
+async fn callers_spread_and_a_new_instance_ramps_up() -> Result<()> {
     let mut cluster = start(&[("athens", "a")], 3).await?;
-    whole(&cluster, ALL[2]).await?;
-    let counts = firsts(&cluster).await;
+    wait_full_weight(&cluster, INSTANCES[2]).await?;
+    let counts = count_first_choices(&cluster).await;
     let busiest = counts.values().max().copied().unwrap_or_default();
-    let mean = CALLERS / ALL.len();
+    let mean = CALLERS / INSTANCES.len();
     println!("{CALLERS} callers: {counts:?}, busiest to mean {busiest}/{mean}");
     assert!(counts.len() == 3 && busiest < mean * 3 / 2, "{counts:?}");
-    cluster.entry(ALL[2])?.process().kill()?;
-    lists(&cluster, ALL[0], &ALL[..2]).await?;
-    cluster.entry(ALL[2])?.restart().await?;
-    let answer = lists(&cluster, ALL[0], &ALL).await?;
-    let (newcomer, old) = (weight(&answer, ALL[2]), weight(&answer, ALL[1]));
-    println!("weights: newcomer {newcomer}, old {old}");
-    assert!(newcomer < 500 && old == 1_000, "{answer}");
+    cluster.entry(INSTANCES[2])?.process().kill()?;
+    wait_listed(&cluster, INSTANCES[0], &INSTANCES[..2]).await?;
+    cluster.entry(INSTANCES[2])?.restart().await?;
+    let answer = wait_listed(&cluster, INSTANCES[0], &INSTANCES).await?;
+    let (new, old) = (weight(&answer, INSTANCES[2]), weight(&answer, INSTANCES[1]));
+    println!("weights: newcomer {new}, old {old}");
+    assert!(new < 500 && old == 1_000, "{answer}");
     cluster.stop().await
 }
--- a/tests/tests/spread/system.rs
+++ b/tests/tests/spread/system.rs
@@ -23,7 +23,10 @@
 
 /// Starts a system in which a silent link is closed only after a minute, so that it isn't the
 /// closing by which a fault is found.
-pub(crate) async fn start_patient(zones: &[(&str, &str)], instances: usize) -> Result<Cluster> {
+pub(crate) async fn start_with_slow_link_timeout(
+    zones: &[(&str, &str)],
+    instances: usize,
+) -> Result<Cluster> {
     start_with(zones, instances, json!({"spread": {"ceiling_ms": 60_000}})).await
 }
 
@@ -46,7 +49,7 @@
         .map(|node| node.name().to_owned())
         .collect();
     for entry in &all {
-        lists(
+        wait_listed(
             &cluster,
             entry,
             &all.iter().map(String::as_str).collect::<Vec<_>>(),
@@ -70,17 +73,17 @@
 }
 
 /// Waits until an entry instance names exactly these instances.
-pub(crate) async fn lists(cluster: &Cluster, entry: &str, names: &[&str]) -> Result<Value> {
+pub(crate) async fn wait_listed(cluster: &Cluster, entry: &str, names: &[&str]) -> Result<Value> {
     let wanted: BTreeSet<&str> = names.iter().copied().collect();
     wait::until(&format!("{entry} naming {wanted:?}"), async || {
         let answer = locate(cluster, entry).await?;
-        (named(&answer) == wanted).then_some(answer)
+        (instance_names(&answer) == wanted).then_some(answer)
     })
     .await
 }
 
 /// Returns the names in an answer.
-pub(crate) fn named(answer: &Value) -> BTreeSet<&str> {
+pub(crate) fn instance_names(answer: &Value) -> BTreeSet<&str> {
     let instances = answer["instances"].as_array();
     let names = instances.into_iter().flatten();
     names
@@ -126,7 +129,7 @@
 }
 
 /// Waits until an entry instance has logged an event with a field, `count` times.
-pub(crate) async fn logged(
+pub(crate) async fn wait_logged(
     cluster: &Cluster,
     entry: &str,
     (event, name, value): (&str, &str, &str),
@@ -134,13 +137,13 @@
     bound: Duration,
 ) -> Result<()> {
     wait::within(bound, &format!("{event} {value} at {entry}"), async || {
-        (times(cluster, entry, (event, name, value)) >= count).then_some(())
+        (count_logged(cluster, entry, (event, name, value)) >= count).then_some(())
     })
     .await
 }
 
 /// Counts how often an entry instance has logged an event with a field.
-pub(crate) fn times(
+pub(crate) fn count_logged(
     cluster: &Cluster,
     entry: &str,
     (event, name, value): (&str, &str, &str),
--- a/tests/tests/spread/targets.rs
+++ b/tests/tests/spread/targets.rs
@@ -10,10 +10,10 @@
 use serde_json::{Value, json};
 use zinniastall_tests::{Result, cluster::Cluster, http, log::field, wait};
 
-use crate::system::{KEY, MODEL, ask, chat, lists, logged, start, times};
+use crate::system::{KEY, MODEL, ask, chat, count_logged, start, wait_listed, wait_logged};
 
 /// Within this time what is known of a target at one instance is in force in its zone.
-const SPREAD: Duration = Duration::from_secs(2);
+const PROPAGATION_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Callers at once for each instance under load.
 const CALLERS: usize = 4;
@@ -50,21 +50,21 @@
         };
         assert_eq!(announce(&mut cluster, entry, 7, sequence).await?, 200);
     }
-    logged(&cluster, "athens-a-3", serving, 1, SPREAD).await?;
+    wait_logged(&cluster, "athens-a-3", serving, 1, PROPAGATION_TIMEOUT).await?;
     let leave = json!({"target": "by-hand", "incarnation": 7});
     assert_eq!(
         post(&mut cluster, "athens-a-1", "/v1/targets/leave", &leave).await?,
         200
     );
     for entry in ["athens-a-1", "athens-a-2", "athens-a-3"] {
-        logged(&cluster, entry, gone, 1, SPREAD).await?;
+        wait_logged(&cluster, entry, gone, 1, PROPAGATION_TIMEOUT).await?;
     }
     assert_eq!(announce(&mut cluster, "athens-a-2", 7, 7).await?, 200);
     assert_eq!(announce(&mut cluster, "athens-a-2", 8, 1).await?, 200);
     for entry in ["athens-a-1", "athens-a-2", "athens-a-3"] {
-        logged(&cluster, entry, serving, 2, SPREAD).await?;
+        wait_logged(&cluster, entry, serving, 2, PROPAGATION_TIMEOUT).await?;
         assert_eq!(
-            times(&cluster, entry, serving),
+            count_logged(&cluster, entry, serving),
             2,
             "{entry}: the left run came back"
         );
@@ -82,15 +82,15 @@
     let old = ("target-serving", "incarnation", "7");
     let new = ("target-serving", "incarnation", "8");
     for entry in ["athens-a-1", "athens-a-2", "athens-a-3"] {
-        logged(&cluster, entry, old, 1, SPREAD).await?;
+        wait_logged(&cluster, entry, old, 1, PROPAGATION_TIMEOUT).await?;
     }
     assert_eq!(announce(&mut cluster, "athens-a-2", 8, 1).await?, 200);
     for entry in ["athens-a-1", "athens-a-2", "athens-a-3"] {
-        logged(&cluster, entry, new, 1, SPREAD).await?;
+        wait_logged(&cluster, entry, new, 1, PROPAGATION_TIMEOUT).await?;
         assert_eq!(announce(&mut cluster, entry, 7, 41).await?, 409, "{entry}");
     }
     assert_eq!(
-        times(&cluster, "athens-a-3", old),
+        count_logged(&cluster, "athens-a-3", old),
         1,
         "the old run came back"
     );
@@ -107,10 +107,10 @@
         .await?;
     let serving = ("target-serving", "target", "engine-leaving");
     for entry in ["athens-a-1", "athens-a-2"] {
-        logged(&cluster, entry, serving, 1, wait::BOUND).await?;
+        wait_logged(&cluster, entry, serving, 1, wait::BOUND).await?;
     }
     let load = Load::start(&mut cluster, &["athens-a-1", "athens-a-2"]).await?;
-    load.answered(40).await?;
+    load.wait_answered(40).await?;
     let line = cluster
         .entry("athens-a-1")?
         .running()
@@ -129,12 +129,12 @@
         200
     );
     let left = Instant::now();
-    while left.elapsed() < SPREAD {
-        load.answered(load.count() + 1).await?;
+    while left.elapsed() < PROPAGATION_TIMEOUT {
+        load.wait_answered(load.count() + 1).await?;
     }
     let before = cluster.ledger("engine-leaving").await?.len();
     assert!(before > 0, "the target had no work before it left");
-    load.answered(load.count() + 100).await?;
+    load.wait_answered(load.count() + 100).await?;
     assert_eq!(
         cluster.ledger("engine-leaving").await?.len(),
         before,
@@ -153,11 +153,11 @@
     let mut cluster = start(&[("athens", "a"), ("athens", "b")], 2).await?;
     let all = ["athens-a-1", "athens-a-2", "athens-b-1", "athens-b-2"];
     let load = Load::start(&mut cluster, &all).await?;
-    load.answered(40).await?;
+    load.wait_answered(40).await?;
     cluster.partition(|node| node.zone() == "b" && !node.name().starts_with("control"));
-    lists(&cluster, all[0], &all[..2]).await?;
-    lists(&cluster, all[2], &all[2..]).await?;
-    load.answered(load.count() + 100).await?;
+    wait_listed(&cluster, all[0], &all[..2]).await?;
+    wait_listed(&cluster, all[2], &all[2..]).await?;
+    load.wait_answered(load.count() + 100).await?;
     let opened = |cluster: &Cluster| -> Result<u64> {
         cluster
             .entries()
@@ -168,10 +168,10 @@
     let healed = Instant::now();
     cluster.heal();
     for entry in all {
-        lists(&cluster, entry, &all).await?;
+        wait_listed(&cluster, entry, &all).await?;
     }
     let took = healed.elapsed();
-    load.answered(load.count() + 100).await?;
+    load.wait_answered(load.count() + 100).await?;
     let dials = opened(&cluster)? - before;
     println!(
         "healed after {took:?} with {dials} dials to 4 instances, {} failed",
@@ -217,7 +217,7 @@
         self.failed.get()
     }
 
-    async fn answered(&self, count: usize) -> Result<()> {
+    async fn wait_answered(&self, count: usize) -> Result<()> {
         let what = format!("{count} answers");
         wait::until(&what, async || (self.count() >= count).then_some(())).await
     }
--- a/tests/tests/standin.rs
+++ b/tests/tests/standin.rs
@@ -3,7 +3,7 @@
 use serde_json::{Value, json};
 use zinniastall_tests::{Result, http, process::Process, settings, wait};
 
-async fn engine(change: Value) -> Result<(Process, std::net::SocketAddr)> {
+async fn start_engine(change: Value) -> Result<(Process, std::net::SocketAddr)> {
     let mut settings = json!({
         "kind": "engine",
         "listen": "127.0.0.1:0",
@@ -27,7 +27,7 @@
     Ok(answer.as_array().cloned().unwrap_or_default())
 }
 
-async fn read(address: std::net::SocketAddr, offset: usize) -> Result<(String, bool)> {
+async fn read_stream(address: std::net::SocketAddr, offset: usize) -> Result<(String, bool)> {
     let request = http::post(address, "/v1/chat/completions").json(&chat("room 1", true));
     let request = request.header("x-zinniastall-offset", &offset.to_string());
     let (_, events) = request.stream().await?;
@@ -35,15 +35,15 @@
 }
 
 #[actix_rt::test]
-async fn streams_say_the_same_as_whole_answers() -> Result<()> {
-    let (mut process, address) = engine(json!({})).await?;
+async fn streams_match_whole_answers() -> Result<()> {
+    let (mut process, address) = start_engine(json!({})).await?;
     let request = http::post(address, "/v1/chat/completions").json(&chat("room 1", false));
     let whole = request.send().await?.json()?;
     let whole = &whole["choices"][0]["message"]["content"];
-    let (text, done) = read(address, 0).await?;
+    let (text, done) = read_stream(address, 0).await?;
     assert_eq!(*whole, json!(text));
     assert!(done);
-    let (rest, done) = read(address, 2).await?;
+    let (rest, done) = read_stream(address, 2).await?;
     assert!(done && text.ends_with(&rest) && rest.len() < text.len());
     let entries = ledger(address).await?;
     assert_eq!(entries.len(), 3);
@@ -55,7 +55,7 @@
 #[actix_rt::test]
 async fn full_engines_refuse_before_running() -> Result<()> {
     let slow = json!({"slots": 1, "queue": 0, "engine": {"first_ms": 60_000}});
-    let (_process, address) = engine(slow).await?;
+    let (_process, address) = start_engine(slow).await?;
     let first = http::post(address, "/v1/chat/completions").json(&chat("room 1", true));
     let (_, _events) = first.stream().await?;
     let second = http::post(address, "/v1/chat/completions").json(&chat("room 2", true));
@@ -68,7 +68,7 @@
 
 #[actix_rt::test]
 async fn callers_that_go_away_cancel() -> Result<()> {
-    let (_process, address) = engine(json!({"engine": {"first_ms": 60_000}})).await?;
+    let (_process, address) = start_engine(json!({"engine": {"first_ms": 60_000}})).await?;
     let request = http::post(address, "/v1/chat/completions").json(&chat("room 1", true));
     let (_, events) = request.stream().await?;
     drop(events);
@@ -84,8 +84,8 @@
         /// The answer breaks where the failure says, and never looks whole.
         #[actix_rt::test]
         async fn $name() -> Result<()> {
-            let (_process, address) = engine(json!({"failure": $failure})).await?;
-            let answer = read(address, 0).await.ok();
+            let (_process, address) = start_engine(json!({"failure": $failure})).await?;
+            let answer = read_stream(address, 0).await.ok();
             let events = answer.map(|(text, done)| {
                 assert!(!done);
                 text.split_whitespace().count()
@@ -106,7 +106,7 @@
 #[actix_rt::test]
 async fn orders_with_old_numbers_are_refused_by_engines_that_check() -> Result<()> {
     for (checks, expected) in [(true, 409), (false, 200)] {
-        let (_process, address) = engine(json!({"engine": {"checks_fence": checks}})).await?;
+        let (_process, address) = start_engine(json!({"engine": {"checks_fence": checks}})).await?;
         let order = |fence: &str| {
             let body = json!({"role": "decode", "models": [], "adapters": []});
             http::post(address, "/v1/orders")
@@ -125,8 +125,8 @@
 async fn ledgers_in_files_outlive_their_process() -> Result<()> {
     let folder = tempfile::tempdir()?;
     let file = json!({"ledger_file": folder.path().join("ledger")});
-    let (mut process, address) = engine(file.clone()).await?;
-    read(address, 0).await?;
+    let (mut process, address) = start_engine(file.clone()).await?;
+    read_stream(address, 0).await?;
     // A minute long at a token each millisecond, so that it can't end before the kill.
     let mut long = chat("room 2", true);
     long["max_tokens"] = json!(60_000);
@@ -134,7 +134,7 @@
     let (_, mut events) = request.stream().await?;
     events.next().await?;
     process.kill()?;
-    let (_process, address) = engine(file).await?;
+    let (_process, address) = start_engine(file).await?;
     let entries = ledger(address).await?;
     let cancelled: Vec<&Value> = entries.iter().map(|entry| &entry["cancelled"]).collect();
     assert_eq!(cancelled, [&json!(false), &json!(true)]);
--- a/tests/tests/whole_path.rs
+++ b/tests/tests/whole_path.rs
@@ -43,7 +43,7 @@
 
 /// Callers that send heads without end, and the most memory that each may cost, in bytes: a head's
 /// buffer, which the HTTP library bounds by 128 KiB, and as much again while it grows.
-const FLOOD: (usize, u64) = (200, 256 * 1024);
+const ENDLESS_HEADS: (usize, u64) = (200, 256 * 1024);
 
 // A broken client writes header after header and never ends its request, on many connections at
 // once. If heads were not bounded the instance would be killed for lack of memory, and all of its
@@ -60,8 +60,8 @@
     let body = json!({"model": MODEL, "messages": [{"role": "user", "content": "room"}]});
     cluster.serves(address, KEY, &body).await?;
     let id = cluster.entry("patras-a-1")?.process().id();
-    let rest = usage::memory(id)?;
-    let (callers, each) = FLOOD;
+    let baseline = usage::memory(id)?;
+    let (callers, max_bytes) = ENDLESS_HEADS;
     let mut open = Vec::new();
     for _ in 0..callers {
         let mut stream = TcpStream::connect(address).await?;
@@ -70,9 +70,9 @@
         let _ = stream.write_all(head.as_bytes()).await;
         open.push(stream);
     }
-    let used = usage::memory(id)?.saturating_sub(rest);
+    let used = usage::memory(id)?.saturating_sub(baseline);
     println!("{callers} endless heads: {used} bytes");
-    assert!(used < each * callers as u64, "{used} bytes");
+    assert!(used < max_bytes * callers as u64, "{used} bytes");
     cluster.serves(address, KEY, &body).await?;
     cluster.stop().await
 }
