--- a/tests/tests/path/storm.rs
+++ b/tests/tests/path/storm.rs
@@ -8,7 +8,7 @@
 
 const REQUESTS: usize = 200;
 
-async fn count_healthy_runs(cluster: &mut Cluster) -> Result<usize> {
+async fn healthy_runs(cluster: &mut Cluster) -> Result<usize> {
     let mut total = 0;
     for engine in ["engine-3", "engine-4"] {
         total += cluster.ledger(engine).await?.len();
@@ -29,7 +29,7 @@
         cluster.fail(engine, &broken).await?;
     }
     let address = cluster.entry("patras-a-1")?.address("callers")?;
-    let before = count_healthy_runs(&mut cluster).await?;
+    let before = healthy_runs(&mut cluster).await?;
     let mut broken_before = 0;
     for engine in ["engine-1", "engine-2"] {
         broken_before += cluster.ledger(engine).await?.len();
@@ -44,11 +44,8 @@
     let statuses = join_all(requests).await;
     let whole = statuses.iter().filter(|status| matches!(status, Ok(200)));
     let whole = whole.count();
-    let ran = wait::until("ledgers", async || {
-        count_healthy_runs(&mut cluster).await.ok()
-    })
-    .await?
-        - before;
+    let ran =
+        wait::until("ledgers", async || healthy_runs(&mut cluster).await.ok()).await? - before;
     let mut wasted = 0;
     for engine in ["engine-1", "engine-2"] {
         wasted += cluster.ledger(engine).await?.len();
