--- a/tests/tests/binaries.rs
+++ b/tests/tests/binaries.rs
@@ -1,4 +1,4 @@
-//! Every daemon's command line: help, version, checks of settings, exit codes.
+//! Tests every daemon's command line: help, version, checks of settings, exit codes.
 
 use std::{
     path::PathBuf,
@@ -49,8 +49,8 @@
     standin: "zinniastall-standin", "zinniastall-standin/examples/engine.json";
 }
 
-/// An operator copies a settings file and gets several fields wrong. Each must be named in one run,
-/// with its path, or he corrects one and finds the next only at the next start.
+/// A settings file has several wrong fields. One check must name all of them with their paths,
+/// so that the operator need not restart once for each.
 #[test]
 fn a_check_names_every_error() {
     let file = tempfile::NamedTempFile::new().unwrap();
--- a/tests/tests/control_disk.rs
+++ b/tests/tests/control_disk.rs
@@ -1,4 +1,5 @@
-//! Disks of control replicas that a power cut or a flipped bit has damaged, with real processes.
+//! Tests control replicas with real processes whose disks a power failure or a flipped bit has
+//! damaged.
 
 use std::path::{Path, PathBuf};
 
@@ -38,9 +39,9 @@
     files.pop().ok_or(Error::Unknown("log".to_owned()))
 }
 
-/// The power fails while the leader writes, and the end of its last record never reaches the disk.
-/// It must come back by itself and hold everything that was accepted; an operator who had to repair
-/// a disk after each power cut would lose the group to the second one.
+/// The power fails while the leader writes, and the end of its last record never reaches the
+/// disk. The replica must recover by itself and hold everything that was accepted. If an
+/// operator had to repair a disk after each power failure, the second one would stop the group.
 #[actix_rt::test]
 async fn a_torn_last_record_is_recovered_from_the_others() -> Result<()> {
     let mut cluster = group(3).start().await?;
@@ -60,9 +61,9 @@
     Ok(())
 }
 
-/// A bit flips in the middle of a replica's log. Started on it, the replica would vote and serve with
-/// entries missing that it has acknowledged, and an accepted change could revert. It must refuse to
-/// start and name the file; the others go on, and the disk is replaced as a lost one.
+/// A bit flips in the middle of a replica's log. Started on it, the replica would vote and serve
+/// without entries that it has acknowledged, and an accepted change could revert. It must refuse
+/// to start and name the file; the others go on, and the disk is replaced like a lost one.
 #[actix_rt::test]
 async fn a_damaged_log_is_refused_and_replaced() -> Result<()> {
     let mut cluster = group(3).start().await?;
--- a/tests/tests/control_force.rs
+++ b/tests/tests/control_force.rs
@@ -1,4 +1,5 @@
-//! Accepted changes come into force at every entry instance and never revert, with real processes.
+//! Tests with real processes that accepted changes come into force at every entry instance and
+//! never revert.
 
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
@@ -14,21 +15,20 @@
 
 /// Exit code of a change that is accepted.
 const ACCEPTED: Option<i32> = Some(0);
-/// Exit code of a conflict.
+/// Exit code of a change whose expected revision was out of date.
 const CONFLICT: Option<i32> = Some(3);
 /// Exit code of a change that waits for confirmations.
 const PENDING: Option<i32> = Some(4);
 
-/// An election timeout within which a test can cut off a replica and restart an instance, in
-/// milliseconds; a busy machine that takes longer brings nothing about.
+/// Election timeout that leaves a test enough time to isolate a replica and restart an instance.
+/// On a machine that is too busy for that, the test does not reach the failure.
 const LONG_ELECTION_MS: u64 = 8_000;
 
-/// A zone's instances and the control replica beside them.
+/// The instances of a zone and its control replica.
 const ISOLATED: [&str; 3] = ["control-1", "patras-a-1", "patras-a-2"];
 
-/// Longest time that an instance may need to connect to a target, in milliseconds.
+/// Longest time that an instance may take to connect to a target.
 const CONNECT_TIMEOUT_MS: f64 = 1_000.0;
-/// A day in milliseconds.
 const DAY_MS: f64 = 86_400_000.0;
 
 fn builder(replicas: usize) -> Builder {
@@ -62,7 +62,7 @@
     Ok(answer["revision"].as_u64().unwrap_or_default())
 }
 
-/// Waits until members are known and have everything in force, and returns the revision.
+/// Waits until this many members are known and up to date, and returns the revision.
 async fn wait_settled(cluster: &Cluster, members: usize) -> Result<u64> {
     wait::until("all members up to date", async || {
         let status = cluster.ctl(&["status"]).await.ok()?.json().ok()?;
@@ -74,14 +74,14 @@
     .await
 }
 
-/// Returns the revisions that an instance has had in force, in order.
+/// Returns the revisions that an instance has put in force, in order.
 fn in_force(cluster: &mut Cluster, name: &str) -> Result<Vec<u64>> {
     let lines = cluster.entry(name)?.process().log().events("in-force");
     let revision = |line: &String| field(line, "revision")?.parse().ok();
     Ok(lines.iter().filter_map(revision).collect())
 }
 
-/// Returns the time of day of a log line's stamp, in milliseconds.
+/// Returns the time of day of a log line's timestamp, in milliseconds.
 fn time_of_day_ms(stamp: &str) -> Option<f64> {
     let time = stamp.split_once('T')?.1.trim_end_matches('Z');
     let mut parts = time.split(':').map(str::parse::<f64>);
@@ -89,14 +89,15 @@
     Some(seconds.ok()? * 1e3)
 }
 
-/// Cuts these nodes off from all others; among themselves everything passes.
+/// Isolates a group of nodes from all others; links within the group stay open.
 fn isolate(cluster: &Cluster, inside: &[&str]) {
     let inside = |node: &Node| inside.contains(&node.name());
     cluster.partition(inside);
     cluster.links(|from, to| (inside(from) && inside(to)).then(Rule::default));
 }
 
-/// Restarts an instance, and checks that it puts nothing older in force than a revision.
+/// Restarts an instance, and checks that its first configuration in force is no older than a
+/// revision.
 async fn check_restart(cluster: &mut Cluster, name: &str, revision: u64) -> Result<()> {
     cluster.entry(name)?.restart().await?;
     let first = wait::until("a configuration in force", async || {
@@ -107,9 +108,9 @@
     Ok(())
 }
 
-/// A region is cut off when an operator forbids it to run a client's requests. It has not heard,
-/// so the operator must not be told that the rule holds; the answer names the instance. Once the
-/// region is back, or its instance was declared gone for certain, the change is accepted.
+/// A region is cut off while an operator withdraws it from a client. Its instance has not
+/// received the rule, so the change must stay pending and name that instance. Once the region is
+/// back, or its instance has been retired, the change is accepted.
 #[actix_rt::test]
 async fn a_narrower_rule_waits_for_everyone() -> Result<()> {
     let mut cluster = builder(1)
@@ -126,7 +127,7 @@
         .json()?;
     cluster.partition(|node| node.name() == "athens-a-1");
     let narrow = rule(&["patras"]);
-    // The one that has heard confirms a second later, see the next test.
+    // The reachable instance confirms a second later, see the next test.
     let run = cluster.ctl(&["--wait", "5000", "apply", &narrow]).await?;
     assert_eq!(run.code, PENDING, "{run:?}");
     let answer: Value = serde_json::from_str(&run.output)?;
@@ -148,9 +149,10 @@
     .await
 }
 
-/// An operator forbids a region while a request there has been judged and waits for its connection to
-/// a target. It may still leave after the rule has come into force, for as long as a connection may
-/// take; only after that the operator may be told that no further one runs there.
+/// An operator withdraws a region while a request there has been decided and waits for its
+/// connection to a target. The request may still be sent after the rule has come into force, for
+/// as long as a connection may take; only then may the operator be told that no further request
+/// runs there.
 #[actix_rt::test]
 async fn a_narrower_rule_waits_for_requests_decided_before() -> Result<()> {
     let mut cluster = builder(1)
@@ -163,14 +165,14 @@
     check_acceptance_delay(&mut cluster, || Ok(())).await
 }
 
-/// The same where the instance could not keep its first configuration, so that it serves but has
-/// confirmed nothing yet; then its disk is mended.
+/// As above, but the instance could not store its first configuration: it serves but has
+/// confirmed nothing yet. Then its disk is repaired.
 #[actix_rt::test]
 async fn a_narrower_rule_waits_at_an_instance_that_confirmed_nothing() -> Result<()> {
     let folder = tempfile::tempdir()?;
     let data = folder.path().join("data");
     std::fs::write(&data, "no folder")?;
-    // Another instance's confirmation would hold the change back as long.
+    // A second instance's confirmation would delay the change as long and hide the fault.
     let mut cluster = builder(1).zone("athens", "a", 1).start().await?;
     wait_settled(&cluster, 1).await?;
     cluster.client("studio", "key").await?;
@@ -181,7 +183,8 @@
     check_acceptance_delay(&mut cluster, || Ok(std::fs::remove_file(&data)?)).await
 }
 
-/// Widens and narrows a rule, and checks how long after it came into force each was accepted.
+/// Widens and narrows a rule, and checks how long after it came into force each change was
+/// accepted.
 async fn check_acceptance_delay(
     cluster: &mut Cluster,
     repair: impl Fn() -> Result<()>,
@@ -217,8 +220,8 @@
     Ok(())
 }
 
-/// An instance misses hundreds of changes, more than control keeps one by one. On its return it
-/// must have all of them in force, without ever going back to an earlier revision on the way.
+/// An instance misses hundreds of changes, more than control keeps as single entries. On its
+/// return it must put all of them in force without going back to an earlier revision on the way.
 #[actix_rt::test]
 async fn an_instance_that_missed_hundreds_catches_up() -> Result<()> {
     let mut cluster = builder(1)
@@ -242,9 +245,9 @@
     Ok(())
 }
 
-/// A control replica is cut off from the others and lags behind. An instance of its zone restarts
-/// and reaches only that replica and a neighbour. The replica's configuration is older than what
-/// the instance had in force before; it must take the neighbour's.
+/// A control replica is cut off from the others and lags behind. An instance of its zone
+/// restarts and reaches only that replica and a neighbour. The replica offers a configuration
+/// older than the one that the instance had in force; the instance must take the neighbour's.
 #[actix_rt::test]
 async fn a_restarted_instance_does_not_roll_back() -> Result<()> {
     let mut cluster = builder(3)
@@ -262,10 +265,11 @@
     check_restart(&mut cluster, "patras-a-1", newest).await
 }
 
-/// A control replica has been cut off from the others a moment ago: it has heard its leader within
-/// the election timeout and knows of nothing that it lacks. Meanwhile a change was accepted and is in
-/// force at an instance of its zone, which restarts and reaches only that replica and a neighbour. The
-/// replica believes that it is up to date; the instance must not go back with it.
+/// A control replica was cut off from the others just now: it has heard from its leader within
+/// the election timeout and does not know that it lags. Meanwhile a change was accepted and is
+/// in force at an instance of its zone, which restarts and reaches only that replica and a
+/// neighbour. The replica believes that it is up to date; the instance must not roll back to its
+/// configuration.
 #[actix_rt::test]
 async fn a_replica_just_cut_off_rolls_no_instance_back() -> Result<()> {
     let mut cluster = builder(3)
@@ -276,7 +280,7 @@
         .start()
         .await?;
     wait_settled(&cluster, 2).await?;
-    // SIGTERM passes leadership on at once; a kill would cost an election timeout.
+    // SIGTERM transfers leadership at once; a kill would cost an election timeout.
     cluster.control("control-1")?.process().stop().await?;
     cluster.control("control-1")?.restart().await?;
     cluster.leader_besides(&["control-1"]).await?;
@@ -286,14 +290,15 @@
     change(&cluster, "after").await?;
     let newest = wait_settled(&cluster, 2).await?;
     isolate(&cluster, &ISOLATED);
-    // Those behind the cut are not dialled first, which would take time that the others use.
+    // Leaves out unreachable replicas: dialling them first would take time in which the election
+    // timeout could expire.
     let near = cluster.control("control-1")?.address("links")?;
     cluster.entry("patras-a-1")?.settings()["control"] = json!([near]);
     check_restart(&mut cluster, "patras-a-1", newest).await
 }
 
-/// A zone's instances get their configuration through relays. Those that follow control directly
-/// are killed; the one that is left must find another way, within seconds and by itself.
+/// The instances of a zone get their configuration through relays. Those that follow control
+/// directly are killed; the remaining one must find another source by itself within seconds.
 #[actix_rt::test]
 async fn a_zone_survives_the_loss_of_its_relays() -> Result<()> {
     let mut cluster = builder(1).zone("patras", "a", 3).start().await?;
@@ -329,8 +334,8 @@
     .await
 }
 
-/// All instances of a zone restart while it is cut off from everything else. They must serve under
-/// the last configuration that was in force there, and say that they are cut off.
+/// All instances of a zone restart while it is cut off from everything else. They must serve
+/// with the last configuration that was in force there, and report that they are cut off.
 #[actix_rt::test]
 async fn a_zone_restarted_while_cut_off_keeps_serving() -> Result<()> {
     let folder = tempfile::tempdir()?;
@@ -365,9 +370,10 @@
     Ok(())
 }
 
-/// The control leader is killed between two changes, and entry instances hear nothing of each
-/// other, so nobody can help its neighbours out. Each must find another control replica by itself:
-/// otherwise callers of the lost leader's zone would be judged by an old configuration for ever.
+/// The control leader is killed between two changes, and entry instances receive nothing from
+/// each other, so no neighbour can relay the change. Each must find another control replica by
+/// itself: otherwise requests in the lost leader's zone would be decided by an old configuration
+/// for ever.
 #[actix_rt::test]
 async fn changes_reach_everyone_past_a_lost_leader() -> Result<()> {
     let mut cluster = builder(3)
@@ -383,7 +389,7 @@
     cluster.links(|from, to| (is_entry(from) && is_entry(to)).then_some(stalled));
     let leader = cluster.leader().await?;
     change(&cluster, "m0").await?;
-    // Whoever followed a neighbour has found control by now.
+    // By now every instance that followed a neighbour follows control.
     wait_settled(&cluster, 6).await?;
     cluster.control(&leader)?.process().kill()?;
     let revision = change(&cluster, "m1").await?;
@@ -395,9 +401,9 @@
     .await
 }
 
-/// Three faults at once: a region is cut off, the control leader is killed, and operators' scripts
-/// race to narrow the same rule. One script must win; it must not be told that its rule holds while
-/// the cut-off region has not heard; and after healing the winner's rule is in force everywhere.
+/// Three faults at once: a region is cut off, the control leader is killed, and operators race
+/// to narrow the same rule. One change must win; it must stay pending while the cut-off region
+/// has not received it; and after healing the winning rule is in force everywhere.
 #[actix_rt::test]
 async fn racing_to_narrow_while_a_region_is_cut_off_and_the_leader_dies() -> Result<()> {
     let mut cluster = builder(5)
@@ -412,7 +418,7 @@
     let held = answer["revision"].to_string();
     wait_settled(&cluster, 3).await?;
     let leader = cluster.leader().await?;
-    // One of the five replicas is in that region, so three are left whichever one leads.
+    // One of the five replicas is in that region, so three remain whichever one leads.
     let cut = "thessaloniki";
     cluster.partition(|node| node.region() == cut);
     cluster.control(&leader)?.process().kill()?;
--- a/tests/tests/control_group.rs
+++ b/tests/tests/control_group.rs
@@ -1,4 +1,4 @@
-//! The control group: commands, leadership, partitions and lost disks, with real processes.
+//! Tests the control group with real processes: commands, leadership, partitions and lost disks.
 
 use std::time::{Duration, Instant};
 
@@ -12,16 +12,16 @@
     wait,
 };
 
-/// Exit code of a call that was done or accepted.
+/// Exit code of a call that succeeded.
 const ACCEPTED: Option<i32> = Some(0);
-/// Exit code of a call that nobody answered.
+/// Exit code of a call that got no answer.
 const FAILED: Option<i32> = Some(1);
-/// Exit code of a conflict.
+/// Exit code of a change whose expected revision was out of date.
 const CONFLICT: Option<i32> = Some(3);
-/// Exit code of a reused command id.
+/// Exit code of a command id that was used with another body.
 const REUSED: Option<i32> = Some(5);
 
-/// Applies a model under a command id of its own and an expected revision.
+/// Applies a model under the given command id and expected revision.
 async fn apply(cluster: &Cluster, command: &str, expected: u64, object: &str) -> Result<Run> {
     let expected = expected.to_string();
     let arguments = [
@@ -50,7 +50,7 @@
     run.answer()["revision"].as_u64().unwrap_or_default()
 }
 
-/// Applies a model's version, whatever revision it is at.
+/// Applies a version of a model, whatever its current revision.
 async fn change(cluster: &Cluster, name: &str, version: &str) -> Result<Value> {
     cluster
         .apply(&serde_json::from_str(&model(name, version))?)
@@ -61,9 +61,9 @@
     status["term"].as_u64().unwrap_or_default()
 }
 
-/// An operator's script sends a change, the leader is killed before the answer comes, and the
-/// script sends the same command again. The change must be there once, with its first revision,
-/// and the same id with another body must be refused instead of changing anything.
+/// The leader is killed after it has accepted a change, and the operator sends the same command
+/// again. The change must exist once, with its first revision, and the same command id with
+/// another body must be refused without changing anything.
 #[actix_rt::test]
 async fn a_resend_after_a_killed_leader_runs_once() -> Result<()> {
     let mut cluster = group(3).start().await?;
@@ -80,9 +80,9 @@
     Ok(())
 }
 
-/// The leader's process is frozen for longer than its lease, and an operator's question waits in
-/// its socket meanwhile. The others choose a new leader and accept a change. When the frozen one
-/// goes on, it still believes that it leads; the operator must not be told the old version.
+/// The leader is frozen for longer than its lease while a read waits in its socket. The others
+/// elect a new leader and accept a change. When the frozen leader resumes it still believes that
+/// it leads, but it must not answer with the old version.
 #[actix_rt::test]
 async fn a_thawed_leader_gives_no_stale_answer() -> Result<()> {
     let mut cluster = group(3).start().await?;
@@ -101,12 +101,13 @@
     let opened = cluster.control(&leader)?.proxy("operators")?.opened();
     let arguments = ["--timeout", "2000", "get", "model", "m"];
     let asked = actix_rt::spawn(async move { ctl::run(&[old], &arguments).await });
-    wait::until("the question under way", async || {
+    wait::until("the request on its way", async || {
         let proxy = cluster.control(&leader).ok()?.proxy("operators").ok()?;
         (proxy.opened() > opened).then_some(())
     })
     .await?;
-    // The request itself follows the connection; one that arrives only later proves less.
+    // The request follows the connection; if it arrived only after the thaw, the test would
+    // prove less.
     actix_rt::time::sleep(Duration::from_millis(200)).await;
     cluster.control(&leader)?.process().thaw()?;
     let run = asked.await.map_err(std::io::Error::other)??;
@@ -114,9 +115,10 @@
     Ok(())
 }
 
-/// Cuts the leader off as `cut` says for a long time, lets the others go on, and heals. The others
-/// must keep the leader that they chose meanwhile, and nobody may be told the old state: who hears
-/// the others can name their leader, and who hears nobody has nothing to say.
+/// Isolates the leader as `cut` does, lets the others go on, and heals. The others must keep the
+/// leader that they elected meanwhile, and the former leader must not answer with the old state.
+/// If it still receives messages (`receives`), it can redirect to the new leader; otherwise the
+/// call must get no answer.
 async fn rejoins_without_disruption(receives: bool, cut: impl Fn(&Cluster, &str)) -> Result<()> {
     let mut cluster = group(3).start().await?;
     change(&cluster, "m", "old").await?;
@@ -128,7 +130,7 @@
     let asked = ctl::run(&[old], &["--timeout", "1000", "get", "model", "m"]).await?;
     assert!(!asked.output.contains("old"), "{asked:?}");
     assert!(receives || asked.code == FAILED, "{asked:?}");
-    // Long enough for an isolated replica without pre-votes to raise its term several times.
+    // Long enough for an isolated replica without pre-vote to raise its term several times.
     actix_rt::time::sleep(Duration::from_millis(ELECTION * 6)).await;
     let before = term(&cluster.status_of(&successor).await?);
     cluster.heal();
@@ -145,8 +147,8 @@
 }
 
 /// A silent partition isolates the leader for a long time, and then heals. The others must go on
-/// under a new leader, the isolated one must stop answering, and its return must not cost the
-/// others their leader: operators would see commands fail each time a link heals.
+/// under a new leader, the isolated one must stop answering, and its return must not depose the
+/// new leader: otherwise commands would fail each time a link heals.
 #[actix_rt::test]
 async fn an_isolated_leader_returns_without_disturbance() -> Result<()> {
     rejoins_without_disruption(false, |cluster, leader| {
@@ -155,8 +157,8 @@
     .await
 }
 
-/// Stalls silently one way between a replica and all others: what `away` goes from it, or else what
-/// comes to it.
+/// Silently stalls one direction between a replica and all others: what it sends (`away`) or
+/// what it receives.
 fn one_way(cluster: &Cluster, name: &str, away: bool) {
     let lane = |way| Rule::default().with(way, |lane| lane.stalled = true);
     let (own, theirs) = if away {
@@ -171,26 +173,26 @@
     });
 }
 
-/// A one-way partition: the leader's messages still arrive, but nothing reaches it. Its heartbeats
-/// would keep the others from choosing another leader, and no command could ever commit. After a
-/// long time the link heals, and its return must cost the others nothing.
+/// The leader's messages still arrive, but nothing reaches it. Its heartbeats would keep the
+/// others from electing a new leader, and no command could commit. After a long time the link
+/// heals, and the former leader's return must not disrupt the others.
 #[actix_rt::test]
 async fn a_leader_that_receives_nothing_is_replaced() -> Result<()> {
     rejoins_without_disruption(false, |cluster, leader| one_way(cluster, leader, false)).await
 }
 
-/// The other way round: the leader hears everyone, and nothing that it sends arrives. The others
-/// must choose another leader soon, or every operator's command would wait for the link; after a
-/// long time the link heals, and the former leader's return must cost the others nothing.
+/// The leader receives everything, but nothing that it sends arrives. The others must elect a
+/// new leader soon, or every command would wait for the link. After a long time the link heals,
+/// and the former leader's return must not disrupt the others.
 #[actix_rt::test]
 async fn a_leader_that_nobody_hears_is_replaced() -> Result<()> {
     rejoins_without_disruption(true, |cluster, leader| one_way(cluster, leader, true)).await
 }
 
-/// The leader's disk is lost, and it comes back empty at the same address. It must not vote with
-/// what it has forgotten, nor found a second cluster; it is admitted, catches up by snapshot and is
-/// promoted. When the status says that the next loss is safe, another instance is lost at once:
-/// everything accepted must still be there, and the group must go on.
+/// The leader's disk is lost, and it comes back empty at the same address. It must not vote
+/// without its former state, nor bootstrap a second cluster; it is admitted, catches up by
+/// snapshot and is promoted. As soon as the status says that the next loss is safe, another
+/// instance is lost: everything accepted must survive, and the group must go on.
 #[actix_rt::test]
 async fn a_second_loss_right_after_a_repair_loses_nothing() -> Result<()> {
     let snapshots = json!({"limits": {"snapshot_entries": 16}});
@@ -218,9 +220,9 @@
     Ok(())
 }
 
-/// A control instance stops answering, and a moment later an operator asks whether the next one may
-/// be taken down. Told yes, the operator would stop the group: the answer must come from what
-/// the others say after the question, and not from what they said before.
+/// A control instance stops answering, and right afterwards an operator asks whether the next
+/// one may be taken down. A wrong yes would stop the group: the answer must rest on what the
+/// others report after the request, not on earlier reports.
 #[actix_rt::test]
 async fn the_next_loss_is_not_safe_right_after_one() -> Result<()> {
     let mut cluster = group(3).start().await?;
@@ -236,11 +238,11 @@
     cluster.next_loss_safe(true).await
 }
 
-/// Two of five control instances are cut off, a change is accepted by the other three, and the
-/// leader's disk is lost. Then the sides change: the empty disk sees only the two that never heard of
-/// the change. If it counted as the replica that it was, these three would be a majority and the
-/// operator's change would be gone. Later the disk is replaced while one instance is still cut off;
-/// that one returns with an old list of the group and must take the new one.
+/// Two of five control instances are cut off, the other three accept a change, and the leader
+/// loses its disk. Then the partition moves: the empty replica reaches only the two that never
+/// received the change. If it still counted as its former self, these three would be a majority
+/// and the change would be lost. Later it is replaced while one instance is still cut off; that
+/// one returns with an old membership and must adopt the new one.
 #[actix_rt::test]
 async fn a_wiped_disk_is_replaced_during_a_partition() -> Result<()> {
     let mut cluster = group(5).start().await?;
@@ -250,8 +252,8 @@
     let others: Vec<&String> = names.iter().filter(|name| **name != lost).collect();
     let (outdated, updated) = others.split_at(2);
     cluster.partition(|node| outdated.iter().any(|name| *name == node.name()));
-    // What is sent on a link before it is given up would arrive once the sides change.
-    wait::until("both links given up", async || {
+    // Messages queued on a link that is still open would arrive once the partition moves.
+    wait::until("both links closed", async || {
         let log = cluster.control(&lost).ok()?.process().log();
         (log.events("replica-link-lost").len() >= 2).then_some(())
     })
@@ -262,7 +264,8 @@
     cluster.wipe(&lost).await?;
     let is_updated = |node: &Node| updated.iter().any(|name| *name == node.name());
     cluster.links(|from, to| (!is_updated(from) && !is_updated(to)).then(Rule::default));
-    // Long enough for three that count each other as voters to elect a leader several times.
+    // Long enough for three replicas that count each other as voters to elect a leader several
+    // times.
     actix_rt::time::sleep(Duration::from_millis(ELECTION * 6)).await;
     let cut = outdated[1];
     cluster.heal();
@@ -289,9 +292,9 @@
     Ok(())
 }
 
-/// Operators' scripts race each other under equal numbers: all have read the same revision and
-/// send different changes at once. Exactly one may win, and the others must be told the revision
-/// that it made; otherwise one operator's change would silently undo another's.
+/// Several operators have read the same revision and send different changes at once. Exactly one
+/// may succeed, and the others must get the revision that it created; otherwise one change would
+/// silently overwrite another.
 #[actix_rt::test]
 async fn one_of_the_racing_operators_wins() -> Result<()> {
     let cluster = group(3).start().await?;
@@ -315,9 +318,9 @@
     Ok(())
 }
 
-/// Every control process is killed after hundreds of changes and several snapshots, and started
-/// again. A script whose answer was lost long before sends its command once more: it must be told
-/// what it would have been told then, and nothing may run a second time.
+/// Every control process is killed after hundreds of changes and several snapshots, and
+/// restarted. A command whose answer was lost long before is sent again: it must get its
+/// original answer, and nothing may be applied a second time.
 #[actix_rt::test]
 async fn a_restart_of_everything_keeps_changes_and_answers() -> Result<()> {
     let snapshots = json!({"limits": {"snapshot_entries": 64}});
@@ -348,8 +351,8 @@
     Ok(())
 }
 
-/// The leader is told to stop, as for an update. It must pass leadership on first: otherwise
-/// operators would wait for a whole election timeout at every update.
+/// The leader is told to stop, as for an upgrade. It must transfer leadership first: otherwise
+/// commands would wait for a whole election timeout at every upgrade.
 #[actix_rt::test]
 async fn a_stopped_leader_passes_leadership_on() -> Result<()> {
     let election = Duration::from_secs(5);
@@ -364,8 +367,8 @@
     Ok(())
 }
 
-/// Five replicas, two of which are lost together. The remaining three are a majority and must go
-/// on with everything that was accepted.
+/// Two of five replicas are lost together. The remaining three are a majority and must go on
+/// with everything that was accepted.
 #[actix_rt::test]
 async fn five_replicas_survive_the_loss_of_two() -> Result<()> {
     let mut cluster = group(5).start().await?;
--- a/tests/tests/control_history.rs
+++ b/tests/tests/control_history.rs
@@ -1,4 +1,4 @@
-//! What concurrent operators are told under faults is linearizable, with real processes.
+//! Tests with real processes that concurrent operator calls are linearizable under faults.
 
 use std::{cell::Cell, net::SocketAddr, rc::Rc, time::Duration};
 
@@ -9,14 +9,14 @@
     history::{Answer, Recorder, Register, Request, check},
 };
 
-/// Exit code of a call that was done or accepted.
+/// Exit code of a call that succeeded.
 const ACCEPTED: Option<i32> = Some(0);
-/// Exit code of a conflict.
+/// Exit code of a change whose expected revision was out of date.
 const CONFLICT: Option<i32> = Some(3);
 
-/// Operators read and write one object at once while leaders are killed, frozen and cut off, one
-/// after the other. Everything that they were told must fit one order of events; otherwise some
-/// operator has decided on a state that never was, or lost a change that was accepted.
+/// Operators read and write one object concurrently while leaders are killed, frozen and cut off
+/// one after the other. All answers must fit one order of events; otherwise an operator has seen
+/// a state that never existed, or an accepted change was lost.
 #[actix_rt::test]
 async fn operator_calls_are_linearizable() -> Result<()> {
     let mut cluster = group(3).start().await?;
@@ -80,7 +80,7 @@
     Ok(())
 }
 
-/// Makes one call, records it, and returns the revision that the operator knows now.
+/// Makes one call, records it, and returns the revision that the operator now knows.
 async fn record_call(
     history: &Recorder<Request, Answer>,
     addresses: &[SocketAddr],
@@ -124,7 +124,7 @@
             let revision = number("current");
             (Answer::Conflict { revision }, revision)
         }
-        // Nobody answered, or nothing has been created yet: the caller knows nothing.
+        // Without an answer, or before anything was created, the operator learns nothing.
         _ => return Ok(None),
     };
     history.end(call, answer);
--- a/tests/tests/control_load.rs
+++ b/tests/tests/control_load.rs
@@ -1,4 +1,4 @@
-//! Control replicas lost while operators write, with real processes.
+//! Tests with real processes that lose control replicas while operators write.
 
 use std::{
     cell::{Cell, RefCell},
@@ -15,17 +15,17 @@
 
 /// Exit code of a change that is accepted.
 const ACCEPTED: Option<i32> = Some(0);
-/// Exit code of a conflict.
+/// Exit code of a change whose expected revision was out of date.
 const CONFLICT: Option<i32> = Some(3);
-/// Operators who write at once.
+/// Operators that write concurrently.
 const OPERATORS: usize = 8;
-/// Accepted changes that must have come before and after a fault.
+/// Accepted changes that count as progress before and after a fault.
 const MIN_PROGRESS: usize = 24;
 
-/// What operators were told: names of models and the revisions that made them.
+/// Acknowledged changes: names of models and the revisions that created them.
 type Ledger = Rc<RefCell<Vec<(String, u64)>>>;
 
-/// Operators who create one model after the other.
+/// Operators that create one model after the other.
 #[derive(Debug)]
 struct Load {
     ledger: Ledger,
@@ -60,7 +60,7 @@
         }
     }
 
-    /// Waits until some more changes were accepted.
+    /// Waits until [`MIN_PROGRESS`] more changes were accepted.
     async fn wait_for_progress(&self) -> Result<()> {
         let before = self.ledger.borrow().len();
         wait::until("more accepted changes", async || {
@@ -69,8 +69,8 @@
         .await
     }
 
-    /// Lets every operator finish what is under way, and compares what they were told with what
-    /// the group holds.
+    /// Lets every operator finish its current call, and compares the acknowledged changes with
+    /// those that the group holds.
     async fn check(self, cluster: &Cluster) -> Result<()> {
         self.done.set(true);
         for operator in self.operators {
@@ -92,13 +92,13 @@
         acknowledged.sort_unstable();
         assert_eq!(
             acknowledged, stored,
-            "what operators were told, and what is there"
+            "acknowledged changes, and stored ones"
         );
         Ok(())
     }
 }
 
-/// Creates a model; sends the same command again for as long as nobody answers.
+/// Creates a model; resends the same command until it is answered.
 async fn create(addresses: &[SocketAddr], name: &str) -> Result<u64> {
     let command = format!("create-{name}");
     let object = model(name, "1");
@@ -122,7 +122,7 @@
     Ok(answer["revision"].as_u64().unwrap_or_default())
 }
 
-/// Cuts the leader off and leaves it so while operators still write to it.
+/// Isolates the leader and waits while operators still write to it.
 async fn cut_off_leader(cluster: &Cluster) -> Result<String> {
     let leader = cluster.leader().await?;
     cluster.partition(|node| node.name() == leader);
@@ -130,9 +130,9 @@
     Ok(leader)
 }
 
-/// The leader's machine dies while many operators write: first its network, then its process.
-/// Every change that an operator was told to be accepted must be there, once and with the revision
-/// that was told, and operators must get on within seconds. Three leaders die like that in turn.
+/// The leader's machine fails while many operators write: first its network, then its process.
+/// Every acknowledged change must exist once, with the revision that was reported, and operators
+/// must make progress again within seconds. Three leaders fail in turn.
 #[actix_rt::test]
 async fn a_leader_killed_under_load_loses_nothing_accepted() -> Result<()> {
     let mut cluster = group(3).start().await?;
@@ -150,9 +150,9 @@
     load.check(&cluster).await
 }
 
-/// The leader's disk is lost while many operators write. It comes back empty and is replaced, and
-/// as soon as the status calls the next loss safe, another instance is lost for good. Operators go
-/// on all the while; every change that they were told to be accepted must be there.
+/// The leader's disk is lost while many operators write. It comes back empty and is replaced,
+/// and as soon as the status calls the next loss safe, another instance is lost for good.
+/// Operators write all the while, and every acknowledged change must exist.
 #[actix_rt::test]
 async fn a_leader_wiped_under_load_loses_nothing_accepted() -> Result<()> {
     let mut cluster = group(3).start().await?;
--- a/tests/tests/control_orders.rs
+++ b/tests/tests/control_orders.rs
@@ -1,4 +1,4 @@
-//! Orders to targets: sent, checked by number, repaired, and paced, with real processes.
+//! Tests orders to targets with real processes: sending, fencing tokens, repair and pacing.
 
 use std::time::Duration;
 
@@ -42,7 +42,8 @@
     Ok(())
 }
 
-/// Starts three control replicas and a target of each kind, which are to hold one model.
+/// Starts three control replicas and two targets that are to hold one model: one checks fencing
+/// tokens, the other ignores them.
 async fn start_both_kinds() -> Result<Cluster> {
     let mut cluster = builder(3).start().await?;
     apply_version(&cluster, "1").await?;
@@ -52,7 +53,7 @@
     Ok(cluster)
 }
 
-/// Returns the orders that a target got, oldest first.
+/// Returns the orders that a target has received, oldest first.
 async fn orders(cluster: &mut Cluster, target: &str) -> Result<Vec<Value>> {
     let address = cluster.target(target)?.process().address("http").await?;
     let list = http::get(address, "/orders").send().await?.json()?;
@@ -75,9 +76,9 @@
     .await
 }
 
-/// An operator changes the version of a model, and the control leader is lost before the targets
-/// are ordered. The next leader must order them, those that check numbers and those that do not,
-/// and once they hold the version nobody may bother them any more.
+/// An operator changes the version of a model, and the control leader is lost before it has sent
+/// the orders. The next leader must send them, to targets that check fencing tokens and to those
+/// that do not, and must send no more once they hold the version.
 #[actix_rt::test]
 async fn a_new_leader_sends_the_orders_of_a_lost_one() -> Result<()> {
     let mut cluster = start_both_kinds().await?;
@@ -87,22 +88,22 @@
     wait_obeyed(&mut cluster, "checks", "2").await?;
     wait_obeyed(&mut cluster, "ignores", "2").await?;
     let before = orders(&mut cluster, "ignores").await?.len();
-    // Several reports and repairs would fit into this time.
+    // Long enough for several reports and repairs.
     actix_rt::time::sleep(Duration::from_secs(6)).await;
     let after = orders(&mut cluster, "ignores").await?.len();
     assert_eq!(after, before);
     Ok(())
 }
 
-/// Freezes the leader between its look at the lease and the write of an order, until a new leader
-/// has given the target a newer one; then lets the old order go out. Returns the target's orders.
+/// Freezes the leader between its lease check and the write of an order until a new leader has
+/// sent the target a newer order; then lets the old order go out. Returns the target's orders.
 async fn orders_after_a_stale_one(checks: bool) -> Result<Vec<Value>> {
     let mut cluster = builder(3).start().await?;
     apply_version(&cluster, "1").await?;
     apply_role(&cluster).await?;
     start_engine(&mut cluster, "target", checks).await?;
     let leader = cluster.leader().await?;
-    // An order that is obeyed first shows that this leader orders this kind by now.
+    // An obeyed order shows that this leader already sends orders to this kind of target.
     apply_version(&cluster, "1b").await?;
     wait_obeyed(&mut cluster, "target", "1b").await?;
     let data = cluster.control(&leader)?.settings()["data"].clone();
@@ -116,7 +117,7 @@
     wait_obeyed(&mut cluster, "target", "3").await?;
     std::fs::remove_file(&pause)?;
     cluster.control(&leader)?.process().thaw()?;
-    wait::until("the stale order", async || {
+    wait::until("the stale order received", async || {
         let orders = orders(&mut cluster, "target").await.ok()?;
         let newest = orders.iter().rposition(|order| version(order) == "2")?;
         let before = orders.iter().position(|order| version(order) == "3")?;
@@ -127,10 +128,10 @@
     orders(&mut cluster, "target").await
 }
 
-/// The leader is frozen exactly between its look at the lease and the write of an order. Meanwhile
-/// a new leader is chosen, the operator changes the version, and the target gets the new order.
-/// Then the frozen one goes on and sends the old order. A target that checks numbers must refuse
-/// it.
+/// The leader is frozen between its lease check and the write of an order. Meanwhile a new
+/// leader is elected, the operator changes the version, and the target gets the new order. Then
+/// the frozen leader resumes and sends the old order, which a target that checks fencing tokens
+/// must refuse.
 #[actix_rt::test]
 async fn a_stale_order_is_refused() -> Result<()> {
     let orders = orders_after_a_stale_one(true).await?;
@@ -141,8 +142,8 @@
     Ok(())
 }
 
-/// The same with a target that ignores numbers. It obeys the old order, and would go on serving a
-/// version that the operator has replaced; it must be back at the new one soon.
+/// As above with a target that ignores fencing tokens. It obeys the old order and would go on
+/// serving a replaced version; it must be ordered back to the new one soon.
 #[actix_rt::test]
 async fn a_stale_order_is_repaired() -> Result<()> {
     let orders = orders_after_a_stale_one(false).await?;
@@ -150,9 +151,9 @@
     Ok(())
 }
 
-/// Many targets are to load a new version at once, and the weight store can only feed a few. The
-/// loads must be spread over time, or the store would slow down for everyone, and all targets must
-/// have the version in the end.
+/// Many targets are to load a new version at once, and the weight store can feed only a few. The
+/// loads must be spread over time, or the store would slow down for all of them, and in the end
+/// every target must have the version.
 #[actix_rt::test]
 async fn loads_are_paced() -> Result<()> {
     let pace = json!({"targets": {"loads_per_minute": 120, "burst": 1}});
@@ -172,7 +173,7 @@
     }
     times.sort_unstable();
     assert_eq!(times.len(), names.len());
-    // Two a second: four loads take at least the time of three intervals, less one tick.
+    // At two loads a second, four loads take at least three intervals, less one tick.
     let spread = times
         .last()
         .zip(times.first())
--- a/tests/tests/documented.rs
+++ b/tests/tests/documented.rs
@@ -1,4 +1,4 @@
-//! The examples on the pages are tried as they stand there.
+//! Tests that the examples in the documentation work as written.
 
 use std::{net::SocketAddr, process::Command};
 
@@ -14,7 +14,7 @@
 const MODEL: &str = "map-labels";
 const CHAT: &str = "/v1/chat/completions";
 
-/// An answer as a page shows it.
+/// An answer as a page documents it.
 struct Example {
     status: u16,
     headers: Vec<String>,
@@ -22,7 +22,7 @@
 }
 
 impl Example {
-    /// Reads a block: a status and headers, if the page shows them, and a JSON body.
+    /// Parses a block: a status and headers, if the page gives them, and a JSON body.
     fn parse(block: &str) -> Result<Self> {
         let status = block
             .lines()
@@ -49,7 +49,7 @@
     }
 }
 
-/// Makes a call as a page shows it: method and path, and perhaps a body.
+/// Sends a request as a page documents it: method and path, and optionally a body.
 async fn call(address: SocketAddr, shown: &str) -> Result<Answer> {
     let (line, body) = shown.split_once('\n').unwrap_or((shown, ""));
     let (method, path) = line.split_once(' ').unwrap_or_default();
@@ -86,7 +86,7 @@
     let address = cluster.entry("patras-a-1")?.address("callers")?;
     let room = json!({"model": MODEL, "messages": [{"role": "user", "content": "room"}]});
     cluster.serves(address, KEY, &room).await?;
-    wait::until("the portal answering", async || {
+    wait::until("the portal serving", async || {
         let answer = call(address, "GET /proofs/7").await.ok()?;
         (answer.status() == 200).then_some(())
     })
@@ -111,7 +111,7 @@
     cluster.stop().await
 }
 
-/// Checks that a stream ends as the page shows it and that its events have the fields shown there.
+/// Checks that a stream ends as documented and that its events have the documented fields.
 async fn check_events(address: SocketAddr, shown: &str) -> Result<()> {
     let body = json!({
         "model": MODEL, "stream": true, "max_tokens": 1,
@@ -171,8 +171,8 @@
     cluster.stop().await
 }
 
-/// Commands that need a replica that is not yet, or no longer, a member: the scaffolding runs them
-/// whenever it founds a cluster, and `control_group` when a disk is lost.
+/// Commands that need a replica that is not yet, or no longer, a member: the test harness runs
+/// them whenever it bootstraps a cluster, and `control_group` when a disk is lost.
 const MEMBERSHIP: [&str; 3] = ["bootstrap", "--local status", "replica "];
 
 #[actix_rt::test]
@@ -206,7 +206,7 @@
         let words: Vec<&str> = words.iter().map(String::as_str).collect();
         let run = cluster.ctl(&words).await?;
         println!("{command}: {:?}", run.code);
-        // What narrows is pending until the last instance has confirmed it.
+        // A change that narrows a rule is pending until the last instance has confirmed it.
         let accepted = run.code == Some(0) || run.code == Some(4) && command.contains("residency");
         assert!(accepted, "{command}: {run:?}");
         tried += 1;
@@ -215,7 +215,7 @@
     cluster.stop().await
 }
 
-/// Checks the settings on the page with the binaries that they are for.
+/// Checks the documented settings with the binaries that they are for.
 fn check_settings(blocks: &[String]) -> Result<()> {
     let folder = tempfile::tempdir()?;
     let settings = blocks.iter().filter(|block| block.contains("\"listen\""));
--- a/tests/tests/history.rs
+++ b/tests/tests/history.rs
@@ -1,4 +1,5 @@
-//! Tests of the history checker: it must pass what could have happened and refuse what couldn't.
+//! Tests the history checker: it must accept every possible history and reject every impossible
+//! one.
 
 use std::sync::Mutex;
 use std::thread;
@@ -38,7 +39,7 @@
 
 const NEVER: u64 = u64::MAX;
 
-/// Names a history and says whether it could have happened.
+/// Defines a test of one history: its name and whether it is linearizable.
 macro_rules! case {
     ($name:ident, $expected:expr, [$($call:expr),* $(,)?]) => {
         #[test]
@@ -169,8 +170,8 @@
     ]
 );
 
-/// Names what the askers for one ticket were told, one after the other, and how often it ran, and
-/// says whether that keeps the promises.
+/// Defines a test of one ticket: the answers to its requests, one after the other, how often the
+/// work ran, and whether that is consistent.
 macro_rules! ticket {
     ($($name:ident: [$($answer:expr),*], $runs:literal => $expected:literal;)+) => {$(
         #[test]
@@ -223,8 +224,8 @@
     ticket_answered_with_anothers: ["bill"], 1 => false;
 }
 
-// Threads race on a real object and some answers are lost. The recorded history must pass, and must
-// not any more once one answer is changed to what couldn't have been said.
+// Threads race on a shared object and some answers are lost. The recorded history must be
+// accepted, and must be rejected once one answer is changed to an impossible one.
 #[test]
 fn a_recorded_race_passes_and_a_forged_answer_does_not() {
     let object = Mutex::new((0_u64, None));
--- a/tests/tests/load.rs
+++ b/tests/tests/load.rs
@@ -1,4 +1,4 @@
-//! The load tool measures what it says.
+//! Tests that the load tool measures what it reports.
 
 use std::{
     io::{BufRead, BufReader, Read},
@@ -13,12 +13,12 @@
 
 const MODEL: &str = "map-labels";
 
-/// Runs the load tool against one stand-in engine without the system between.
+/// Runs the load tool directly against one stand-in engine, without the system between them.
 async fn run_direct(engine: Value, change: Value) -> Result<Value> {
     Ok(run_counting_connections(engine, change).await?.0)
 }
 
-/// As [`run_direct`]; returns also how many connections the load tool opened.
+/// Does the same as [`run_direct`] and also returns how many connections the load tool opened.
 async fn run_counting_connections(engine: Value, change: Value) -> Result<(Value, u64)> {
     let mut engine_settings = json!({
         "kind": "engine", "listen": ANY,
@@ -46,9 +46,9 @@
     Ok((report["variants"][0].clone(), proxy.opened()))
 }
 
-// A stream is over at its closing event, a few bytes before the end of its body. A tool that leaves
-// these unread opens a connection for each stream, and the time of opening counts as latency of the
-// system.
+// A stream ends with its closing event, a few bytes before the end of its body. If the tool left
+// these bytes unread, it would open a connection for each stream, and the connection setup would
+// count as latency of the system.
 #[actix_rt::test]
 async fn streams_share_connections() -> Result<()> {
     let few = json!({"duration_ms": 2_000, "sources": [
@@ -77,7 +77,7 @@
     Ok(())
 }
 
-/// Reads each request whole and closes its connection in order, without an answer.
+/// Reads each request in full and closes its connection cleanly, without an answer.
 fn close_after_reading(listener: &TcpListener) {
     for stream in listener.incoming().flatten() {
         let mut reader = BufReader::new(stream);
@@ -89,14 +89,14 @@
             line.clear();
         }
         let mut body = vec![0; length];
-        // Whatever was not read would make the close a reset, which looks different to the tool.
+        // Unread bytes would turn the close into a reset, which the tool reports differently.
         let _ = reader.read_exact(&mut body);
     }
 }
 
-// An instance that is killed between a request and its answer closes the connection, and the HTTP
-// library reports that as a connection that was never had. Counted as "not run", such requests that
-// had run looked like broken promises of the system in the soak: ran_anyway=2.
+// An instance that is killed between a request and its answer closes the connection, which the
+// HTTP library reports like a connection that was never established. If such requests counted as
+// "not run", those that had run would show up as violations of the system (`ran_anyway`).
 #[actix_rt::test]
 async fn connections_closed_before_an_answer_are_unknown() -> Result<()> {
     let listener = TcpListener::bind(("127.0.0.1", 0))?;
@@ -118,8 +118,9 @@
     Ok(())
 }
 
-/// One slow slot serves a request every 50 ms while ten come in that time. Each waits for all that
-/// came before it; a tool that waited for answers before sending would see 50 ms for every one.
+/// A single slot serves a request every 50 ms while ten arrive in that time. Each waits for all
+/// that arrived before it; a tool that waited for answers before sending would measure 50 ms for
+/// every one (coordinated omission).
 #[actix_rt::test]
 async fn waiting_is_measured_from_the_planned_start() -> Result<()> {
     let slow = json!({"slots": 1, "engine": {"first_ms": 50}});
@@ -134,10 +135,10 @@
     Ok(())
 }
 
-/// Callers of two clients ask two availability zones at once, some for work that may run once, while
-/// an engine is killed and comes back. Whoever was told "answered" must have a run in a ledger and
-/// the right text, whoever was told "not run" none, and no work that may run once may have run twice:
-/// work that ran twice is billed twice.
+/// Callers of two clients send requests to two availability zones, some of them at most once,
+/// while an engine is killed and restarted. Every "answered" must have a run in a ledger and the
+/// right text, every "not run" no run, and no at-most-once request may have run twice: it would
+/// be billed twice.
 #[actix_rt::test]
 async fn outcomes_match_ledgers_while_an_engine_is_lost() -> Result<()> {
     let files = tempfile::tempdir()?;
--- a/tests/tests/operator_calls.rs
+++ b/tests/tests/operator_calls.rs
@@ -1,4 +1,4 @@
-//! Every operators' call, driven by the command line against real processes.
+//! Tests every call of the operators' interface from the command line against real processes.
 
 use serde_json::{Value, json};
 use zinniastall_tests::{Result, cluster::Cluster, wait};
@@ -21,7 +21,7 @@
     cluster.ctl(arguments).await?.json()
 }
 
-/// Names in a list's records of one kind.
+/// Returns the ids of the records of one kind in a list.
 fn names(list: &Value, kind: &str) -> Vec<String> {
     let records = list["records"].as_array().cloned().unwrap_or_default();
     let name = |record: &Value| record["object"][kind]["id"].as_str().map(str::to_owned);
--- a/tests/tests/pages.rs
+++ b/tests/tests/pages.rs
@@ -1,4 +1,4 @@
-//! The pages keep their word: what they name exists.
+//! Tests that what the documentation names exists.
 
 use std::{
     collections::BTreeSet,
@@ -13,7 +13,7 @@
         .to_path_buf()
 }
 
-/// Files below a folder whose name ends with `ending`, build results left out.
+/// Collects the files below a folder whose names end with `ending`, without build results.
 fn collect_files(folder: &Path, ending: &str, found: &mut Vec<PathBuf>) {
     for entry in fs::read_dir(folder).expect("folder is readable").flatten() {
         let path = entry.path();
@@ -26,7 +26,7 @@
     }
 }
 
-/// Names in backquotes of the form `file::name`, as the fourth or third column of a row has them.
+/// Returns the names in backquotes of the form `file::name` in the rows of tables.
 fn named_tests(page: &str) -> BTreeSet<(String, String)> {
     let rows = page.lines().filter(|line| line.starts_with('|'));
     let words = rows.flat_map(|row| row.split('`').skip(1).step_by(2));
@@ -37,7 +37,7 @@
         .collect()
 }
 
-/// Finds the lines of a test file that name a test, as a function or as a case of a macro.
+/// Returns whether a test file names a test, as a function or as a case of a macro.
 fn has_test(file: &str, name: &str, sources: &[PathBuf]) -> bool {
     let last = name.rsplit("::").next().unwrap_or(name);
     sources
@@ -53,7 +53,7 @@
 
 #[test]
 fn every_test_named_in_proofs_exists() {
-    // A row that names a test which was renamed or removed claims a proof nobody can rerun.
+    // A row that names a renamed or removed test claims a proof that nobody can rerun.
     let page = fs::read_to_string(root().join("docs/PROOFS.md")).expect("docs/PROOFS.md");
     let mut sources = Vec::new();
     collect_files(&root(), ".rs", &mut sources);
@@ -69,7 +69,7 @@
 
 #[test]
 fn every_row_of_proofs_has_a_test_or_says_why_not() {
-    // An empty cell reads as proved to a hurried reader.
+    // A hurried reader would take an empty cell for a proof.
     let page = fs::read_to_string(root().join("docs/PROOFS.md")).expect("docs/PROOFS.md");
     let unexplained: Vec<&str> = page
         .lines()
@@ -101,5 +101,5 @@
             }
         }
     }
-    assert!(broken.is_empty(), "links that lead nowhere: {broken:#?}");
+    assert!(broken.is_empty(), "broken links: {broken:#?}");
 }
--- a/tests/tests/path/border.rs
+++ b/tests/tests/path/border.rs
@@ -1,4 +1,4 @@
-//! Requests that are on their way to a border while a rule closes it.
+//! Tests requests that are about to leave their region when a rule withdraws the other one.
 
 use std::net::SocketAddr;
 
@@ -13,12 +13,12 @@
 
 use super::support::{CLIENT, KEY, MODEL, System, ask, ask_once, chat, error, runs, ticket};
 
-/// Request id, so that its way can be read in the logs.
+/// Request id by which the logs show where the request went.
 const REQUEST_ID: &str = "held-at-the-border";
 
-/// Sends a request from Patras while its new link to Athens makes no progress, narrows the client to
-/// Patras meanwhile, and lets the link go on. Returns the answer and the request's line in the log
-/// of Athens, if it came there.
+/// Sends a request from Patras while its new link to Athens is stalled, narrows the client to
+/// Patras meanwhile, and heals the link. Returns the answer and the lines of the request in the
+/// log of Athens, if it arrived there.
 async fn forward_during_withdrawal(
     cluster: &mut System,
     request: Request,
@@ -46,7 +46,7 @@
     Ok((answer, lines))
 }
 
-/// Starts Patras anew, so that it has no link for requests yet.
+/// Restarts the instance of Patras, so that it has no stream link yet.
 async fn restart_without_links(cluster: &mut System) -> Result<SocketAddr> {
     cluster.entry("patras-a-1")?.restart().await?;
     cluster.located("patras-a-1", KEY, MODEL, 2).await?;
@@ -57,9 +57,10 @@
     chat("a brief that has to stay", 2, false)
 }
 
-// An answer is lost, and its caller asks again in another region than before. While the resend waits
-// for a link to the instance that issued its ticket, the operator takes that region from the client.
-// The brief must not cross the border any more; whether it ran earlier, nobody here can say.
+// An answer is lost, and its caller resends the request in another region. While the resend
+// waits for a link to the instance that issued its ticket, the operator withdraws that region
+// from the client. The request must not leave its region any more; whether it ran before is
+// unknown here.
 #[actix_rt::test]
 async fn resend_is_not_sent_to_a_withdrawn_region() -> Result<()> {
     let mut cluster = super::forward::regions().await?;
@@ -68,20 +69,20 @@
     let request = ask_once(address, &ticket, &body());
     let (answer, crossed) = forward_during_withdrawal(&mut cluster, request).await?;
     assert_eq!(error(&answer).0, "unknown", "{}", answer.text());
-    assert_eq!(crossed, [""; 0], "it crossed the border");
+    assert_eq!(crossed, [""; 0], "it left its region");
     Ok(())
 }
 
-// The home region has no engine, and a request waits for a link to the region that has one, while
-// the operator takes that region from the client. The caller is told that nothing ran, and the brief
-// has not left its region.
+// The home region has no engine, and a request waits for a link to the region that has one while
+// the operator withdraws that region from the client. The caller must learn that nothing ran,
+// and the request must not have left its region.
 #[actix_rt::test]
 async fn request_is_not_sent_to_a_withdrawn_region() -> Result<()> {
     let mut cluster = super::forward::regions().await?;
     let address = restart_without_links(&mut cluster).await?;
     let (answer, crossed) = forward_during_withdrawal(&mut cluster, ask(address, &body())).await?;
     assert_eq!(error(&answer).0, "not-run", "{}", answer.text());
-    assert_eq!(crossed, [""; 0], "it crossed the border");
+    assert_eq!(crossed, [""; 0], "it left its region");
     assert_eq!(runs(&mut cluster, "engine-1", &body()).await?.len(), 0);
     Ok(())
 }
--- a/tests/tests/path/calls.rs
+++ b/tests/tests/path/calls.rs
@@ -1,12 +1,12 @@
-//! Each call of docs/CALLERS.md.
+//! Tests each call of docs/CALLERS.md.
 
 use serde_json::json;
 use zinniastall_tests::{Result, http};
 
 use super::support::{KEY, MODEL, ask, chat, error, text, zone};
 
-// The designers' portal fetches proof sheets and orders prints through the same path as models. An
-// order may not be repeated, so it needs a ticket; its resend gets the recorded answer.
+// A portal fetches proof sheets and orders prints through the same path as models. An order is
+// not idempotent, so it needs a ticket; its resend gets the recorded answer.
 #[actix_rt::test]
 async fn every_call_answers_as_documented() -> Result<()> {
     let mut cluster = zone(&[json!({"engine": {"token_us": 1000}})]).await?;
--- a/tests/tests/path/cold.rs
+++ b/tests/tests/path/cold.rs
@@ -1,4 +1,4 @@
-//! Traffic returns to targets with cold caches.
+//! Tests how traffic returns to targets with cold caches.
 
 use std::net::SocketAddr;
 
@@ -7,19 +7,19 @@
 
 use super::support::{KEY, MODEL, System, ask, chat, configure};
 
-/// Requests that must have gone elsewhere after the first one that was served at home again, and
-/// those at home one after the other by which all traffic counts as returned.
+/// Requests that must have gone elsewhere after the first one that the home zone served again,
+/// and consecutive requests served at home after which all traffic counts as returned.
 const MIN_ELSEWHERE: usize = 3;
 const MIN_CONSECUTIVE_AT_HOME: usize = 30;
 
-/// Asks once and returns the target that served.
+/// Sends one request and returns the target that served it.
 async fn served_by(address: SocketAddr, number: usize) -> Option<String> {
     let body = chat(&format!("request {number}"), 1, false);
     let answer = ask(address, &body).send().await.ok()?;
     (answer.status() == 200).then(|| answer.header("x-zinniastall-target").to_owned())
 }
 
-/// Waits until a target serves.
+/// Waits until a target serves a request.
 async fn wait_served_by(address: SocketAddr, target: &str) -> Result<()> {
     wait::until(&format!("{target} serving"), async || {
         (served_by(address, 0).await? == target).then_some(())
@@ -27,10 +27,10 @@
     .await
 }
 
-// The only engine of a zone is killed, its zone's callers are served by the zone beside it, and the
-// engine comes back with an empty cache. It is idle then and looks cheaper than the other zone; with
-// all requests at once its callers would wait for prompts that are prefilled in full. They move
-// back step by step instead, and in the end all of them.
+// The only engine of a zone is killed, the neighbouring zone takes over its callers, and the
+// engine returns with an empty cache. It is idle then and looks cheaper than the other zone; if
+// it got all requests at once, callers would wait for full prefills. Traffic must move back
+// gradually, and in the end completely.
 #[actix_rt::test]
 async fn traffic_returns_to_a_cold_zone_step_by_step() -> Result<()> {
     let builder = Cluster::builder()
--- a/tests/tests/path/drain.rs
+++ b/tests/tests/path/drain.rs
@@ -1,4 +1,4 @@
-//! Instances and targets leave without cutting anything.
+//! Tests that instances and targets leave without cutting requests.
 
 use futures_util::future::join_all;
 use serde_json::json;
@@ -8,8 +8,9 @@
     ask, ask_once, chat, error, exits_cleanly, expected, terminate, ticket, zone, zone_with,
 };
 
-// An operator restarts an instance while a long answer streams through it. The stream must arrive
-// whole; whoever comes meanwhile is told at once that nothing ran and goes elsewhere.
+// An operator restarts an instance while a long answer streams through it. The stream must
+// arrive complete; new requests are refused at once as not run, so that their callers go
+// elsewhere.
 #[actix_rt::test]
 async fn terminated_instance_cuts_no_stream() -> Result<()> {
     let mut cluster = zone(&[json!({"engine": {"token_us": 50_000}})]).await?;
@@ -33,7 +34,7 @@
     exits_cleanly(&mut cluster, "patras-a-1").await
 }
 
-// An instance is told to stop right after it has run a billed proposal whose answer was lost. The
+// An instance is told to stop right after it has run a billed request whose answer was lost. The
 // resend must still get that answer while the instance lingers.
 #[actix_rt::test]
 async fn terminated_issuer_still_answers_for_its_tickets() -> Result<()> {
@@ -53,8 +54,8 @@
     exits_cleanly(&mut cluster, "patras-a-1").await
 }
 
-// Engines are replaced while callers keep asking. No request may fail for it, and an engine that
-// has said it leaves gets no new work after two seconds.
+// An engine leaves while callers keep sending requests. No request may fail because of it; an
+// engine that has announced its leave gets no new work after two seconds.
 #[actix_rt::test]
 async fn leaving_target_under_load_fails_no_request() -> Result<()> {
     let engine = json!({"engine": {"token_us": 2000}, "slots": 16});
--- a/tests/tests/path/entry_lost.rs
+++ b/tests/tests/path/entry_lost.rs
@@ -1,4 +1,4 @@
-//! An entry instance is lost while an answer passes through it.
+//! Tests the loss of an entry instance while an answer passes through it.
 
 use std::{cell::Cell, rc::Rc};
 
@@ -18,14 +18,14 @@
 const PROMPT: &str = "a schedule for the nursery";
 const TOKENS: usize = 8;
 
-/// Reads a stream and counts its events; returns its text and whether it ended.
+/// Reads a stream and counts its events; returns its text and whether it is complete.
 async fn read(request: Request, seen: Rc<Cell<usize>>) -> Result<(String, bool)> {
     let (_, events) = request.stream().await?;
     http::content_by(events, |count| seen.set(count)).await
 }
 
-/// Loses an instance when the engine has stopped at a point of a stream, and asks again at the other
-/// instance of the zone. Compares what both were told with the engine's ledger.
+/// Loses an instance when the engine has stopped at a point of a stream, and resends the request
+/// to the other instance of the zone. Compares both answers with the engine's ledger.
 async fn lose_instance(point: &str, events: usize, freeze: bool, once: bool) -> Result<()> {
     let entry = json!({"stall_ms": 2000, "tickets": {"linger_ms": 200}});
     let mut cluster = zone_with(&[engine("none", "die", 0)], entry).await?;
@@ -45,7 +45,7 @@
     };
     let seen = Rc::new(Cell::new(0));
     let reading = actix_rt::spawn(read(request(first), Rc::clone(&seen)));
-    wait::until("the engine at its point", async || {
+    wait::until("the engine at its failure point", async || {
         let runs = runs(&mut cluster, "engine-1", &body).await.ok()?;
         (runs.len() == 1 && seen.get() == events).then_some(())
     })
@@ -66,25 +66,25 @@
     if freeze {
         cluster.entry("patras-a-1")?.process().thaw()?;
     }
-    // The engine says nothing more, so a first answer that is whole must come from its resumption.
+    // The engine sends nothing more, so a complete first answer must come from its resumption.
     if let Ok((text, done)) = reading.await.map_err(std::io::Error::other)? {
         assert!(
             expected(PROMPT, TOKENS).starts_with(&text),
-            "not its own: {text}"
+            "not the text of this answer: {text}"
         );
         assert!(
             !done || text == expected(PROMPT, TOKENS),
-            "looked whole: {text}"
+            "looked complete: {text}"
         );
-        assert!(!(done && once), "an answer without its end looked whole");
+        assert!(!(done && once), "an answer without its end looked complete");
     }
     let ran = runs(&mut cluster, "engine-1", &body).await?.len();
     assert!(if once { ran == 1 } else { ran >= 2 }, "{ran} runs");
     Ok(())
 }
 
-/// Names a case: the point that the stream has reached, how the instance is lost, and whether the
-/// work may run once only.
+/// Defines a case: the point that the stream has reached, how the instance is lost, and whether
+/// the request may run only once.
 macro_rules! lost {
     ($($name:ident: $point:literal, $events:expr, $freeze:literal, $once:literal;)+) => {$(
         #[actix_rt::test]
@@ -94,9 +94,10 @@
     )+};
 }
 
-// The instance that a robot asked is killed, or stands still like a machine that is moved, before
-// the first byte of the answer, within it, or right before its end. The robot asks the other instance.
-// Labels of rooms it must get; a cleaning schedule must not run twice, so it is told that nobody knows.
+// The instance that serves a request is killed, or frozen like a virtual machine that is
+// migrated, before the first byte of the answer, within it, or right before its end. The caller
+// resends to the other instance: an idempotent request must be answered; an at-most-once request
+// must not run again and is answered as unknown.
 lost! {
     killed_before_the_first_byte: "first", 0, false, false;
     killed_before_the_first_byte_of_once: "first", 0, false, true;
--- a/tests/tests/path/forward.rs
+++ b/tests/tests/path/forward.rs
@@ -1,4 +1,4 @@
-//! Requests that cross borders.
+//! Tests requests that are forwarded between regions.
 
 use std::time::{Duration, Instant};
 
@@ -17,12 +17,13 @@
     short_linger, ticket,
 };
 
-/// Starts two regions; only the far one has an engine.
+/// Starts two regions; only the remote one has an engine.
 pub(crate) async fn regions() -> Result<System> {
     regions_with(json!({"engine": {"token_us": 20_000}}), json!({})).await
 }
 
-/// The same, with settings of the engine and settings put over those of the entry instances.
+/// Does the same with settings of the engine and settings merged over those of the entry
+/// instances.
 pub(crate) async fn regions_with(engine: Value, entry: Value) -> Result<System> {
     let builder = Cluster::builder()
         .zone("patras", "a", 1)
@@ -43,8 +44,8 @@
     Ok(cluster)
 }
 
-// The home region has lost its engines. A client whose rules permit another region is served there,
-// whole and as a stream, and work that runs at most once does so there too.
+// The home region has lost its engines. A client that may use another region is served there,
+// with whole and streamed answers, and so are at-most-once requests.
 #[actix_rt::test]
 async fn other_region_serves_when_home_cannot() -> Result<()> {
     let mut cluster = regions().await?;
@@ -65,8 +66,8 @@
     cluster.stop().await
 }
 
-// The far instance is killed in the middle of an answer. Half of an answer must not look whole, and
-// work that runs at most once must not run again.
+// The remote instance is killed in the middle of an answer. A partial answer must not look
+// complete, and an at-most-once request must not run again.
 #[actix_rt::test]
 async fn far_instance_killed_within_an_answer() -> Result<()> {
     let mut cluster = regions().await?;
@@ -83,8 +84,8 @@
     Ok(())
 }
 
-// An operator withdraws a region from a client while its requests fly there. Once the change is
-// accepted, no further request runs in that region, and callers are told that theirs did not.
+// An operator withdraws a region from a client while its requests are in flight there. Once the
+// change is accepted, no further request runs in that region, and callers get "not run".
 #[actix_rt::test]
 async fn narrowed_residency_holds_while_requests_are_in_flight() -> Result<()> {
     let mut cluster = regions().await?;
@@ -127,8 +128,8 @@
     cluster.stop().await
 }
 
-// An engine is full and a request waits for it at the instance. Meanwhile the operator withdraws the
-// region from the client and is told that the change is accepted. The request must not run there
+// An engine is full and a request waits for it at the instance. Meanwhile the operator withdraws
+// the region from the client, and the change is accepted. The request must not run there
 // afterwards, although it was admitted when that was permitted.
 #[actix_rt::test]
 async fn waiting_request_obeys_a_narrower_rule() -> Result<()> {
@@ -152,7 +153,7 @@
         .collect();
     wait::until("the engine busy", async || {
         let runs = cluster.ledger("engine-1").await.ok()?;
-        // The probe is the first.
+        // The first run is the probe.
         (runs.len() > 1).then_some(())
     })
     .await?;
@@ -169,15 +170,16 @@
             refused += 1;
         }
     }
-    // One runs, and one at most is in the engine's own queue; the others waited at the instance.
+    // One runs, and at most one is in the engine's own queue; the others waited at the instance.
     assert!(refused >= 2, "{refused} refused");
     let ran = cluster.ledger("engine-1").await?.len() - 1;
-    assert_eq!(ran + refused, 4, "what was refused ran");
+    assert_eq!(ran + refused, 4, "a refused request ran");
     cluster.stop().await
 }
 
-// The home instance is cut off from control and still permits the far region; the far instance has
-// the newer rules. The stricter of the two wins: the request is refused there and runs nowhere.
+// The home instance is cut off from control and still permits the remote region; the remote
+// instance has the newer rule. The stricter of the two applies: the request is refused there and
+// runs nowhere.
 #[actix_rt::test]
 async fn stricter_of_two_revisions_wins() -> Result<()> {
     let mut cluster = regions().await?;
@@ -192,7 +194,7 @@
     let run = cluster.ctl(&["apply", &rule.to_string()]).await?;
     let run: Value = serde_json::from_str(&run.output)?;
     let revision = run["revision"].to_string();
-    wait::until("the far instance having the rule", async || {
+    wait::until("the rule in force at the remote instance", async || {
         let lines = cluster
             .entry("athens-a-1")
             .ok()?
@@ -210,8 +212,8 @@
     Ok(())
 }
 
-// The link between two regions goes silent while a request is on its way. Its caller is told in time
-// that the outcome is unknown; both regions go on serving their own callers.
+// The link between two regions goes silent while a request is in flight. Its caller gets the
+// outcome "unknown" in time, and both regions go on serving their own callers.
 #[actix_rt::test]
 async fn cut_regions_serve_their_own() -> Result<()> {
     let mut cluster = regions().await?;
@@ -232,7 +234,7 @@
     let cut = Instant::now();
     let answer = in_flight.await.expect("the request ends")?;
     assert_eq!(error(&answer).0, "unknown", "{}", answer.text());
-    // Long before its deadline: the link was found silent.
+    // Long before its deadline, because the link was found silent.
     assert!(
         cut.elapsed() < Duration::from_secs(15),
         "{:?}",
@@ -251,8 +253,8 @@
     Ok(())
 }
 
-// A caller sends the system's own headers, as if an instance had passed the request on: another
-// client's name, an offset, an order's number. None of it may reach a target.
+// A caller sends the system's internal headers, as if an instance had forwarded the request:
+// another client's name, an offset, a fencing token. None of them may reach a target.
 #[actix_rt::test]
 async fn forged_headers_are_dropped() -> Result<()> {
     let mut cluster = regions().await?;
--- a/tests/tests/path/forwarded.rs
+++ b/tests/tests/path/forwarded.rs
@@ -1,4 +1,4 @@
-//! Instances leave while requests from other regions pass through them.
+//! Tests instances that stop while requests from other regions pass through them.
 
 use std::time::Duration;
 
@@ -10,8 +10,9 @@
     support::{ask, ask_once, chat, exits_cleanly, expected, runs, terminate, ticket},
 };
 
-/// Names a case: an instance that is asked to end while requests cross from Patras to Athens, as a
-/// stream, whole, and as work that runs once. All arrive whole, and each has run once.
+/// Defines a case: an instance is terminated while requests are forwarded from Patras to Athens,
+/// as a stream, whole, and at most once. All answers arrive complete, and each request has run
+/// once.
 macro_rules! survives {
     ($($name:ident: $entry:literal;)+) => {$(
         #[actix_rt::test]
@@ -19,8 +20,8 @@
             let mut cluster = regions().await?;
             let address = cluster.entry("patras-a-1")?.address("callers")?;
             let ticket = ticket(address).await?;
-            // The one with a ticket ends first: its run is counted by itself and would hold the
-            // instance for the others.
+            // The request with a ticket ends first: its run is counted separately and would keep
+            // the instance up for the others.
             let bodies = [chat("a brief", 80, true), chat("a scan", 80, false), chat("a bill", 20, true)];
             let (_, stream) = ask(address, &bodies[0]).stream().await?;
             let whole = actix_rt::spawn(ask(address, &bodies[1]).send());
@@ -45,15 +46,16 @@
     )+};
 }
 
-// An operator restarts an instance of one region while answers pass from there to callers of another.
-// A crew that waits for its map must not get half of it for that, at either end.
+// An operator restarts an instance of one region while answers pass from there to callers of
+// another. No answer may be cut, whichever end is restarted.
 survives! {
     terminated_receiver_cuts_no_answer: "athens-a-1";
     terminated_sender_cuts_no_answer: "patras-a-1";
 }
 
-// The same over a slow link: the engine has finished and the instance has written the whole answer,
-// but most of it is still on its way. If the instance ended now, the rest would be lost with it.
+// As above over a slow link: the engine has finished and the instance has written the whole
+// answer, but most of it is still in transit. If the instance exited now, the rest would be
+// lost.
 #[actix_rt::test]
 async fn terminated_receiver_waits_for_a_slow_link() -> Result<()> {
     let mut cluster = regions_with(json!({"engine": {"token_us": 1}}), json!({})).await?;
@@ -75,8 +77,8 @@
     exits_cleanly(&mut cluster, "athens-a-1").await
 }
 
-// A long proposal streams for several times the deadline of its first part, across regions, while
-// both instances are asked to end. As long as it moves, nothing may cut it.
+// A long answer streams for several times its request's deadline, across regions, while both
+// instances are terminated. As long as it makes progress, nothing may cut it.
 #[actix_rt::test]
 async fn long_stream_outlives_deadline_and_drain() -> Result<()> {
     let entry = json!({"limits": {"deadline_ms": 1000}, "drain_ms": 30_000, "stall_ms": 1000});
--- a/tests/tests/path/frames.rs
+++ b/tests/tests/path/frames.rs
@@ -1,4 +1,4 @@
-//! Frames of a stream link come doubled, late and out of order.
+//! Tests stream links whose frames arrive duplicated, late or out of order.
 
 use std::net::SocketAddr;
 
@@ -13,12 +13,12 @@
     support::{KEY, System, ask, ask_once, chat, error, expected, runs, ticket},
 };
 
-/// Request whose frames are changed.
+/// Id of the request whose frames are altered.
 const REQUEST_ID: &str = "changed-on-its-way";
 const TOKENS: usize = 8;
 const PROMPT: &str = "a billed proposal";
 
-/// Puts a relay before Athens that changes the frames of the request [`REQUEST_ID`].
+/// Puts a relay in front of Athens that alters the frames of the request [`REQUEST_ID`].
 async fn start_with_relay(
     mut change: impl FnMut(Way, Message) -> Vec<Message> + Send + 'static,
 ) -> Result<(System, Frames)> {
@@ -30,7 +30,8 @@
         {
             marked = Some(open.stream);
         }
-        // The pulse of an idle link, which is stream 0, tells that time goes on.
+        // Keepalives of an idle link (stream 0) are passed on too, so that `change` can release
+        // a held frame when no other follows.
         if marked.is_some_and(|marked| [marked, 0].contains(&message.stream())) {
             return change(way, message);
         }
@@ -48,7 +49,8 @@
     Ok((cluster, frames))
 }
 
-/// Asks again over the same link. A region that has broken an answer is left alone for a while.
+/// Sends another request over the same link and checks its answer. A region that has broken an
+/// answer gets no requests for a while.
 async fn check_next_answer(cluster: &System, address: SocketAddr) -> Result<()> {
     cluster
         .serves(address, KEY, &chat("probe", 1, false))
@@ -59,9 +61,9 @@
     Ok(())
 }
 
-/// Names a case: what becomes of the parts of an answer. The caller gets the whole answer, or its
-/// beginning and no end; a resend of the ticket is told the same answer or that the outcome is
-/// unknown; the work has run once; the next answer on the link is whole and its own.
+/// Defines a case: how the parts of an answer are altered. The caller gets the whole answer, or
+/// its beginning without an end; a resend of the ticket gets the same answer or "unknown"; the
+/// request has run once; the next answer on the link is complete and correct.
 macro_rules! parts {
     ($($name:ident: $whole:literal, $change:expr;)+) => {$(
         #[actix_rt::test]
@@ -73,8 +75,8 @@
             let (_, events) = request.stream().await?;
             let (text, done) = http::content(events).await?;
             assert_eq!(done, $whole, "{text}");
-            assert!(expected(PROMPT, TOKENS).starts_with(&text), "not its own: {text}");
-            assert!(!done || text == expected(PROMPT, TOKENS), "a cut answer looked whole: {text}");
+            assert!(expected(PROMPT, TOKENS).starts_with(&text), "not the text of this answer: {text}");
+            assert!(!done || text == expected(PROMPT, TOKENS), "a cut answer looked complete: {text}");
             let again = ask_once(address, &ticket, &body).send().await?;
             let outcome = if done { String::new() } else { "unknown".to_owned() };
             assert_eq!(error(&again).0, outcome, "{}", again.text());
@@ -85,9 +87,9 @@
     )+};
 }
 
-// A link between regions is re-established by devices that buffer and repeat. An answer's part that
-// comes twice, late or not at all must not be shown as the answer: a robot would take half a map, or
-// one with a room in it twice, for the whole.
+// A link between regions runs over devices that buffer and repeat. An answer with a part
+// duplicated, late or lost must not look complete: the caller would take a partial answer, or
+// one with a repeated part, for the whole.
 parts! {
     doubled_part_never_looks_whole: false, |_, message| match message {
         Message::Data { offset: 1.., .. } => vec![message.clone(), message],
@@ -136,8 +138,8 @@
     };
 }
 
-/// Names a case: whether the request may run once only, and whether its doubled frame comes at once
-/// or after the end of its answer. It runs once, and the answer is whole.
+/// Defines a case: whether the request is at most once, and whether its duplicated frame arrives
+/// at once or after the end of its answer. The request runs once, and the answer is complete.
 macro_rules! doubled_open {
     ($($name:ident: $once:literal, $late:literal;)+) => {$(
         #[actix_rt::test]
@@ -164,7 +166,8 @@
             let (_, events) = request.header("x-zinniastall-request", REQUEST_ID).stream().await?;
             assert_eq!(http::content(events).await?, (expected(PROMPT, TOKENS), true));
             assert_eq!(repeated.recv().await, Some(()));
-            // Whatever the doubled frame has started would be in the ledger before this one.
+            // Anything that the duplicated frame started would be in the ledger before this
+            // request.
             check_next_answer(&cluster, address).await?;
             assert_eq!(runs(&mut cluster, "engine-1", &body).await?.len(), 1);
             cluster.stop().await
@@ -172,8 +175,8 @@
     )+};
 }
 
-// The frame that brings a request to another region comes twice, the second time perhaps when the
-// first has been answered. Run again, the work would be billed twice.
+// The frame that opens a request in another region arrives twice, the second time possibly after
+// its answer. If it ran again, it would be billed twice.
 doubled_open! {
     doubled_request_runs_once: false, false;
     doubled_request_after_its_answer_runs_once: false, true;
--- a/tests/tests/path/hops.rs
+++ b/tests/tests/path/hops.rs
@@ -1,4 +1,4 @@
-//! No request goes round.
+//! Tests that no request is forwarded in a loop.
 
 use futures_util::{SinkExt, StreamExt, future::join_all};
 use serde_json::json;
@@ -21,7 +21,7 @@
     Place::new(region, zone)
 }
 
-/// Returns what an instance of Patras says of itself.
+/// Returns the `Hello` of an instance of Patras.
 fn hello(cluster: Option<String>) -> Hello {
     Hello {
         version: VERSION,
@@ -55,7 +55,7 @@
     }
 }
 
-/// Returns the first message of the answer, or nothing if the link ends.
+/// Returns the first message of the answer, or `None` if the link ends.
 async fn answer(link: Link, open: Open) -> Option<Message> {
     let (mut sender, mut receiver) = link.split();
     let frame = Frame::Stream(Message::Open(Box::new(open)));
@@ -66,9 +66,8 @@
     }
 }
 
-// Somebody who is no instance of the system, or a broken one, sends requests over a stream link and
-// says of them that they have passed other places than they have. None of them is served; nobody is
-// billed for them. One that tells the truth is.
+// A process outside the system, or a faulty instance, sends requests over a stream link with a
+// forged list of hops. None of them is served or billed; a request with a true list is.
 #[actix_rt::test]
 async fn forged_hop_lists_are_refused() -> Result<()> {
     let mut cluster = regions().await?;
@@ -79,7 +78,7 @@
         .await?;
     let address = address.to_string();
     let dial = async |cluster| Link::dial(&address, hello(cluster)).await;
-    // A stranger either gets no link or no answer on it.
+    // A stranger gets either no link or no answer on it.
     let name = match dial(None).await {
         Ok(link) => {
             let name = link.peer().cluster.clone();
@@ -125,9 +124,9 @@
     cluster.stop().await
 }
 
-// Both regions lose their engine at the same moment, and each still believes that the other has one.
-// A request that is sent on by one must not be sent back by the other: it would go round until its
-// deadline, and so would all others, over the slow link.
+// Both regions lose their engine at the same moment, and each still believes that the other has
+// one. A request that one has forwarded must not be sent back by the other: requests would loop
+// over the slow link until their deadlines.
 #[actix_rt::test]
 async fn two_regions_without_engines_never_send_a_request_back() -> Result<()> {
     let places = ["patras", "athens"];
@@ -173,7 +172,7 @@
         let round = |line: &String| field(line, "request")?.strip_prefix("round-")?.parse().ok();
         let received: Vec<usize> = received.iter().filter_map(round).collect();
         assert!(!received.is_empty(), "nothing was sent to {region}");
-        // Even numbers were received in the first region, odd ones in the second.
+        // Even-numbered requests were sent to the first region, odd-numbered ones to the second.
         let sent_back: Vec<_> = received
             .iter()
             .filter(|number| *number % 2 == side)
--- a/tests/tests/path/loss.rs
+++ b/tests/tests/path/loss.rs
@@ -1,4 +1,4 @@
-//! Targets are lost in the middle of their work.
+//! Tests the loss of targets while they serve requests.
 
 use serde_json::{Value, json};
 use zinniastall_tests::{Result, http};
@@ -16,8 +16,8 @@
     json!({"point": point, "action": action, "events": events, "times": 1})
 }
 
-// An engine dies after it has taken a request and before it has said anything. The caller must
-// get the labels all the same, from another engine.
+// An engine dies after it has taken a request and before the first byte of the answer. The
+// caller must get its answer from another engine.
 #[actix_rt::test]
 async fn lost_before_first_byte_is_answered_by_another() -> Result<()> {
     let mut cluster = zone(&[engine("none", "die", 0), engine("none", "die", 0)]).await?;
@@ -40,8 +40,8 @@
     Ok(())
 }
 
-/// Names a case: an engine breaks the connection of a stream at a point; the stream resumes at its
-/// offset on the same engine and arrives whole, without a doubled or a missing event.
+/// Defines a case: an engine breaks the connection of a stream at a point; the stream resumes at
+/// its offset on the same engine and arrives complete, without a duplicated or missing event.
 macro_rules! resumes {
     ($($name:ident: $point:literal, $events:literal => $offset:literal;)+) => {$(
         #[actix_rt::test]
@@ -66,8 +66,8 @@
     cut_before_the_end_resumes: "end", 0 => 8;
 }
 
-/// Names a case: an engine dies at a point of a stream. The caller gets what arrived, and must be
-/// able to tell that it is not the whole answer.
+/// Defines a case: an engine dies at a point of a stream. The caller gets what has arrived, and
+/// must be able to tell that the answer is incomplete.
 macro_rules! cut_short {
     ($($name:ident: $point:literal, $events:literal;)+) => {$(
         #[actix_rt::test]
@@ -77,7 +77,7 @@
             let address = cluster.entry("patras-a-1")?.address("callers")?;
             let (_, events) = ask(address, &chat("a brief", 8, true)).stream().await?;
             let (text, done) = http::content(events).await?;
-            assert!(!done, "a cut answer looked whole: {text}");
+            assert!(!done, "a cut answer looked complete: {text}");
             assert!(expected("a brief", 8).starts_with(&text));
             Ok(())
         }
@@ -89,8 +89,8 @@
     killed_before_the_end_never_looks_whole: "end", 0;
 }
 
-/// Names a case: work that runs at most once, and an engine lost at a point of it. The caller is
-/// told that the outcome is unknown; nobody runs it again, not even the idle engine beside it.
+/// Defines a case: an at-most-once request and the point at which its engine fails. The caller
+/// gets the outcome "unknown"; nothing runs the request again, not even the idle second engine.
 macro_rules! unknown_once {
     ($($name:ident: $point:literal, $action:literal;)+) => {$(
         #[actix_rt::test]
--- a/tests/tests/path/main.rs
+++ b/tests/tests/path/main.rs
@@ -1,7 +1,7 @@
-//! The request path keeps its promises when processes and connections fail.
+//! Tests the guarantees of the request path when processes and connections fail.
 //!
-//! Every stand-in target keeps a ledger of what it ran. The tests compare it with what callers were
-//! told, so that "not run", "at most once" and "whole" are counted instead of assumed.
+//! Every stand-in target keeps a ledger of its runs. The tests compare it with what callers were
+//! told, so that "not run", "at most once" and "whole" are verified by counting runs.
 
 mod border;
 mod calls;
--- a/tests/tests/path/once.rs
+++ b/tests/tests/path/once.rs
@@ -1,4 +1,4 @@
-//! Work that may not be repeated runs at most once, whatever is lost and resent.
+//! Tests that non-idempotent requests run at most once, whatever is lost and resent.
 
 use std::time::Duration;
 
@@ -43,9 +43,9 @@
     cluster.stop().await
 }
 
-// The answer to work that runs once is lost on its way back, and the caller sends the same again, to
-// the same instance or to another one. It must run once, and the caller gets
-// the answer of that one run.
+// The answer to an at-most-once request is lost on its way back, and the caller resends it to
+// the same instance or to another one. It must run once, and the caller gets the answer of that
+// one run.
 #[actix_rt::test]
 async fn lost_answer_is_replayed_by_any_instance() -> Result<()> {
     let mut cluster = zone(&engines()).await?;
@@ -67,8 +67,8 @@
     cluster.stop().await
 }
 
-// An impatient app sends one ticket many times at once to both instances of its zone, whole and as a
-// stream. All get the answer of the one run.
+// A caller sends one ticket many times concurrently to both instances of its zone, as a stream.
+// Every resend gets the answer of the one run.
 #[actix_rt::test]
 async fn concurrent_resends_join_one_run() -> Result<()> {
     let mut cluster = zone(&engines()).await?;
@@ -90,8 +90,9 @@
     cluster.stop().await
 }
 
-// The instance that issued the ticket is killed while the request runs, and later started again. It
-// has lost its marks, so nobody may run the ticket, and nobody may say "not run".
+// The instance that issued the ticket is killed while the request runs, and later restarted. It
+// has lost the state of the ticket, so nothing may run the ticket, and nothing may answer "not
+// run".
 #[actix_rt::test]
 async fn killed_issuer_leaves_the_outcome_unknown() -> Result<()> {
     let mut cluster = zone(&engines()).await?;
@@ -121,8 +122,9 @@
     Ok(())
 }
 
-// The issuer is frozen, as a machine that is moved or swaps. A resend at its neighbour must not wait
-// for ever and must not run; when the issuer goes on, the request still has run once.
+// The issuer is frozen, as a virtual machine that is migrated or swaps. A resend at its
+// neighbour must not wait for ever and must not run; when the issuer resumes, the request still
+// runs only once.
 #[actix_rt::test]
 async fn frozen_issuer_is_not_bypassed() -> Result<()> {
     let mut cluster = zone(&engines()).await?;
@@ -145,7 +147,7 @@
         (answer.status() == 200).then_some(())
     })
     .await?;
-    // The frame that the issuer found when it went on may have come later than the resend.
+    // The frame that the issuer received while frozen may be processed after the resend.
     tokio::time::sleep(Duration::from_millis(300)).await;
     assert_eq!(count_runs(&mut cluster, &body).await?, 1);
     cluster.stop().await
--- a/tests/tests/path/overtake.rs
+++ b/tests/tests/path/overtake.rs
@@ -1,4 +1,4 @@
-//! Requests that overtake the change that permits them.
+//! Tests requests that overtake the change that permits them.
 
 use std::time::Duration;
 
@@ -10,12 +10,12 @@
 
 use super::support::{CLIENT, KEY, ask, chat, error};
 
-/// How much later than the home region the far one hears of a change.
+/// Delay with which the remote region receives a change after the home region.
 const CHANGE_DELAY: Duration = Duration::from_millis(200);
 
-// A client is let in again, and its first request leaves for another region before the change has
-// arrived there. Judged by the older configuration it would be refused, although the operator has
-// been told that the change is accepted and the home region has let the request pass.
+// A withdrawn client is permitted again, and its first request reaches another region before the
+// change does. Decided by the older configuration it would be refused, although the change was
+// accepted and the home region has let the request pass.
 #[actix_rt::test]
 async fn a_request_waits_for_the_change_that_permits_it() -> Result<()> {
     let mut cluster = super::forward::regions().await?;
@@ -37,7 +37,7 @@
     let body = chat("the first after the change", 1, false);
     loop {
         let answer = ask(address, &body).send().await?;
-        // Until the home region has the change, it is the one that refuses.
+        // The home region refuses until it has the change.
         if answer.status() != 200 && answer.text().contains("\"client-withdrawn\"") {
             continue;
         }
--- a/tests/tests/path/poison.rs
+++ b/tests/tests/path/poison.rs
@@ -1,4 +1,4 @@
-//! A request that crashes the targets that run it.
+//! Tests a request that crashes the targets that run it.
 
 use zinniastall_tests::Result;
 
@@ -7,11 +7,11 @@
     support::{ask, chat, zone},
 };
 
-/// Engines of the zone, and how many of them one request may take down.
+/// Engines of the zone, and how many of them one request may crash.
 const ENGINES: usize = 5;
 const MAX_CRASHED: usize = 3;
 
-/// A caller's request takes down one engine after the other, over two entry instances.
+/// A request crashes one engine after the other, through two entry instances.
 #[actix_rt::test]
 async fn a_request_that_crashes_engines_ends_three_at_most() -> Result<()> {
     let mut cluster = zone(&vec![engine("none", "die", 0); ENGINES]).await?;
--- a/tests/tests/path/races.rs
+++ b/tests/tests/path/races.rs
@@ -1,4 +1,4 @@
-//! Many callers with tickets at once, while instances are killed and frozen.
+//! Tests many concurrent callers with tickets while instances are killed and frozen.
 
 use std::{cell::RefCell, net::SocketAddr, rc::Rc, time::Duration};
 
@@ -17,21 +17,21 @@
 
 const SEED: u64 = 20_261_202;
 const CALLERS: usize = 8;
-/// Pieces of work of a caller.
+/// Requests of each caller.
 const WORK_PER_CALLER: usize = 6;
 const TOKENS: usize = 6;
-/// Most times that a piece of work is asked for, two at a time.
+/// Most rounds in which a request is sent, two sends in each.
 const MAX_ROUNDS: usize = 4;
-/// Instances lost, by turns killed and frozen.
+/// Losses of an instance, alternately killed and frozen.
 const LOSSES: usize = 6;
 
-/// One piece of work and what its caller was told.
+/// One at-most-once request and the answers that its caller got.
 struct Work {
     prompt: String,
     calls: Recorder<Request, Answer>,
 }
 
-/// Sends the work once and notes the answer.
+/// Sends the request once and records the answer.
 async fn send(work: &Work, address: SocketAddr, ticket: &str) -> Option<Answer> {
     let call = work.calls.begin(Request::Ask);
     let body = chat(&work.prompt, TOKENS, false);
@@ -49,7 +49,7 @@
     Some(reply)
 }
 
-/// Asks for work until its end is known, at random instances, often at two at once.
+/// Sends each request until its outcome is known, to random instances, two at a time.
 async fn caller(
     number: usize,
     addresses: [SocketAddr; 2],
@@ -65,7 +65,7 @@
         let ticket = loop {
             match ticket(pick()).await {
                 Ok(ticket) if !ticket.is_empty() => break ticket,
-                // The instance is away for a moment.
+                // The instance is unavailable for a moment.
                 _ => tokio::time::sleep(Duration::from_millis(50)).await,
             }
         };
@@ -86,7 +86,7 @@
     done
 }
 
-/// Kills and freezes the instances by turns; each returns before the next is lost.
+/// Alternately kills and freezes the instances; each returns before the next is lost.
 async fn lose_instances(cluster: &mut System, random: &RefCell<StdRng>) -> Result<()> {
     for loss in 0..LOSSES {
         let pause = random.borrow_mut().random_range(200..600);
@@ -103,10 +103,9 @@
     Ok(())
 }
 
-// Eight robots have their work billed, each ticket often sent to two instances at once and again
-// after a loss, while the instances are killed and stand still. Each piece of work must have run once
-// at most, and nobody may have been told something about it that another answer or the engines'
-// ledgers belie.
+// Eight callers send at-most-once requests, each ticket often to two instances concurrently and
+// again after a loss, while the instances are killed and frozen. Each request must have run at
+// most once, and no answer may contradict another answer or the engines' ledgers.
 #[actix_rt::test]
 async fn racing_callers_get_consistent_outcomes_for_each_ticket() -> Result<()> {
     println!("seed {SEED}");
--- a/tests/tests/path/storm.rs
+++ b/tests/tests/path/storm.rs
@@ -1,4 +1,4 @@
-//! Half of the targets are lost at once.
+//! Tests the loss of half of the targets at once.
 
 use futures_util::future::join_all;
 use serde_json::{Value, json};
@@ -16,10 +16,10 @@
     Ok(total)
 }
 
-// Two of four engines take requests and break every connection. If each failed request were simply
-// tried again, the two others would get the load of all four at the moment when they can least
-// bear it. The retries stay within their budget, a tenth of the requests and ten besides, and the
-// broken engines are left alone after a few failures.
+// Two of four engines accept requests and break every connection. If each failed request were
+// simply retried, the other two would get the load of all four when they can least bear it.
+// Retries must stay within their budget, a tenth of the requests plus ten, and outlier detection
+// must eject the broken engines after a few failures.
 #[actix_rt::test]
 async fn retries_stay_within_their_budget() -> Result<()> {
     let engine: Value = json!({"engine": {"token_us": 1000}, "slots": 64});
@@ -57,7 +57,7 @@
         ran + wasted <= bound,
         "{ran} runs and {wasted} wasted, over {bound}"
     );
-    // Later requests are served: the broken engines have been ejected.
+    // Later requests are served because the broken engines have been ejected.
     let mut late = 0;
     for number in 0..20 {
         let body = chat(&format!("later {number}"), 2, false);
--- a/tests/tests/path/support.rs
+++ b/tests/tests/path/support.rs
@@ -1,4 +1,4 @@
-//! Small systems, requests and counts.
+//! Small systems, requests and counts of runs.
 
 use std::{
     net::SocketAddr,
@@ -21,18 +21,18 @@
 pub(crate) const TICKET: &str = "x-zinniastall-ticket";
 pub(crate) const ONCE: (&str, &str) = ("x-zinniastall-idempotent", "false");
 
-/// Systems that run at once. Each has half a dozen processes; many more than the machine has cores
-/// for would only measure how busy it is.
+/// Systems that may run concurrently. Each has half a dozen processes; with many more than the
+/// machine has cores for, tests would only measure contention.
 static PERMITS: Semaphore = Semaphore::const_new(4);
 
-/// A system that holds its place among those that run at once.
+/// A system that holds its permit to run.
 pub(crate) struct System {
     cluster: Cluster,
     _permit: SemaphorePermit<'static>,
 }
 
 impl System {
-    /// Waits for a place and starts a system.
+    /// Waits for a permit and starts a system.
     pub(crate) async fn start(builder: Builder) -> Result<Self> {
         let place = PERMITS.acquire().await.expect("never closed");
         Ok(Self {
@@ -56,18 +56,18 @@
     }
 }
 
-/// Starts one zone with two entry instances and engines that have these settings.
+/// Starts one zone with two entry instances and an engine for each of these settings.
 pub(crate) async fn zone(engines: &[Value]) -> Result<System> {
     zone_with(engines, short_linger()).await
 }
 
-/// Returns settings of entry instances that have used tickets and linger for a moment only when they
-/// stop; a test need not wait for that.
+/// Returns settings of entry instances that linger only briefly when they stop with used
+/// tickets, so that tests need not wait.
 pub(crate) fn short_linger() -> Value {
     json!({"tickets": {"linger_ms": 200}})
 }
 
-/// The same, with settings put over those of the entry instances.
+/// Does the same with settings merged over those of the entry instances.
 pub(crate) async fn zone_with(engines: &[Value], entry: Value) -> Result<System> {
     let builder = Cluster::builder().zone("patras", "a", 2).entry(entry);
     let mut cluster = System::start(builder).await?;
@@ -86,14 +86,14 @@
     Ok(cluster)
 }
 
-/// Applies a client, a model and its route.
+/// Applies a client and a model.
 pub(crate) async fn configure(cluster: &mut Cluster) -> Result<()> {
     cluster.client(CLIENT, KEY).await?;
     cluster.model(MODEL).await?;
     Ok(())
 }
 
-/// Waits until an entry instance sends requests to this many targets.
+/// Waits until an entry instance has used this many targets.
 pub(crate) async fn wait_uses_targets(
     cluster: &mut Cluster,
     entry: &str,
@@ -112,7 +112,7 @@
     .await
 }
 
-/// Makes a body; equal prompts have equal answers.
+/// Returns the body of a chat request; equal prompts have equal answers.
 pub(crate) fn chat(prompt: &str, tokens: usize, stream: bool) -> Value {
     json!({
         "model": MODEL, "stream": stream, "max_tokens": tokens,
@@ -120,12 +120,12 @@
     })
 }
 
-/// Starts a chat request.
+/// Returns a chat request.
 pub(crate) fn ask(address: SocketAddr, body: &Value) -> Request {
     http::post(address, CHAT).key(KEY).json(body)
 }
 
-/// Starts a chat request that runs at most once.
+/// Returns a chat request that runs at most once.
 pub(crate) fn ask_once(address: SocketAddr, ticket: &str, body: &Value) -> Request {
     ask(address, body)
         .header(ONCE.0, ONCE.1)
@@ -139,7 +139,7 @@
     Ok(text(&answer["tickets"][0]))
 }
 
-/// Asks an instance to end and waits until it takes no more work.
+/// Terminates an instance and waits until it drains and takes no new requests.
 pub(crate) async fn terminate(cluster: &mut System, entry: &str) -> Result<()> {
     let process = cluster.entry(entry)?.process();
     process.terminate()?;
@@ -147,7 +147,7 @@
     Ok(())
 }
 
-/// Waits until an instance has ended by itself, without having cut a request.
+/// Waits until an instance has exited successfully without cutting a request.
 pub(crate) async fn exits_cleanly(cluster: &mut System, entry: &str) -> Result<()> {
     let status = cluster.entry(entry)?.process().ends().await?;
     assert!(status.success(), "{entry}: {status}");
@@ -156,7 +156,7 @@
     Ok(())
 }
 
-/// Returns the entries of a target's ledger with this body.
+/// Returns the runs in a target's ledger that had this body.
 pub(crate) async fn runs(cluster: &mut Cluster, target: &str, body: &Value) -> Result<Vec<Value>> {
     let digest = blake3::hash(body.to_string().as_bytes()).to_hex();
     let mut runs = cluster.ledger(target).await?;
@@ -174,7 +174,7 @@
     value.as_str().unwrap_or_default().to_owned()
 }
 
-/// Returns the text that an engine answers to a prompt.
+/// Returns the text with which an engine answers a prompt.
 pub(crate) fn expected(prompt: &str, tokens: usize) -> String {
     let digest = blake3::hash(prompt.as_bytes()).to_hex();
     let token = |index| format!("{}-{index} ", &digest[..8]);
--- a/tests/tests/path/together.rs
+++ b/tests/tests/path/together.rs
@@ -1,4 +1,4 @@
-//! Two faults at once.
+//! Tests two faults at once.
 
 use serde_json::json;
 use zinniastall_tests::{Result, http, wait};
@@ -13,15 +13,16 @@
 
 const TOKENS: usize = 60;
 
-/// Returns settings of an engine that is slow enough for a fault within an answer.
+/// Returns settings of an engine that is slow enough for a fault in the middle of an answer.
 fn slow_engine() -> serde_json::Value {
     let mut settings = engine("none", "die", 0);
     settings["engine"]["token_us"] = json!(20_000);
     settings
 }
 
-// An instance is asked to end while a brief streams through it, and then the connection to the engine
-// breaks. The instance still takes the stream up again where it broke, and ends after its last token.
+// An instance is terminated while an answer streams through it, and then the connection to the
+// engine breaks. The draining instance must resume the stream where it broke, and exit after its
+// last token.
 #[actix_rt::test]
 async fn stream_resumes_at_an_instance_that_drains() -> Result<()> {
     let mut cluster = zone_with(&[slow_engine()], json!({})).await?;
@@ -40,9 +41,9 @@
     exits_cleanly(&mut cluster, "patras-a-1").await
 }
 
-// The same for work that runs once, and the engine breaks off for good. The caller sees that the
-// answer isn't whole; as long as the instance lingers it says "unknown" to resends, and the idle
-// engine beside it does not run the work again.
+// As above for an at-most-once request whose engine breaks off for good. The caller sees that
+// the answer is incomplete; while the instance lingers it answers resends with "unknown", and
+// the idle second engine does not run the request again.
 #[actix_rt::test]
 async fn once_stays_unknown_at_an_instance_that_drains() -> Result<()> {
     let linger = json!({"tickets": {"linger_ms": 3000}});
@@ -59,7 +60,7 @@
     let (_, events) = ask_once(first, &ticket, &body).stream().await?;
     terminate(&mut cluster, "patras-a-1").await?;
     let (text, done) = http::content(events).await?;
-    assert!(!done, "a cut answer looked whole: {text}");
+    assert!(!done, "a cut answer looked complete: {text}");
     for address in [first, second] {
         let again = ask_once(address, &ticket, &body).send().await?;
         assert_eq!(error(&again).0, "unknown", "{}", again.text());
@@ -72,9 +73,10 @@
     Ok(())
 }
 
-// The instance that has issued a ticket stands still while its work runs, its region is cut off, and
-// the caller asks again in the other region. Nobody there may run the work or deny that it ran; the
-// first caller gets the answer once the instance goes on, and so does a resend after the cut.
+// The instance that issued a ticket is frozen while its request runs, its region is cut off, and
+// the caller resends in the other region. Nothing there may run the request or answer "not run";
+// the first caller gets the answer once the instance resumes, and so does a resend after the
+// partition.
 #[actix_rt::test]
 async fn ticket_of_a_frozen_issuer_beyond_a_cut_runs_once() -> Result<()> {
     let mut cluster = regions().await?;
--- a/tests/tests/proxy.rs
+++ b/tests/tests/proxy.rs
@@ -1,4 +1,4 @@
-//! The fault-injecting proxy does what its rules say.
+//! Tests that the fault-injecting proxy does what its rules say.
 
 use std::{
     io::{Read, Write},
@@ -15,12 +15,13 @@
     wait,
 };
 
-/// Time after which silence counts as silence; a busy machine only makes it longer.
+/// Time without a byte after which a connection counts as silent; a busy machine only makes it
+/// longer.
 const SILENCE_TIMEOUT: Duration = Duration::from_millis(300);
-/// Longest wait for bytes that must come.
+/// Longest wait for bytes that must arrive.
 const REPLY_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Starts a server that sends every byte back.
+/// Starts an echo server.
 fn echo() -> SocketAddr {
     let listener = TcpListener::bind(("127.0.0.1", 0)).expect("a port");
     let address = listener.local_addr().expect("an address");
@@ -69,7 +70,7 @@
 
 macro_rules! stalls {
     ($($name:ident: $way:expr;)*) => {$(
-        /// Bytes stop without an error and arrive once the way is open again.
+        /// Bytes stop without an error and arrive once the direction is open again.
         #[test]
         fn $name() {
             let (proxy, mut stream) = connect_through_proxy();
@@ -154,7 +155,7 @@
     assert_eq!(text, "abc");
 }
 
-/// Rules for one calling process leave others alone: that is how a zone is cut off.
+/// Rules for one calling process leave others alone: cutting off a zone relies on this.
 #[actix_rt::test]
 async fn callers_are_told_apart() {
     let stalled = Rule::default().with(Way::Both, |lane| lane.stalled = true);
@@ -174,8 +175,9 @@
     .unwrap();
 }
 
-/// A process is started while its zone is cut off, and dials before the test has noted whose process it is. Taken
-/// for a stranger, its connection would pass the cut, and the test would fail on a machine that is busy.
+/// A process is started while its zone is cut off, and connects before the test has registered
+/// it. If the proxy did not recognise its connection, it would bypass the cut, and the test
+/// would fail on a busy machine.
 #[actix_rt::test]
 async fn a_process_that_dials_at_its_start_is_told_apart() {
     let stalled = Rule::default().with(Way::Both, |lane| lane.stalled = true);
@@ -193,9 +195,9 @@
     assert!(is_silent(&mut stream));
 }
 
-/// A caller dials while the way is cut, writes, and gives up. Without the cut it would have had a
-/// connection; with it nobody must hear of it when the way opens, or a request that its caller has
-/// written off would run.
+/// A caller connects during a stall, writes, and gives up. Without the stall it would have had a
+/// connection; with it, nothing must reach the upstream after healing, or a request that its
+/// caller has given up would run.
 #[actix_rt::test]
 async fn connection_abandoned_during_a_cut_never_reaches_upstream() {
     let proxy = Proxy::bind().unwrap();
@@ -207,7 +209,7 @@
     drop(first);
     let mut second = TcpStream::connect(proxy.address()).unwrap();
     second.write_all(b"second").unwrap();
-    wait::until("both dials, and one given up", async || {
+    wait::until("two connections, one of them given up", async || {
         (proxy.opened() == 2 && proxy.given_up() == 1).then_some(())
     })
     .await
--- a/tests/tests/routing_calls.rs
+++ b/tests/tests/routing_calls.rs
@@ -1,5 +1,5 @@
-//! Routing tables and evacuations by the operators' calls, and a group that repairs itself, with real
-//! processes.
+//! Tests routing tables and evacuations through the operators' calls, and a control group that
+//! repairs itself, with real processes.
 
 use serde_json::{Value, json};
 use zinniastall_tests::{Result, cluster::Cluster, wait};
@@ -30,8 +30,8 @@
     Ok((number, service))
 }
 
-/// The highest number is in force. A lower or equal one, resent or from a second operator, is accepted
-/// and changes nothing.
+/// The table with the highest number is in force. A table with a lower or equal number, resent
+/// or from a second operator, is accepted and changes nothing.
 #[actix_rt::test]
 async fn the_highest_table_is_in_force() -> Result<()> {
     let cluster = Cluster::builder().zone("patras", "a", 1).start().await?;
@@ -46,7 +46,8 @@
     Ok(())
 }
 
-/// A table that contradicts itself is refused as a whole, with the reason, and nothing of it is in force.
+/// An inconsistent table is refused as a whole, with the reason, and no part of it comes into
+/// force.
 #[actix_rt::test]
 async fn an_invalid_table_is_refused_whole() -> Result<()> {
     let cluster = Cluster::builder().zone("patras", "a", 1).start().await?;
@@ -115,9 +116,9 @@
     Ok(())
 }
 
-/// A replica loses its disk and starts again empty, at its old address. Nobody is there to take it in.
-/// Were it to vote under its old name, it would have forgotten what it acknowledged; were it left out,
-/// the next loss would stop the group. Then the next one loses its disk.
+/// A replica loses its disk and restarts empty at its old address, with no operator to admit it.
+/// If it voted under its old id, it would have forgotten what it acknowledged; if it stayed out,
+/// the next loss would stop the group. Each replica loses its disk in turn.
 #[actix_rt::test]
 async fn lost_disks_are_repaired_without_an_operator() -> Result<()> {
     let builder = Cluster::builder().zone("patras", "a", 1).replicas(3);
--- a/tests/tests/spread/cuts.rs
+++ b/tests/tests/spread/cuts.rs
@@ -1,11 +1,11 @@
-//! Zones and regions cut off, one way and both.
+//! Tests partitions of zones and regions, one-way and two-way.
 
 use zinniastall_tests::{Result, cluster::Cluster, node::Node};
 
 use crate::system::{ask, cut_one_way, start, start_with_slow_link_timeout, wait_listed};
 
-/// Checks that each side of a cut names itself alone and serves with its own target, and that after
-/// healing all name all.
+/// Checks that each side of a partition lists only itself and serves with its own target, and
+/// that after healing every instance lists all.
 async fn check_sides_serve_alone(mut cluster: Cluster, sides: [[&str; 2]; 2]) -> Result<()> {
     for side in &sides {
         wait_listed(&cluster, side[0], side).await?;
@@ -16,7 +16,7 @@
         assert_eq!(
             target,
             format!("engine-{place}"),
-            "{entry} did not serve its own"
+            "{entry} did not use the target of its side"
         );
     }
     cluster.heal();
@@ -42,9 +42,9 @@
     )*};
 }
 
-// The links of an availability zone to all others go silent. Its callers must not be sent to
-// instances beyond the cut, where they would wait in vain; each side serves with what it has, and
-// afterwards both see each other again.
+// All links of an availability zone to others go silent. Its callers must not be sent to
+// unreachable instances, where they would wait in vain; each side serves with what it has, and
+// after healing both list each other again.
 cut_off! {
     zone_cut_from_its_region:
         &[("athens", "a"), ("athens", "b")],
@@ -56,9 +56,9 @@
         ["patras-a-1", "patras-a-2"], ["athens-a-1", "athens-a-2"];
 }
 
-// What one instance sends to another gets lost while the way back works. Judged by hearing alone,
-// the other stays alive for the one that isn't heard, and callers and requests go on being sent
-// there.
+// Messages from one instance to another are lost while the way back works. If received messages
+// alone decided, the instance that is not heard would still count the other as alive, and
+// callers and requests would go on being sent there.
 #[actix_rt::test]
 async fn one_way_cut_between_two_instances() -> Result<()> {
     let mut cluster = start_with_slow_link_timeout(&[("athens", "a")], 3).await?;
@@ -97,10 +97,10 @@
     )*};
 }
 
-// What one zone sends to another gets lost while the way back works, as behind a broken route. The
-// zone that still hears must not count on the other: what it forwards there never arrives, and what
-// it tells its callers of the other's doors sends them where they can't be answered. The same
-// between regions, where heartbeats are fewer.
+// Messages from one zone to another are lost while the way back works, as with a broken route.
+// The zone that still receives must not use the other: what it forwards there never arrives, and
+// callers that it sends to the other's addresses cannot be answered. The same holds between
+// regions, where heartbeats are less frequent.
 one_way! {
     one_way_cut_between_zones:
         &[("athens", "a"), ("athens", "b")], |node| node.zone() == "b",
--- a/tests/tests/spread/instances.rs
+++ b/tests/tests/spread/instances.rs
@@ -1,4 +1,4 @@
-//! Instances frozen, thawed and replaced.
+//! Tests instances that are frozen, thawed and replaced.
 
 use std::time::Duration;
 
@@ -10,9 +10,9 @@
     wait_logged,
 };
 
-// An instance is frozen, as by a paused virtual machine, and a target dies meanwhile. Its peers must
-// leave it out; thawed, it must not send a request to the dead target although all that it knows,
-// and all that waits in its sockets, says that the target lives.
+// An instance is frozen, as by a paused virtual machine, and a target fails meanwhile. Its peers
+// must leave the instance out. Once thawed, it must not send a request to the dead target,
+// although its own state and everything in its sockets says that the target is alive.
 #[actix_rt::test]
 async fn frozen_instance_is_left_out_and_returns_up_to_date() -> Result<()> {
     let mut cluster = start_with_slow_link_timeout(&[("athens", "a")], 3).await?;
@@ -40,7 +40,7 @@
         1,
         "the dead target came back"
     );
-    // Until it hears of targets again it refuses; it never sends to the dead one.
+    // It refuses requests until it learns of live targets; it never sends to the dead one.
     let what = "an answer of the thawed instance";
     let target = wait::until(what, async || ask(&mut cluster, "athens-a-2").await.ok()?).await?;
     assert_eq!(target, "engine-athens-a");
@@ -56,8 +56,9 @@
     cluster.stop().await
 }
 
-// An instance is lost and its address is given to another. A caller who is told the old name would
-// be answered by the new one, and peers would take the new one's heartbeats for the old one's.
+// An instance is lost and its address is given to another. A caller that is given the old name
+// would reach the new instance, and peers would attribute the new one's heartbeats to the old
+// one.
 #[actix_rt::test]
 async fn address_reused_by_another_instance() -> Result<()> {
     let mut cluster = start(&[("athens", "a")], 2).await?;
--- a/tests/tests/spread/locate.rs
+++ b/tests/tests/spread/locate.rs
@@ -1,4 +1,4 @@
-//! How callers spread over a zone's instances by what they are told.
+//! Tests how callers spread over the instances of a zone by the answers of `locate`.
 
 use std::collections::BTreeMap;
 
@@ -8,10 +8,10 @@
 use crate::system::{locate, start, wait_listed};
 
 const INSTANCES: [&str; 3] = ["athens-a-1", "athens-a-2", "athens-a-3"];
-/// Callers that ask, all of them the one instance that they know.
+/// Callers, all of which ask the one instance that they know.
 const CALLERS: usize = 300;
 
-/// Asks once for each caller and counts the instances that are named first.
+/// Asks once for each caller and counts which instances are listed first.
 async fn count_first_choices(cluster: &Cluster) -> BTreeMap<String, usize> {
     let mut counts = BTreeMap::new();
     for _ in 0..CALLERS {
@@ -33,18 +33,18 @@
         .unwrap_or_default()
 }
 
-/// Waits until an instance has been up for long enough to have its whole weight.
+/// Waits until an instance has been up for long enough to have its full weight.
 async fn wait_full_weight(cluster: &Cluster, name: &str) -> Result<()> {
-    wait::until(&format!("whole weight of {name}"), async || {
+    wait::until(&format!("full weight of {name}"), async || {
         let answer = locate(cluster, INSTANCES[0]).await?;
         (weight(&answer, name) == 1_000).then_some(())
     })
     .await
 }
 
-// There is no balancer. If all callers were told the same first instance, it would be overrun while
-// the others idle; and an instance that has just started would get a third of all callers at once,
-// with everything cold.
+// There is no load balancer. If all callers got the same first instance, it would be overloaded
+// while the others idle; and without a slow start, a new instance would get a third of all
+// callers at once with cold caches.
 #[actix_rt::test]
 async fn callers_spread_and_a_new_instance_ramps_up() -> Result<()> {
     let mut cluster = start(&[("athens", "a")], 3).await?;
--- a/tests/tests/spread/main.rs
+++ b/tests/tests/spread/main.rs
@@ -1,4 +1,4 @@
-//! Membership, spread and locate over real processes and broken links.
+//! Tests membership, load spreading and `locate` over real processes and broken links.
 
 mod cuts;
 mod instances;
--- a/tests/tests/spread/system.rs
+++ b/tests/tests/spread/system.rs
@@ -1,4 +1,4 @@
-//! The system under test and what can be seen of it.
+//! The system under test and its observable state.
 
 use std::{collections::BTreeSet, time::Duration};
 
@@ -16,13 +16,13 @@
 pub(crate) const MODEL: &str = "map-labels";
 pub(crate) const KEY: &str = "a-key";
 
-/// Starts zones with entry instances and one engine each; an engine is named after its zone.
+/// Starts zones with entry instances and one engine each, which is named after its zone.
 pub(crate) async fn start(zones: &[(&str, &str)], instances: usize) -> Result<Cluster> {
     start_with(zones, instances, json!({})).await
 }
 
-/// Starts a system in which a silent link is closed only after a minute, so that it isn't the
-/// closing by which a fault is found.
+/// Starts a system that closes a silent link only after a minute, so that faults must be
+/// detected otherwise.
 pub(crate) async fn start_with_slow_link_timeout(
     zones: &[(&str, &str)],
     instances: usize,
@@ -59,7 +59,7 @@
     Ok(cluster)
 }
 
-/// Asks an entry instance which instances to use, past its proxy.
+/// Asks an entry instance which instances to use, bypassing its proxy.
 pub(crate) async fn locate(cluster: &Cluster, entry: &str) -> Option<Value> {
     let node = cluster.entries().find(|node| node.name() == entry)?;
     let line = node.running().log().events("listening");
@@ -72,17 +72,17 @@
     answer.json().ok()
 }
 
-/// Waits until an entry instance names exactly these instances.
+/// Waits until an entry instance lists exactly these instances.
 pub(crate) async fn wait_listed(cluster: &Cluster, entry: &str, names: &[&str]) -> Result<Value> {
     let wanted: BTreeSet<&str> = names.iter().copied().collect();
-    wait::until(&format!("{entry} naming {wanted:?}"), async || {
+    wait::until(&format!("{entry} listing {wanted:?}"), async || {
         let answer = locate(cluster, entry).await?;
         (instance_names(&answer) == wanted).then_some(answer)
     })
     .await
 }
 
-/// Returns the names in an answer.
+/// Returns the names of the instances in an answer.
 pub(crate) fn instance_names(answer: &Value) -> BTreeSet<&str> {
     let instances = answer["instances"].as_array();
     let names = instances.into_iter().flatten();
@@ -91,7 +91,7 @@
         .collect()
 }
 
-/// Makes a chat request's body.
+/// Returns the body of a chat request.
 pub(crate) fn chat(question: &str) -> Value {
     json!({
         "model": MODEL, "max_tokens": 2,
@@ -99,7 +99,8 @@
     })
 }
 
-/// Sends one chat request to an entry instance, past its proxy; returns the target that served it.
+/// Sends one chat request to an entry instance, bypassing its proxy; returns the target that
+/// served it.
 pub(crate) async fn ask(cluster: &mut Cluster, entry: &str) -> Result<Option<String>> {
     let address = cluster.entry(entry)?.process().address("callers").await?;
     let body = chat("Name the zones.");
@@ -111,7 +112,7 @@
     Ok((answer.status() == 200).then_some(target))
 }
 
-/// Cuts what nodes that `from` picks send to nodes that `to` picks, silently, and nothing else.
+/// Silently drops what nodes picked by `from` send to nodes picked by `to`, and nothing else.
 pub(crate) fn cut_one_way(
     cluster: &Cluster,
     from: impl Fn(&Node) -> bool,
@@ -128,7 +129,7 @@
     });
 }
 
-/// Waits until an entry instance has logged an event with a field, `count` times.
+/// Waits until an entry instance has logged an event with this field at least `count` times.
 pub(crate) async fn wait_logged(
     cluster: &Cluster,
     entry: &str,
@@ -142,7 +143,7 @@
     .await
 }
 
-/// Counts how often an entry instance has logged an event with a field.
+/// Counts how often an entry instance has logged an event with this field.
 pub(crate) fn count_logged(
     cluster: &Cluster,
     entry: &str,
--- a/tests/tests/spread/targets.rs
+++ b/tests/tests/spread/targets.rs
@@ -1,4 +1,4 @@
-//! Targets' announcements: leases, runs, leaving, healing under load.
+//! Tests announcements of targets: leases, incarnations, leaving, healing under load.
 
 use std::{
     cell::Cell,
@@ -12,13 +12,13 @@
 
 use crate::system::{KEY, MODEL, ask, chat, count_logged, start, wait_listed, wait_logged};
 
-/// Within this time what is known of a target at one instance is in force in its zone.
+/// Longest time in which a change of a target that one instance knows spreads to its zone.
 const PROPAGATION_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Callers at once for each instance under load.
+/// Concurrent callers for each instance under load.
 const CALLERS: usize = 4;
 
-/// Announces a target by hand to an entry instance; returns the status.
+/// Announces a target to an entry instance in place of the target itself; returns the status.
 async fn announce(cluster: &mut Cluster, entry: &str, run: u64, sequence: u64) -> Result<u16> {
     let body = json!({
         "target": "by-hand", "incarnation": run, "sequence": sequence,
@@ -34,9 +34,9 @@
     Ok(http::post(address, path).json(body).send().await?.status())
 }
 
-// A target loses its instance for a moment and announces to another one; then both carry it. If the
-// two reports fought, the target would flicker in the zone's view; if a late one counted after the
-// leave, a leaving target would get new work.
+// A target loses its instance for a moment and announces to another one, so that both report it.
+// If the two reports conflicted, the target would flap in the zone's view; if a late report
+// counted after the leave, a leaving target would get new work.
 #[actix_rt::test]
 async fn target_announcing_to_two_instances() -> Result<()> {
     let mut cluster = start(&[("athens", "a")], 3).await?;
@@ -66,15 +66,15 @@
         assert_eq!(
             count_logged(&cluster, entry, serving),
             2,
-            "{entry}: the left run came back"
+            "{entry}: the incarnation that left came back"
         );
     }
     cluster.stop().await
 }
 
-// A target restarts while the lease of its former run still runs. The new run has other models and
-// empty caches; requests that go by the old report would fail. A late announcement of the old run
-// must not take the new one's place.
+// A target restarts while the lease of its former incarnation is still valid. The new
+// incarnation has other models and empty caches; requests that rely on the old report would
+// fail. A late announcement of the old incarnation must not replace the new one.
 #[actix_rt::test]
 async fn new_run_while_the_old_lease_runs() -> Result<()> {
     let mut cluster = start(&[("athens", "a")], 3).await?;
@@ -92,13 +92,14 @@
     assert_eq!(
         count_logged(&cluster, "athens-a-3", old),
         1,
-        "the old run came back"
+        "the old incarnation came back"
     );
     cluster.stop().await
 }
 
-// A target leaves while both instances of its zone are under load. Work sent after the leave would
-// be cut when the target goes; a zone that goes by leases alone sends for seconds.
+// A target leaves while both instances of its zone are under load. Work sent after the leave
+// would be cut when the target stops; a zone that relied on leases alone would go on sending for
+// seconds.
 #[actix_rt::test]
 async fn leaving_target_gets_no_new_work() -> Result<()> {
     let mut cluster = start(&[("athens", "a")], 2).await?;
@@ -145,9 +146,9 @@
     cluster.stop().await
 }
 
-// A zone is cut off and comes back while callers keep asking both sides. The cut must not fail
-// requests that need nothing from the other side, and the healing must not drown the instances in
-// new connections.
+// A zone is cut off and comes back while callers keep sending requests to both sides. The
+// partition must not fail requests that need nothing from the other side, and healing must not
+// flood the instances with new connections.
 #[actix_rt::test]
 async fn healing_under_load() -> Result<()> {
     let mut cluster = start(&[("athens", "a"), ("athens", "b")], 2).await?;
@@ -184,7 +185,7 @@
     cluster.stop().await
 }
 
-/// Callers that ask instances one request after the other.
+/// Callers that send requests to instances one after the other.
 struct Load {
     answered: Rc<Cell<usize>>,
     failed: Rc<Cell<usize>>,
@@ -231,7 +232,7 @@
 
 type Counts = (Rc<Cell<usize>>, Rc<Cell<usize>>);
 
-/// Asks one instance for ever and counts what is answered and what fails.
+/// Sends requests to one instance for ever and counts answers and failures.
 async fn call(address: SocketAddr, caller: usize, (answered, failed): Counts) {
     for count in 0.. {
         let body = chat(&format!("Question {count} of caller {caller}."));
--- a/tests/tests/standin.rs
+++ b/tests/tests/standin.rs
@@ -1,4 +1,4 @@
-//! The stand-ins behave as the tests that lean on them assume.
+//! Tests that the stand-ins behave as the system tests assume.
 
 use serde_json::{Value, json};
 use zinniastall_tests::{Result, http, process::Process, settings, wait};
@@ -72,7 +72,7 @@
     let request = http::post(address, "/v1/chat/completions").json(&chat("room 1", true));
     let (_, events) = request.stream().await?;
     drop(events);
-    wait::until("the cancelled run", async || {
+    wait::until("the run cancelled", async || {
         let entries = ledger(address).await.ok()?;
         (entries[0]["cancelled"] == true).then_some(())
     })
@@ -81,7 +81,7 @@
 
 macro_rules! failures {
     ($($name:ident: $failure:expr => $content:expr;)*) => {$(
-        /// The answer breaks where the failure says, and never looks whole.
+        /// The answer breaks off at the configured point and never looks complete.
         #[actix_rt::test]
         async fn $name() -> Result<()> {
             let (_process, address) = start_engine(json!({"failure": $failure})).await?;
@@ -119,15 +119,16 @@
     Ok(())
 }
 
-/// A target is killed and started again. What it ran before must still be in its ledger, or a test
-/// would take a request that ran for one that did not.
+/// A target is killed and restarted. Its ledger must keep what it ran before, or a test would
+/// take a request that ran for one that did not.
 #[actix_rt::test]
 async fn ledgers_in_files_outlive_their_process() -> Result<()> {
     let folder = tempfile::tempdir()?;
     let file = json!({"ledger_file": folder.path().join("ledger")});
     let (mut process, address) = start_engine(file.clone()).await?;
     read_stream(address, 0).await?;
-    // A minute long at a token each millisecond, so that it can't end before the kill.
+    // At one token a millisecond the answer takes a minute, so that it cannot end before the
+    // kill.
     let mut long = chat("room 2", true);
     long["max_tokens"] = json!(60_000);
     let request = http::post(address, "/v1/chat/completions").json(&long);
--- a/tests/tests/whole_path.rs
+++ b/tests/tests/whole_path.rs
@@ -1,4 +1,4 @@
-//! The whole path: an operator's change, a caller's question, a streamed answer, a clean end.
+//! Tests the whole path: an operator's change, a request, a streamed answer, a clean stop.
 
 use serde_json::json;
 use tokio::{io::AsyncWriteExt, net::TcpStream};
@@ -41,13 +41,13 @@
     cluster.stop().await
 }
 
-/// Callers that send heads without end, and the most memory that each may cost, in bytes: a head's
-/// buffer, which the HTTP library bounds by 128 KiB, and as much again while it grows.
+/// Callers that send endless heads, and the memory that each may cost at most, in bytes: the
+/// buffer of a head, which the HTTP library bounds by 128 KiB, and as much again while it grows.
 const ENDLESS_HEADS: (usize, u64) = (200, 256 * 1024);
 
-// A broken client writes header after header and never ends its request, on many connections at
-// once. If heads were not bounded the instance would be killed for lack of memory, and all of its
-// callers would lose their answers.
+// A faulty caller sends headers without end on many connections at once. If heads were not
+// bounded, the instance would be killed for lack of memory, and all of its callers would lose
+// their answers.
 #[actix_rt::test]
 async fn endless_heads_cost_bounded_memory() -> Result<()> {
     let mut cluster = Cluster::builder().zone("patras", "a", 1).start().await?;
@@ -66,7 +66,7 @@
     for _ in 0..callers {
         let mut stream = TcpStream::connect(address).await?;
         let head = format!("GET / HTTP/1.1\r\nx-a: {}", "b".repeat(4 << 20));
-        // The refusal closes the connection before all is written.
+        // The refusal closes the connection before everything is written.
         let _ = stream.write_all(head.as_bytes()).await;
         open.push(stream);
     }
