--- a/tests/tests/control_force.rs
+++ b/tests/tests/control_force.rs
@@ -292,8 +292,8 @@
     isolate(&cluster, &ISOLATED);
     // Leaves out unreachable replicas: dialling them first would take time in which the election
     // timeout could expire.
-    let near = cluster.control("control-1")?.address("links")?;
-    cluster.entry("patras-a-1")?.settings()["control"] = json!([near]);
+    let local = cluster.control("control-1")?.address("links")?;
+    cluster.entry("patras-a-1")?.settings()["control"] = json!([local]);
     check_restart(&mut cluster, "patras-a-1", newest).await
 }
 
@@ -415,7 +415,7 @@
     cluster.client("studio", "key").await?;
     let wide = rule(&["patras", "athens", "thessaloniki"]);
     let answer = cluster.ctl(&["apply", &wide]).await?.json()?;
-    let held = answer["revision"].to_string();
+    let base = answer["revision"].to_string();
     wait_settled(&cluster, 3).await?;
     let leader = cluster.leader().await?;
     // One of the five replicas is in that region, so three remain whichever one leads.
@@ -423,11 +423,11 @@
     cluster.partition(|node| node.region() == cut);
     cluster.control(&leader)?.process().kill()?;
     let racers = ["patras", "athens", "thessaloniki"].map(|region| {
-        let (cluster, held) = (&cluster, held.clone());
+        let (cluster, base) = (&cluster, base.clone());
         async move {
             let narrow = rule(&[region]);
             let command = format!("racer-{region}");
-            let arguments = ["--command", &command, "--expected", &held, "apply", &narrow];
+            let arguments = ["--command", &command, "--expected", &base, "apply", &narrow];
             cluster.ctl(&arguments).await
         }
     });
--- a/tests/tests/control_group.rs
+++ b/tests/tests/control_group.rs
@@ -100,7 +100,7 @@
         .json()?;
     let opened = cluster.control(&leader)?.proxy("operators")?.opened();
     let arguments = ["--timeout", "2000", "get", "model", "m"];
-    let asked = actix_rt::spawn(async move { ctl::run(&[old], &arguments).await });
+    let pending = actix_rt::spawn(async move { ctl::run(&[old], &arguments).await });
     wait::until("the request on its way", async || {
         let proxy = cluster.control(&leader).ok()?.proxy("operators").ok()?;
         (proxy.opened() > opened).then_some(())
@@ -110,7 +110,7 @@
     // prove less.
     actix_rt::time::sleep(Duration::from_millis(200)).await;
     cluster.control(&leader)?.process().thaw()?;
-    let run = asked.await.map_err(std::io::Error::other)??;
+    let run = pending.await.map_err(std::io::Error::other)??;
     assert!(!run.output.contains("old"), "{run:?}");
     Ok(())
 }
@@ -127,9 +127,9 @@
     cut(&cluster, &leader);
     let successor = cluster.leader_besides(&[&leader]).await?;
     change(&cluster, "m", "new").await?;
-    let asked = ctl::run(&[old], &["--timeout", "1000", "get", "model", "m"]).await?;
-    assert!(!asked.output.contains("old"), "{asked:?}");
-    assert!(receives || asked.code == FAILED, "{asked:?}");
+    let run = ctl::run(&[old], &["--timeout", "1000", "get", "model", "m"]).await?;
+    assert!(!run.output.contains("old"), "{run:?}");
+    assert!(receives || run.code == FAILED, "{run:?}");
     // Long enough for an isolated replica without pre-vote to raise its term several times.
     actix_rt::time::sleep(Duration::from_millis(ELECTION * 6)).await;
     let before = term(&cluster.status_of(&successor).await?);
--- a/tests/tests/control_orders.rs
+++ b/tests/tests/control_orders.rs
@@ -80,7 +80,7 @@
 /// the orders. The next leader must send them, to targets that check fencing tokens and to those
 /// that do not, and must send no more once they hold the version.
 #[actix_rt::test]
-async fn a_new_leader_sends_the_orders_of_a_lost_one() -> Result<()> {
+async fn a_new_leader_sends_the_orders_that_a_lost_one_did_not() -> Result<()> {
     let mut cluster = start_both_kinds().await?;
     let leader = cluster.leader().await?;
     apply_version(&cluster, "2").await?;
@@ -156,8 +156,8 @@
 /// every target must have the version.
 #[actix_rt::test]
 async fn loads_are_paced() -> Result<()> {
-    let pace = json!({"targets": {"loads_per_minute": 120, "burst": 1}});
-    let mut cluster = builder(1).control(pace).start().await?;
+    let pacing = json!({"targets": {"loads_per_minute": 120, "burst": 1}});
+    let mut cluster = builder(1).control(pacing).start().await?;
     apply_version(&cluster, "1").await?;
     apply_role(&cluster).await?;
     let names: Vec<String> = (0..4).map(|number| format!("engine-{number}")).collect();
--- a/tests/tests/history.rs
+++ b/tests/tests/history.rs
@@ -242,7 +242,7 @@
                         write(seen, &format!("{client}-{round}"))
                     };
                     let number = recorder.begin(request.clone());
-                    let answer = serve(&mut object.lock().expect("nobody panicked"), request);
+                    let answer = serve(&mut object.lock().expect("no thread panicked"), request);
                     let (Answer::Found { revision, .. }
                     | Answer::Accepted { revision }
                     | Answer::Conflict { revision }) = &answer;
@@ -263,9 +263,9 @@
             Some(Answer::Accepted { revision }) => Some(revision),
             _ => None,
         });
-    *forged.expect("somebody won") += 1000;
+    *forged.expect("a change was accepted") += 1000;
     let end = calls.len() as u64 * 3;
-    let (revision, value) = object.into_inner().expect("nobody panicked");
+    let (revision, value) = object.into_inner().expect("no thread panicked");
     calls.push(call(
         end,
         end + 1,
--- a/tests/tests/load.rs
+++ b/tests/tests/load.rs
@@ -51,11 +51,11 @@
 // count as latency of the system.
 #[actix_rt::test]
 async fn streams_share_connections() -> Result<()> {
-    let few = json!({"duration_ms": 2_000, "sources": [
+    let sparse = json!({"duration_ms": 2_000, "sources": [
         {"client": "maps", "model": "map-labels", "rate": 10, "arrivals": "fixed", "tokens": 2,
          "stream": true},
     ]});
-    let (variant, opened) = run_counting_connections(json!({}), few).await?;
+    let (variant, opened) = run_counting_connections(json!({}), sparse).await?;
     let answered = variant["all"]["answered"].as_u64();
     println!("{answered:?} streams, {opened} connections");
     assert!(answered > Some(10), "{variant}");
@@ -181,7 +181,7 @@
 }
 
 fn start_load(cluster: &Cluster, report: &Path) -> Result<Process> {
-    let of = |role: &str| -> Vec<SocketAddr> {
+    let addresses = |role: &str| -> Vec<SocketAddr> {
         let nodes = cluster.nodes();
         nodes.filter_map(|node| node.address(role).ok()).collect()
     };
@@ -194,7 +194,7 @@
     let experiment = json!({
         "warmup_ms": 0, "duration_ms": 4_000, "deadline_ms": 10_000, "patience_ms": 15_000,
         "report": report,
-        "variants": [{"name": "system", "entries": of("callers"), "ledgers": of("http")}],
+        "variants": [{"name": "system", "entries": addresses("callers"), "ledgers": addresses("http")}],
         "sources": [source("maps", "key-1", true), source("studio", "key-2", false)],
     });
     settings::start("load", "zinniastall-load", &experiment)
--- a/tests/tests/path/border.rs
+++ b/tests/tests/path/border.rs
@@ -67,9 +67,9 @@
     let address = restart_without_links(&mut cluster).await?;
     let ticket = ticket(cluster.entry("athens-a-1")?.address("callers")?).await?;
     let request = ask_once(address, &ticket, &body());
-    let (answer, crossed) = forward_during_withdrawal(&mut cluster, request).await?;
+    let (answer, forwarded) = forward_during_withdrawal(&mut cluster, request).await?;
     assert_eq!(error(&answer).0, "unknown", "{}", answer.text());
-    assert_eq!(crossed, [""; 0], "it left its region");
+    assert_eq!(forwarded, [""; 0], "the request left its region");
     Ok(())
 }
 
@@ -80,9 +80,10 @@
 async fn request_is_not_sent_to_a_withdrawn_region() -> Result<()> {
     let mut cluster = super::forward::regions().await?;
     let address = restart_without_links(&mut cluster).await?;
-    let (answer, crossed) = forward_during_withdrawal(&mut cluster, ask(address, &body())).await?;
+    let (answer, forwarded) =
+        forward_during_withdrawal(&mut cluster, ask(address, &body())).await?;
     assert_eq!(error(&answer).0, "not-run", "{}", answer.text());
-    assert_eq!(crossed, [""; 0], "it left its region");
+    assert_eq!(forwarded, [""; 0], "the request left its region");
     assert_eq!(runs(&mut cluster, "engine-1", &body()).await?.len(), 0);
     Ok(())
 }
--- a/tests/tests/routing_calls.rs
+++ b/tests/tests/routing_calls.rs
@@ -56,9 +56,9 @@
     weightless["routes"][0]["split"][0]["weight"] = json!(0);
     let mut timeless = table(9, "api");
     timeless["routes"][0]["timeout_ms"] = json!(0);
-    let mut doubled = table(9, "api");
-    let route = doubled["routes"][0].clone();
-    if let Some(routes) = doubled["routes"].as_array_mut() {
+    let mut duplicate = table(9, "api");
+    let route = duplicate["routes"][0].clone();
+    if let Some(routes) = duplicate["routes"].as_array_mut() {
         routes.push(route);
     }
     let mut misspelt = table(9, "api");
@@ -67,7 +67,7 @@
         (table(9, "nobody"), "unknown service"),
         (weightless, "add up to 0"),
         (timeless, "timeout of 0"),
-        (doubled, "share host and prefix"),
+        (duplicate, "share host and prefix"),
     ];
     for (table, reason) in invalid {
         let run = cluster.ctl(&["publish", &table.to_string()]).await?;
