--- a/tests/tests/path/border.rs
+++ b/tests/tests/path/border.rs
@@ -58,9 +58,9 @@
 }
 
 // An answer is lost, and its caller resends the request in another region. While the resend
-// waits for a link to the instance that issued its ticket, the operator withdraws that region
-// from the client. The request must not leave its region any more; whether it ran before is
-// unknown here.
+// waits for a link to the instance that issued its ticket, the operator withdraws the issuer's
+// region from the client. The request must not leave its region any more; whether it ran before
+// is unknown here.
 #[actix_rt::test]
 async fn resend_is_not_sent_to_a_withdrawn_region() -> Result<()> {
     let mut cluster = super::forward::regions().await?;
--- a/tests/tests/spread/system.rs
+++ b/tests/tests/spread/system.rs
@@ -112,7 +112,7 @@
     Ok((answer.status() == 200).then_some(target))
 }
 
-/// Silently drops what nodes picked by `from` send to nodes picked by `to`, and nothing else.
+/// Silently stalls what nodes picked by `from` send to nodes picked by `to`, and nothing else.
 pub(crate) fn cut_one_way(
     cluster: &Cluster,
     from: impl Fn(&Node) -> bool,
