--- a/tests/tests/control_load.rs
+++ b/tests/tests/control_load.rs
@@ -1,4 +1,4 @@
-//! Control replicas lost while operators write, with real processes.
+//! Tests with real processes that lose control replicas while operators write.
 
 use std::{
     cell::{Cell, RefCell},
@@ -15,17 +15,17 @@
 
 /// Exit code of a change that is accepted.
 const ACCEPTED: Option<i32> = Some(0);
-/// Exit code of a conflict.
+/// Exit code of a change whose expected revision was out of date.
 const CONFLICT: Option<i32> = Some(3);
-/// Operators who write at once.
+/// Operators that write concurrently.
 const OPERATORS: usize = 8;
-/// Accepted changes that must have come before and after a fault.
-const CHANGES: usize = 24;
+/// Accepted changes that count as progress before and after a fault.
+const MIN_PROGRESS: usize = 24;
 
-/// What operators were told: names of models and the revisions that made them.
+/// Acknowledged changes: names of models and the revisions that created them.
 type Ledger = Rc<RefCell<Vec<(String, u64)>>>;
 
-/// Operators who create one model after the other.
+/// Operators that create one model after the other.
 #[derive(Debug)]
 struct Load {
     ledger: Ledger,
@@ -60,17 +60,17 @@
         }
     }
 
-    /// Waits until some more changes were accepted.
-    async fn goes_on(&self) -> Result<()> {
+    /// Waits until [`MIN_PROGRESS`] more changes were accepted.
+    async fn wait_for_progress(&self) -> Result<()> {
         let before = self.ledger.borrow().len();
         wait::until("more accepted changes", async || {
-            (self.ledger.borrow().len() >= before + CHANGES).then_some(())
+            (self.ledger.borrow().len() >= before + MIN_PROGRESS).then_some(())
         })
         .await
     }
 
-    /// Lets every operator finish what is under way, and compares what they were told with what
-    /// the group holds.
+    /// Lets every operator finish its current call, and compares the acknowledged changes with
+    /// those that the group holds.
     async fn check(self, cluster: &Cluster) -> Result<()> {
         self.done.set(true);
         for operator in self.operators {
@@ -78,7 +78,7 @@
         }
         let listed = cluster.ctl(&["list", "model"]).await?.json()?;
         let records = listed["records"].as_array().cloned().unwrap_or_default();
-        let mut held: Vec<(String, u64)> = records
+        let mut stored: Vec<(String, u64)> = records
             .iter()
             .map(|record| {
                 let name = record["object"]["model"]["id"].as_str().unwrap_or_default();
@@ -86,16 +86,19 @@
                 (name.to_owned(), revision)
             })
             .collect();
-        let mut told = self.ledger.take();
-        println!("accepted={}", told.len());
-        held.sort_unstable();
-        told.sort_unstable();
-        assert_eq!(told, held, "what operators were told, and what is there");
+        let mut acknowledged = self.ledger.take();
+        println!("accepted={}", acknowledged.len());
+        stored.sort_unstable();
+        acknowledged.sort_unstable();
+        assert_eq!(
+            acknowledged, stored,
+            "acknowledged changes, and stored ones"
+        );
         Ok(())
     }
 }
 
-/// Creates a model; sends the same command again for as long as nobody answers.
+/// Creates a model; resends the same command until it is answered.
 async fn create(addresses: &[SocketAddr], name: &str) -> Result<u64> {
     let command = format!("create-{name}");
     let object = model(name, "1");
@@ -119,7 +122,7 @@
     Ok(answer["revision"].as_u64().unwrap_or_default())
 }
 
-/// Cuts the leader off and leaves it so while operators still write to it.
+/// Isolates the leader and waits while operators still write to it.
 async fn cut_off_leader(cluster: &Cluster) -> Result<String> {
     let leader = cluster.leader().await?;
     cluster.partition(|node| node.name() == leader);
@@ -127,19 +130,19 @@
     Ok(leader)
 }
 
-/// The leader's machine dies while many operators write: first its network, then its process.
-/// Every change that an operator was told to be accepted must be there, once and with the revision
-/// that was told, and operators must get on within seconds. Three leaders die like that in turn.
+/// The leader's machine fails while many operators write: first its network, then its process.
+/// Every acknowledged change must exist once, with the revision that was reported, and operators
+/// must make progress again within seconds. Three leaders fail in turn.
 #[actix_rt::test]
 async fn a_leader_killed_under_load_loses_nothing_accepted() -> Result<()> {
     let mut cluster = group(3).start().await?;
     let load = Load::start(&cluster);
     for _ in 0..3 {
-        load.goes_on().await?;
+        load.wait_for_progress().await?;
         let leader = cut_off_leader(&cluster).await?;
         cluster.control(&leader)?.process().kill()?;
         cluster.leader_besides(&[&leader]).await?;
-        load.goes_on().await?;
+        load.wait_for_progress().await?;
         cluster.heal();
         cluster.control(&leader)?.restart().await?;
         cluster.next_loss_safe(true).await?;
@@ -147,24 +150,24 @@
     load.check(&cluster).await
 }
 
-/// The leader's disk is lost while many operators write. It comes back empty and is replaced, and
-/// as soon as the status calls the next loss safe, another instance is lost for good. Operators go
-/// on all the while; every change that they were told to be accepted must be there.
+/// The leader's disk is lost while many operators write. It comes back empty and is replaced,
+/// and as soon as the status calls the next loss safe, another instance is lost for good.
+/// Operators write all the while, and every acknowledged change must exist.
 #[actix_rt::test]
 async fn a_leader_wiped_under_load_loses_nothing_accepted() -> Result<()> {
     let mut cluster = group(3).start().await?;
     let load = Load::start(&cluster);
-    load.goes_on().await?;
+    load.wait_for_progress().await?;
     let lost = cut_off_leader(&cluster).await?;
-    let forgotten = cluster.replica_id(&lost).await?;
+    let lost_id = cluster.replica_id(&lost).await?;
     cluster.wipe(&lost).await?;
     cluster.heal();
     cluster.leader_besides(&[&lost]).await?;
-    load.goes_on().await?;
-    cluster.replace(&lost, &forgotten).await?;
+    load.wait_for_progress().await?;
+    cluster.replace(&lost, &lost_id).await?;
     let next = cluster.leader().await?;
     cluster.control(&next)?.process().kill()?;
     cluster.leader_besides(&[&next]).await?;
-    load.goes_on().await?;
+    load.wait_for_progress().await?;
     load.check(&cluster).await
 }
--- a/tests/tests/load.rs
+++ b/tests/tests/load.rs
@@ -1,4 +1,4 @@
-//! The load tool measures what it says.
+//! Tests that the load tool measures what it reports.
 
 use std::{
     io::{BufRead, BufReader, Read},
@@ -13,13 +13,13 @@
 
 const MODEL: &str = "map-labels";
 
-/// Runs the load tool against one stand-in engine without the system between.
-async fn direct(engine: Value, change: Value) -> Result<Value> {
-    Ok(connecting(engine, change).await?.0)
+/// Runs the load tool directly against one stand-in engine, without the system between them.
+async fn run_direct(engine: Value, change: Value) -> Result<Value> {
+    Ok(run_counting_connections(engine, change).await?.0)
 }
 
-/// As [`direct`]; returns also how many connections the load tool opened.
-async fn connecting(engine: Value, change: Value) -> Result<(Value, u64)> {
+/// Does the same as [`run_direct`] and also returns how many connections the load tool opened.
+async fn run_counting_connections(engine: Value, change: Value) -> Result<(Value, u64)> {
     let mut engine_settings = json!({
         "kind": "engine", "listen": ANY,
         "engine": {"models": [{"model": "map-labels", "version": "1"}]},
@@ -46,16 +46,16 @@
     Ok((report["variants"][0].clone(), proxy.opened()))
 }
 
-// A stream is over at its closing event, a few bytes before the end of its body. A tool that leaves
-// these unread opens a connection for each stream, and the time of opening counts as latency of the
-// system.
+// A stream ends with its closing event, a few bytes before the end of its body. If the tool left
+// these bytes unread, it would open a connection for each stream, and the connection setup would
+// count as latency of the system.
 #[actix_rt::test]
 async fn streams_share_connections() -> Result<()> {
-    let few = json!({"duration_ms": 2_000, "sources": [
+    let sparse = json!({"duration_ms": 2_000, "sources": [
         {"client": "maps", "model": "map-labels", "rate": 10, "arrivals": "fixed", "tokens": 2,
          "stream": true},
     ]});
-    let (variant, opened) = connecting(json!({}), few).await?;
+    let (variant, opened) = run_counting_connections(json!({}), sparse).await?;
     let answered = variant["all"]["answered"].as_u64();
     println!("{answered:?} streams, {opened} connections");
     assert!(answered > Some(10), "{variant}");
@@ -65,7 +65,7 @@
 
 #[actix_rt::test]
 async fn answers_are_counted_and_audited() -> Result<()> {
-    let variant = direct(json!({}), json!({})).await?;
+    let variant = run_direct(json!({}), json!({})).await?;
     let all = &variant["all"];
     assert!(all["requests"].as_u64() > Some(20));
     assert_eq!(all["answered"], all["requests"]);
@@ -77,7 +77,7 @@
     Ok(())
 }
 
-/// Reads each request whole and closes its connection in order, without an answer.
+/// Reads each request in full and closes its connection cleanly, without an answer.
 fn close_after_reading(listener: &TcpListener) {
     for stream in listener.incoming().flatten() {
         let mut reader = BufReader::new(stream);
@@ -89,14 +89,14 @@
             line.clear();
         }
         let mut body = vec![0; length];
-        // Whatever was not read would make the close a reset, which looks different to the tool.
+        // Unread bytes would turn the close into a reset, which the tool reports differently.
         let _ = reader.read_exact(&mut body);
     }
 }
 
-// An instance that is killed between a request and its answer closes the connection, and the HTTP
-// library reports that as a connection that was never had. Counted as "not run", such requests that
-// had run looked like broken promises of the system in the soak: ran_anyway=2.
+// An instance that is killed between a request and its answer closes the connection, which the
+// HTTP library reports like a connection that was never established. If such requests counted as
+// "not run", those that had run would show up as violations of the system (`ran_anyway`).
 #[actix_rt::test]
 async fn connections_closed_before_an_answer_are_unknown() -> Result<()> {
     let listener = TcpListener::bind(("127.0.0.1", 0))?;
@@ -118,8 +118,9 @@
     Ok(())
 }
 
-/// One slow slot serves a request every 50 ms while ten come in that time. Each waits for all that
-/// came before it; a tool that waited for answers before sending would see 50 ms for every one.
+/// A single slot serves a request every 50 ms while ten arrive in that time. Each waits for all
+/// that arrived before it; a tool that waited for answers before sending would measure 50 ms for
+/// every one (coordinated omission).
 #[actix_rt::test]
 async fn waiting_is_measured_from_the_planned_start() -> Result<()> {
     let slow = json!({"slots": 1, "engine": {"first_ms": 50}});
@@ -127,19 +128,19 @@
         {"client": "maps", "model": "map-labels", "rate": 200, "arrivals": "fixed",
          "until_ms": 200, "tokens": 1},
     ]});
-    let variant = direct(slow, fixed).await?;
+    let variant = run_direct(slow, fixed).await?;
     let all = &variant["all"];
     assert_eq!(all["answered"], 39);
     assert!(all["whole"]["max"].as_u64() > Some(1_500_000), "{all}");
     Ok(())
 }
 
-/// Callers of two clients ask two availability zones at once, some for work that may run once, while
-/// an engine is killed and comes back. Whoever was told "answered" must have a run in a ledger and
-/// the right text, whoever was told "not run" none, and no work that may run once may have run twice:
-/// work that ran twice is billed twice.
+/// Callers of two clients send requests to two availability zones, some of them at most once,
+/// while an engine is killed and restarted. Every "answered" must have a run in a ledger and the
+/// right text, every "not run" no run, and no at-most-once request may have run twice: it would
+/// be billed twice.
 #[actix_rt::test]
-async fn the_system_keeps_its_word_while_an_engine_is_lost() -> Result<()> {
+async fn outcomes_match_ledgers_while_an_engine_is_lost() -> Result<()> {
     let files = tempfile::tempdir()?;
     let mut cluster = Cluster::builder()
         .zone("patras", "a", 2)
@@ -155,7 +156,7 @@
     cluster.client("studio", "key-2").await?;
     cluster.model(MODEL).await?;
     cluster.located("patras-a-1", "key-1", MODEL, 3).await?;
-    let mut load = under_load(&cluster, &files.path().join("report.json"))?;
+    let mut load = start_load(&cluster, &files.path().join("report.json"))?;
     let engine = cluster.target("engine-1")?.address("http")?;
     wait::until("a run at the engine", async || {
         let ledger = http::get(engine, "/ledger")
@@ -179,8 +180,8 @@
     Ok(())
 }
 
-fn under_load(cluster: &Cluster, report: &Path) -> Result<Process> {
-    let of = |role: &str| -> Vec<SocketAddr> {
+fn start_load(cluster: &Cluster, report: &Path) -> Result<Process> {
+    let addresses = |role: &str| -> Vec<SocketAddr> {
         let nodes = cluster.nodes();
         nodes.filter_map(|node| node.address(role).ok()).collect()
     };
@@ -193,7 +194,7 @@
     let experiment = json!({
         "warmup_ms": 0, "duration_ms": 4_000, "deadline_ms": 10_000, "patience_ms": 15_000,
         "report": report,
-        "variants": [{"name": "system", "entries": of("callers"), "ledgers": of("http")}],
+        "variants": [{"name": "system", "entries": addresses("callers"), "ledgers": addresses("http")}],
         "sources": [source("maps", "key-1", true), source("studio", "key-2", false)],
     });
     settings::start("load", "zinniastall-load", &experiment)
--- a/tests/tests/path/cold.rs
+++ b/tests/tests/path/cold.rs
@@ -1,4 +1,4 @@
-//! Traffic returns to targets with cold caches.
+//! Tests how traffic returns to targets with cold caches.
 
 use std::net::SocketAddr;
 
@@ -7,30 +7,30 @@
 
 use super::support::{KEY, MODEL, System, ask, chat, configure};
 
-/// Requests that must have gone elsewhere after the first one that was served at home again, and
-/// those at home one after the other by which all traffic counts as returned.
-const ELSEWHERE: usize = 3;
-const RETURNED: usize = 30;
+/// Requests that must have gone elsewhere after the first one that the home zone served again,
+/// and consecutive requests served at home after which all traffic counts as returned.
+const MIN_ELSEWHERE: usize = 3;
+const MIN_CONSECUTIVE_AT_HOME: usize = 30;
 
-/// Asks once and returns the target that served.
+/// Sends one request and returns the target that served it.
 async fn served_by(address: SocketAddr, number: usize) -> Option<String> {
     let body = chat(&format!("request {number}"), 1, false);
     let answer = ask(address, &body).send().await.ok()?;
     (answer.status() == 200).then(|| answer.header("x-zinniastall-target").to_owned())
 }
 
-/// Waits until a target serves.
-async fn serving(address: SocketAddr, target: &str) -> Result<()> {
+/// Waits until a target serves a request.
+async fn wait_served_by(address: SocketAddr, target: &str) -> Result<()> {
     wait::until(&format!("{target} serving"), async || {
         (served_by(address, 0).await? == target).then_some(())
     })
     .await
 }
 
-// The only engine of a zone is killed, its zone's callers are served by the zone beside it, and the
-// engine comes back with an empty cache. It is idle then and looks cheaper than the other zone; with
-// all requests at once its callers would wait for prompts that are prefilled in full. They move
-// back step by step instead, and in the end all of them.
+// The only engine of a zone is killed, the neighbouring zone takes over its callers, and the
+// engine returns with an empty cache. It is idle then and looks cheaper than the other zone; if
+// it got all requests at once, callers would wait for full prefills. Traffic must move back
+// gradually, and in the end completely.
 #[actix_rt::test]
 async fn traffic_returns_to_a_cold_zone_step_by_step() -> Result<()> {
     let builder = Cluster::builder()
@@ -46,14 +46,14 @@
     configure(&mut cluster).await?;
     cluster.located("patras-a-1", KEY, MODEL, 2).await?;
     let address = cluster.entry("patras-a-1")?.address("callers")?;
-    serving(address, "engine-1").await?;
+    wait_served_by(address, "engine-1").await?;
     cluster.target("engine-1")?.process().kill()?;
     cluster
         .entry("patras-a-1")?
         .process()
         .event("target-gone")
         .await?;
-    serving(address, "engine-2").await?;
+    wait_served_by(address, "engine-2").await?;
     cluster.target("engine-1")?.restart().await?;
     let mut asked = 0;
     wait::until("the first request at home", async || {
@@ -62,15 +62,15 @@
     })
     .await?;
     let mut elsewhere = 0;
-    let mut row = 0;
+    let mut consecutive = 0;
     wait::until("all requests at home", async || {
         asked += 1;
         let home = served_by(address, asked).await? == "engine-1";
         elsewhere += usize::from(!home);
-        row = if home { row + 1 } else { 0 };
-        (row >= RETURNED).then_some(())
+        consecutive = if home { consecutive + 1 } else { 0 };
+        (consecutive >= MIN_CONSECUTIVE_AT_HOME).then_some(())
     })
     .await?;
-    assert!(elsewhere >= ELSEWHERE, "{elsewhere} went elsewhere");
+    assert!(elsewhere >= MIN_ELSEWHERE, "{elsewhere} went elsewhere");
     cluster.stop().await
 }
--- a/tests/tests/path/hops.rs
+++ b/tests/tests/path/hops.rs
@@ -1,4 +1,4 @@
-//! No request goes round.
+//! Tests that no request is forwarded in a loop.
 
 use futures_util::{SinkExt, StreamExt, future::join_all};
 use serde_json::json;
@@ -21,7 +21,7 @@
     Place::new(region, zone)
 }
 
-/// Returns what an instance of Patras says of itself.
+/// Returns the `Hello` of an instance of Patras.
 fn hello(cluster: Option<String>) -> Hello {
     Hello {
         version: VERSION,
@@ -55,7 +55,7 @@
     }
 }
 
-/// Returns the first message of the answer, or nothing if the link ends.
+/// Returns the first message of the answer, or `None` if the link ends.
 async fn answer(link: Link, open: Open) -> Option<Message> {
     let (mut sender, mut receiver) = link.split();
     let frame = Frame::Stream(Message::Open(Box::new(open)));
@@ -66,9 +66,8 @@
     }
 }
 
-// Somebody who is no instance of the system, or a broken one, sends requests over a stream link and
-// says of them that they have passed other places than they have. None of them is served; nobody is
-// billed for them. One that tells the truth is.
+// A process outside the system, or a faulty instance, sends requests over a stream link with a
+// forged list of hops. None of them is served or billed; a request with a true list is.
 #[actix_rt::test]
 async fn forged_hop_lists_are_refused() -> Result<()> {
     let mut cluster = regions().await?;
@@ -79,12 +78,12 @@
         .await?;
     let address = address.to_string();
     let dial = async |cluster| Link::dial(&address, hello(cluster)).await;
-    // A stranger either gets no link or no answer on it.
+    // A stranger gets either no link or no answer on it.
     let name = match dial(None).await {
         Ok(link) => {
             let name = link.peer().cluster.clone();
-            let told = answer(link, open(1, &["patras/a", "athens/a"])).await;
-            assert_eq!(told, None, "a stranger was answered");
+            let reply = answer(link, open(1, &["patras/a", "athens/a"])).await;
+            assert_eq!(reply, None, "a stranger was answered");
             name
         }
         Err(error) => panic!("{error}"),
@@ -104,30 +103,30 @@
     ];
     for hops in forged {
         let link = dial(name.clone()).await.map_err(std::io::Error::other)?;
-        let told = answer(link, open(1, hops)).await;
+        let reply = answer(link, open(1, hops)).await;
         let Some(Message::Failed {
             failure: Failure::NotRun { reason, .. },
             ..
-        }) = told
+        }) = reply
         else {
-            panic!("{hops:?} was not refused: {told:?}");
+            panic!("{hops:?} was not refused: {reply:?}");
         };
         assert!(reason.contains("border"), "{hops:?}: {reason}");
     }
     let body = chat("forged", 1, false);
     assert_eq!(runs(&mut cluster, "engine-1", &body).await?.len(), 0);
     let link = dial(name).await.map_err(std::io::Error::other)?;
-    let told = answer(link, open(1, &["patras/a", "athens/a"])).await;
+    let reply = answer(link, open(1, &["patras/a", "athens/a"])).await;
     assert!(
-        matches!(told, Some(Message::Head { status: 200, .. })),
-        "{told:?}"
+        matches!(reply, Some(Message::Head { status: 200, .. })),
+        "{reply:?}"
     );
     cluster.stop().await
 }
 
-// Both regions lose their engine at the same moment, and each still believes that the other has one.
-// A request that is sent on by one must not be sent back by the other: it would go round until its
-// deadline, and so would all others, over the slow link.
+// Both regions lose their engine at the same moment, and each still believes that the other has
+// one. A request that one has forwarded must not be sent back by the other: requests would loop
+// over the slow link until their deadlines.
 #[actix_rt::test]
 async fn two_regions_without_engines_never_send_a_request_back() -> Result<()> {
     let places = ["patras", "athens"];
@@ -155,27 +154,30 @@
     for region in places {
         cluster.target(region)?.process().kill()?;
     }
-    let asking = (0..6).map(|number| {
+    let requests = (0..6).map(|number| {
         let body = chat(&format!("request {number}"), 1, false);
         let request = ask(addresses[number % 2], &body);
         request
             .header("x-zinniastall-request", &format!("round-{number}"))
             .send()
     });
-    for answer in join_all(asking).await {
+    for answer in join_all(requests).await {
         let answer = answer?;
         assert_ne!(answer.status(), 200, "{}", answer.text());
     }
     for (side, region) in places.iter().enumerate() {
         let process = cluster.entry(&format!("{region}-a-1"))?.process();
         process.stop().await?;
-        let came = process.log().events("forwarded");
+        let received = process.log().events("forwarded");
         let round = |line: &String| field(line, "request")?.strip_prefix("round-")?.parse().ok();
-        let came: Vec<usize> = came.iter().filter_map(round).collect();
-        assert!(!came.is_empty(), "nothing was sent to {region}");
-        // Even numbers were received in the first region, odd ones in the second.
-        let back: Vec<_> = came.iter().filter(|number| *number % 2 == side).collect();
-        assert!(back.is_empty(), "sent back to {region}: {back:?}");
+        let received: Vec<usize> = received.iter().filter_map(round).collect();
+        assert!(!received.is_empty(), "nothing was sent to {region}");
+        // Even-numbered requests were sent to the first region, odd-numbered ones to the second.
+        let sent_back: Vec<_> = received
+            .iter()
+            .filter(|number| *number % 2 == side)
+            .collect();
+        assert!(sent_back.is_empty(), "sent back to {region}: {sent_back:?}");
     }
     Ok(())
 }
--- a/tests/tests/path/races.rs
+++ b/tests/tests/path/races.rs
@@ -1,4 +1,4 @@
-//! Many callers with tickets at once, while instances are killed and frozen.
+//! Tests many concurrent callers with tickets while instances are killed and frozen.
 
 use std::{cell::RefCell, net::SocketAddr, rc::Rc, time::Duration};
 
@@ -17,27 +17,27 @@
 
 const SEED: u64 = 20_261_202;
 const CALLERS: usize = 8;
-/// Pieces of work of a caller.
-const WORK: usize = 6;
+/// Requests of each caller.
+const WORK_PER_CALLER: usize = 6;
 const TOKENS: usize = 6;
-/// Most times that a piece of work is asked for, two at a time.
-const ASKED: usize = 4;
-/// Instances lost, by turns killed and frozen.
+/// Most rounds in which a request is sent, two sends in each.
+const MAX_ROUNDS: usize = 4;
+/// Losses of an instance, alternately killed and frozen.
 const LOSSES: usize = 6;
 
-/// One piece of work and what its caller was told.
+/// One at-most-once request and the answers that its caller got.
 struct Work {
     prompt: String,
     calls: Recorder<Request, Answer>,
 }
 
-/// Sends the work once and notes the answer.
+/// Sends the request once and records the answer.
 async fn send(work: &Work, address: SocketAddr, ticket: &str) -> Option<Answer> {
     let call = work.calls.begin(Request::Ask);
     let body = chat(&work.prompt, TOKENS, false);
     let request = ask_once(address, ticket, &body).header("x-zinniastall-deadline-ms", "2000");
     let answer = request.send().await.ok()?;
-    let told = if answer.status() == 200 {
+    let reply = if answer.status() == 200 {
         let chosen = &answer.json().ok()?["choices"][0];
         Answer::Whole(text(&chosen["message"]["content"]))
     } else if error(&answer).0 == "not-run" {
@@ -45,39 +45,39 @@
     } else {
         return None;
     };
-    work.calls.end(call, told.clone());
-    Some(told)
+    work.calls.end(call, reply.clone());
+    Some(reply)
 }
 
-/// Asks for work until its end is known, at random instances, often at two at once.
+/// Sends each request until its outcome is known, to random instances, two at a time.
 async fn caller(
     number: usize,
     addresses: [SocketAddr; 2],
     random: Rc<RefCell<StdRng>>,
 ) -> Vec<Work> {
-    let any = || *addresses.choose(&mut *random.borrow_mut()).expect("two");
+    let pick = || *addresses.choose(&mut *random.borrow_mut()).expect("two");
     let mut done = Vec::new();
-    for piece in 0..WORK {
+    for piece in 0..WORK_PER_CALLER {
         let work = Work {
             prompt: format!("bill {number}-{piece} of {SEED}"),
             calls: Recorder::default(),
         };
         let ticket = loop {
-            match ticket(any()).await {
+            match ticket(pick()).await {
                 Ok(ticket) if !ticket.is_empty() => break ticket,
-                // The instance is away for a moment.
+                // The instance is unavailable for a moment.
                 _ => tokio::time::sleep(Duration::from_millis(50)).await,
             }
         };
-        for _ in 0..ASKED {
-            let (one, other) = (any(), any());
+        for _ in 0..MAX_ROUNDS {
+            let (one, other) = (pick(), pick());
             let pause = Duration::from_millis(random.borrow_mut().random_range(0..100));
             let again = async {
                 tokio::time::sleep(pause).await;
                 send(&work, other, &ticket).await
             };
-            let told = join(send(&work, one, &ticket), again).await;
-            if told.0.or(told.1).is_some() {
+            let reply = join(send(&work, one, &ticket), again).await;
+            if reply.0.or(reply.1).is_some() {
                 break;
             }
         }
@@ -86,8 +86,8 @@
     done
 }
 
-/// Kills and freezes the instances by turns; each returns before the next is lost.
-async fn lose(cluster: &mut System, random: &RefCell<StdRng>) -> Result<()> {
+/// Alternately kills and freezes the instances; each returns before the next is lost.
+async fn lose_instances(cluster: &mut System, random: &RefCell<StdRng>) -> Result<()> {
     for loss in 0..LOSSES {
         let pause = random.borrow_mut().random_range(200..600);
         tokio::time::sleep(Duration::from_millis(pause)).await;
@@ -103,12 +103,11 @@
     Ok(())
 }
 
-// Eight robots have their work billed, each ticket often sent to two instances at once and again
-// after a loss, while the instances are killed and stand still. Each piece of work must have run once
-// at most, and nobody may have been told something about it that another answer or the engines'
-// ledgers belie.
+// Eight callers send at-most-once requests, each ticket often to two instances concurrently and
+// again after a loss, while the instances are killed and frozen. Each request must have run at
+// most once, and no answer may contradict another answer or the engines' ledgers.
 #[actix_rt::test]
-async fn racing_callers_are_told_one_truth_for_each_ticket() -> Result<()> {
+async fn racing_callers_get_consistent_outcomes_for_each_ticket() -> Result<()> {
     println!("seed {SEED}");
     let engine = json!({"engine": {"token_us": 20_000}, "slots": 4});
     let entry = json!({"tickets": {"linger_ms": 200}});
@@ -119,7 +118,7 @@
     ];
     let random = Rc::new(RefCell::new(StdRng::seed_from_u64(SEED)));
     let callers = (0..CALLERS).map(|number| caller(number, addresses, Rc::clone(&random)));
-    let (done, lost) = join(join_all(callers), lose(&mut cluster, &random)).await;
+    let (done, lost) = join(join_all(callers), lose_instances(&mut cluster, &random)).await;
     lost?;
     let (mut whole, mut refused, mut unknown) = (0, 0, 0);
     for work in done.into_iter().flatten() {
--- a/tests/tests/path/storm.rs
+++ b/tests/tests/path/storm.rs
@@ -1,4 +1,4 @@
-//! Half of the targets are lost at once.
+//! Tests the loss of half of the targets at once.
 
 use futures_util::future::join_all;
 use serde_json::{Value, json};
@@ -8,7 +8,7 @@
 
 const REQUESTS: usize = 200;
 
-async fn total(cluster: &mut Cluster) -> Result<usize> {
+async fn healthy_runs(cluster: &mut Cluster) -> Result<usize> {
     let mut total = 0;
     for engine in ["engine-3", "engine-4"] {
         total += cluster.ledger(engine).await?.len();
@@ -16,10 +16,10 @@
     Ok(total)
 }
 
-// Two of four engines take requests and break every connection. If each failed request were simply
-// tried again, the two others would get the load of all four at the moment when they can least
-// bear it. The retries stay within their budget, a tenth of the requests and ten besides, and the
-// broken engines are left alone after a few failures.
+// Two of four engines accept requests and break every connection. If each failed request were
+// simply retried, the other two would get the load of all four when they can least bear it.
+// Retries must stay within their budget, a tenth of the requests plus ten, and outlier detection
+// must eject the broken engines after a few failures.
 #[actix_rt::test]
 async fn retries_stay_within_their_budget() -> Result<()> {
     let engine: Value = json!({"engine": {"token_us": 1000}, "slots": 64});
@@ -29,7 +29,7 @@
         cluster.fail(engine, &broken).await?;
     }
     let address = cluster.entry("patras-a-1")?.address("callers")?;
-    let before = total(&mut cluster).await?;
+    let before = healthy_runs(&mut cluster).await?;
     let mut broken_before = 0;
     for engine in ["engine-1", "engine-2"] {
         broken_before += cluster.ledger(engine).await?.len();
@@ -44,7 +44,8 @@
     let statuses = join_all(requests).await;
     let whole = statuses.iter().filter(|status| matches!(status, Ok(200)));
     let whole = whole.count();
-    let ran = wait::until("ledgers", async || total(&mut cluster).await.ok()).await? - before;
+    let ran =
+        wait::until("ledgers", async || healthy_runs(&mut cluster).await.ok()).await? - before;
     let mut wasted = 0;
     for engine in ["engine-1", "engine-2"] {
         wasted += cluster.ledger(engine).await?.len();
@@ -56,7 +57,7 @@
         ran + wasted <= bound,
         "{ran} runs and {wasted} wasted, over {bound}"
     );
-    // Later requests are served: the broken engines have been ejected.
+    // Later requests are served because the broken engines have been ejected.
     let mut late = 0;
     for number in 0..20 {
         let body = chat(&format!("later {number}"), 2, false);
--- a/tests/tests/path/together.rs
+++ b/tests/tests/path/together.rs
@@ -1,4 +1,4 @@
-//! Two faults at once.
+//! Tests two faults at once.
 
 use serde_json::json;
 use zinniastall_tests::{Result, http, wait};
@@ -7,24 +7,25 @@
     forward::regions,
     loss::{engine, failure},
     support::{
-        ask, ask_once, chat, ends_well, error, expected, runs, terminate, ticket, zone_with,
+        ask, ask_once, chat, error, exits_cleanly, expected, runs, terminate, ticket, zone_with,
     },
 };
 
 const TOKENS: usize = 60;
 
-/// Returns settings of an engine that is slow enough for a fault within an answer.
-fn slow() -> serde_json::Value {
+/// Returns settings of an engine that is slow enough for a fault in the middle of an answer.
+fn slow_engine() -> serde_json::Value {
     let mut settings = engine("none", "die", 0);
     settings["engine"]["token_us"] = json!(20_000);
     settings
 }
 
-// An instance is asked to end while a brief streams through it, and then the connection to the engine
-// breaks. The instance still takes the stream up again where it broke, and ends after its last token.
+// An instance is terminated while an answer streams through it, and then the connection to the
+// engine breaks. The draining instance must resume the stream where it broke, and exit after its
+// last token.
 #[actix_rt::test]
 async fn stream_resumes_at_an_instance_that_drains() -> Result<()> {
-    let mut cluster = zone_with(&[slow()], json!({})).await?;
+    let mut cluster = zone_with(&[slow_engine()], json!({})).await?;
     let address = cluster.entry("patras-a-1")?.address("callers")?;
     cluster
         .fail("engine-1", &failure("events", "cut", 30))
@@ -37,16 +38,16 @@
     let runs = runs(&mut cluster, "engine-1", &body).await?;
     let offsets: Vec<_> = runs.iter().map(|run| run["offset"].as_u64()).collect();
     assert_eq!(offsets, [Some(0), Some(30)]);
-    ends_well(&mut cluster, "patras-a-1").await
+    exits_cleanly(&mut cluster, "patras-a-1").await
 }
 
-// The same for work that runs once, and the engine breaks off for good. The caller sees that the
-// answer isn't whole; as long as the instance lingers it says "unknown" to resends, and the idle
-// engine beside it does not run the work again.
+// As above for an at-most-once request whose engine breaks off for good. The caller sees that
+// the answer is incomplete; while the instance lingers it answers resends with "unknown", and
+// the idle second engine does not run the request again.
 #[actix_rt::test]
 async fn once_stays_unknown_at_an_instance_that_drains() -> Result<()> {
     let linger = json!({"tickets": {"linger_ms": 3000}});
-    let mut cluster = zone_with(&[slow(), slow()], linger).await?;
+    let mut cluster = zone_with(&[slow_engine(), slow_engine()], linger).await?;
     let first = cluster.entry("patras-a-1")?.address("callers")?;
     let second = cluster.entry("patras-a-2")?.address("callers")?;
     for engine in ["engine-1", "engine-2"] {
@@ -59,12 +60,12 @@
     let (_, events) = ask_once(first, &ticket, &body).stream().await?;
     terminate(&mut cluster, "patras-a-1").await?;
     let (text, done) = http::content(events).await?;
-    assert!(!done, "a cut answer looked whole: {text}");
+    assert!(!done, "a cut answer looked complete: {text}");
     for address in [first, second] {
         let again = ask_once(address, &ticket, &body).send().await?;
         assert_eq!(error(&again).0, "unknown", "{}", again.text());
     }
-    ends_well(&mut cluster, "patras-a-1").await?;
+    exits_cleanly(&mut cluster, "patras-a-1").await?;
     let again = ask_once(second, &ticket, &body).send().await?;
     assert_eq!(error(&again).0, "unknown", "{}", again.text());
     let ran = runs(&mut cluster, "engine-1", &body).await?.len();
@@ -72,9 +73,10 @@
     Ok(())
 }
 
-// The instance that has issued a ticket stands still while its work runs, its region is cut off, and
-// the caller asks again in the other region. Nobody there may run the work or deny that it ran; the
-// first caller gets the answer once the instance goes on, and so does a resend after the cut.
+// The instance that issued a ticket is frozen while its request runs, its region is cut off, and
+// the caller resends in the other region. Nothing there may run the request or answer "not run";
+// the first caller gets the answer once the instance resumes, and so does a resend after the
+// partition.
 #[actix_rt::test]
 async fn ticket_of_a_frozen_issuer_beyond_a_cut_runs_once() -> Result<()> {
     let mut cluster = regions().await?;
--- a/tests/tests/proxy.rs
+++ b/tests/tests/proxy.rs
@@ -1,4 +1,4 @@
-//! The fault-injecting proxy does what its rules say.
+//! Tests that the fault-injecting proxy does what its rules say.
 
 use std::{
     io::{Read, Write},
@@ -15,12 +15,13 @@
     wait,
 };
 
-/// Time after which silence counts as silence; a busy machine only makes it longer.
-const SILENCE: Duration = Duration::from_millis(300);
-/// Longest wait for bytes that must come.
-const BOUND: Duration = Duration::from_secs(30);
+/// Time without a byte after which a connection counts as silent; a busy machine only makes it
+/// longer.
+const SILENCE_TIMEOUT: Duration = Duration::from_millis(300);
+/// Longest wait for bytes that must arrive.
+const REPLY_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Starts a server that sends every byte back.
+/// Starts an echo server.
 fn echo() -> SocketAddr {
     let listener = TcpListener::bind(("127.0.0.1", 0)).expect("a port");
     let address = listener.local_addr().expect("an address");
@@ -36,26 +37,26 @@
     address
 }
 
-fn proxied() -> (Proxy, TcpStream) {
+fn connect_through_proxy() -> (Proxy, TcpStream) {
     let proxy = Proxy::bind().expect("a proxy");
     proxy.upstream(echo());
     let stream = TcpStream::connect(proxy.address()).expect("a connection");
     (proxy, stream)
 }
 
-fn answers(stream: &mut TcpStream, bound: Duration) -> std::io::Result<()> {
-    stream.set_read_timeout(Some(bound))?;
+fn round_trip(stream: &mut TcpStream, timeout: Duration) -> std::io::Result<()> {
+    stream.set_read_timeout(Some(timeout))?;
     stream.write_all(b"x")?;
-    answer(stream, bound)
+    read_byte(stream, timeout)
 }
 
-fn answer(stream: &mut TcpStream, bound: Duration) -> std::io::Result<()> {
-    stream.set_read_timeout(Some(bound))?;
+fn read_byte(stream: &mut TcpStream, timeout: Duration) -> std::io::Result<()> {
+    stream.set_read_timeout(Some(timeout))?;
     stream.read_exact(&mut [0])
 }
 
-fn silent(stream: &mut TcpStream) -> bool {
-    let answered = answers(stream, SILENCE);
+fn is_silent(stream: &mut TcpStream) -> bool {
+    let answered = round_trip(stream, SILENCE_TIMEOUT);
     answered.is_err_and(|error| timed_out(&error))
 }
 
@@ -63,21 +64,21 @@
     error.kind() == std::io::ErrorKind::WouldBlock
 }
 
-fn broken(stream: &mut TcpStream) -> bool {
-    answer(stream, BOUND).is_err_and(|error| !timed_out(&error))
+fn is_broken(stream: &mut TcpStream) -> bool {
+    read_byte(stream, REPLY_TIMEOUT).is_err_and(|error| !timed_out(&error))
 }
 
 macro_rules! stalls {
     ($($name:ident: $way:expr;)*) => {$(
-        /// Bytes stop without an error and arrive once the way is open again.
+        /// Bytes stop without an error and arrive once the direction is open again.
         #[test]
         fn $name() {
-            let (proxy, mut stream) = proxied();
-            answers(&mut stream, BOUND).unwrap();
+            let (proxy, mut stream) = connect_through_proxy();
+            round_trip(&mut stream, REPLY_TIMEOUT).unwrap();
             proxy.stall($way);
-            assert!(silent(&mut stream));
+            assert!(is_silent(&mut stream));
             proxy.heal();
-            answer(&mut stream, BOUND).unwrap();
+            read_byte(&mut stream, REPLY_TIMEOUT).unwrap();
         }
     )*};
 }
@@ -90,71 +91,71 @@
 
 #[test]
 fn cut_resets_open_and_new_connections() {
-    let (proxy, mut stream) = proxied();
-    answers(&mut stream, BOUND).unwrap();
+    let (proxy, mut stream) = connect_through_proxy();
+    round_trip(&mut stream, REPLY_TIMEOUT).unwrap();
     proxy.cut();
-    assert!(broken(&mut stream));
+    assert!(is_broken(&mut stream));
     let mut second = TcpStream::connect(proxy.address()).unwrap();
-    assert!(broken(&mut second));
+    assert!(is_broken(&mut second));
     proxy.heal();
     let mut third = TcpStream::connect(proxy.address()).unwrap();
-    answers(&mut third, BOUND).unwrap();
+    round_trip(&mut third, REPLY_TIMEOUT).unwrap();
 }
 
 #[test]
 fn half_open_leaves_the_caller_waiting() {
-    let (proxy, mut stream) = proxied();
-    answers(&mut stream, BOUND).unwrap();
+    let (proxy, mut stream) = connect_through_proxy();
+    round_trip(&mut stream, REPLY_TIMEOUT).unwrap();
     proxy.half_open();
-    assert!(silent(&mut stream));
+    assert!(is_silent(&mut stream));
     proxy.cut();
-    assert!(broken(&mut stream));
+    assert!(is_broken(&mut stream));
 }
 
 #[test]
 fn delay_holds_each_byte() {
-    let (proxy, mut stream) = proxied();
-    answers(&mut stream, BOUND).unwrap();
+    let (proxy, mut stream) = connect_through_proxy();
+    round_trip(&mut stream, REPLY_TIMEOUT).unwrap();
     proxy.delay(Way::Both, Duration::from_millis(50));
     let start = Instant::now();
-    answers(&mut stream, BOUND).unwrap();
+    round_trip(&mut stream, REPLY_TIMEOUT).unwrap();
     assert!(start.elapsed() >= Duration::from_millis(100));
 }
 
 #[test]
 fn rate_limits_bytes() {
-    let (proxy, mut stream) = proxied();
+    let (proxy, mut stream) = connect_through_proxy();
     proxy.rate(Way::Up, 100_000);
     let start = Instant::now();
     let mut bytes = vec![0; 50_000];
     stream.write_all(&bytes).unwrap();
-    stream.set_read_timeout(Some(BOUND)).unwrap();
+    stream.set_read_timeout(Some(REPLY_TIMEOUT)).unwrap();
     stream.read_exact(&mut bytes).unwrap();
     assert!(start.elapsed() >= Duration::from_millis(450));
 }
 
 #[test]
 fn cut_after_lets_exactly_that_much_pass() {
-    let (proxy, mut stream) = proxied();
+    let (proxy, mut stream) = connect_through_proxy();
     proxy.cut_after(Way::Down, 3);
     stream.write_all(b"abcdef").unwrap();
-    stream.set_read_timeout(Some(BOUND)).unwrap();
+    stream.set_read_timeout(Some(REPLY_TIMEOUT)).unwrap();
     stream.read_exact(&mut [0; 3]).unwrap();
-    assert!(broken(&mut stream));
+    assert!(is_broken(&mut stream));
 }
 
 #[test]
 fn an_orderly_end_passes() {
-    let (_proxy, mut stream) = proxied();
+    let (_proxy, mut stream) = connect_through_proxy();
     stream.write_all(b"abc").unwrap();
     stream.shutdown(std::net::Shutdown::Write).unwrap();
-    stream.set_read_timeout(Some(BOUND)).unwrap();
+    stream.set_read_timeout(Some(REPLY_TIMEOUT)).unwrap();
     let mut text = String::new();
     stream.read_to_string(&mut text).unwrap();
     assert_eq!(text, "abc");
 }
 
-/// Rules for one calling process leave others alone: that is how a zone is cut off.
+/// Rules for one calling process leave others alone: cutting off a zone relies on this.
 #[actix_rt::test]
 async fn callers_are_told_apart() {
     let stalled = Rule::default().with(Way::Both, |lane| lane.stalled = true);
@@ -165,17 +166,18 @@
     proxy.upstream(echo());
     proxy.rule_for("another", stalled);
     let mut stream = TcpStream::connect(proxy.address()).unwrap();
-    answers(&mut stream, BOUND).unwrap();
+    round_trip(&mut stream, REPLY_TIMEOUT).unwrap();
     proxy.rule_for("this test", stalled);
     wait::until("the rule in force", async || {
-        silent(&mut stream).then_some(())
+        is_silent(&mut stream).then_some(())
     })
     .await
     .unwrap();
 }
 
-/// A process is started while its zone is cut off, and dials before the test has noted whose process it is. Taken
-/// for a stranger, its connection would pass the cut, and the test would fail on a machine that is busy.
+/// A process is started while its zone is cut off, and connects before the test has registered
+/// it. If the proxy did not recognise its connection, it would bypass the cut, and the test
+/// would fail on a busy machine.
 #[actix_rt::test]
 async fn a_process_that_dials_at_its_start_is_told_apart() {
     let stalled = Rule::default().with(Way::Both, |lane| lane.stalled = true);
@@ -190,14 +192,14 @@
     };
     let own = |_: &TcpStream| std::process::id();
     let mut stream = callers.start("this test", dial, own).unwrap();
-    assert!(silent(&mut stream));
+    assert!(is_silent(&mut stream));
 }
 
-/// A caller dials while the way is cut, writes, and gives up. Without the cut it would have had a
-/// connection; with it nobody must hear of it when the way opens, or a request that its caller has
-/// written off would run.
+/// A caller connects during a stall, writes, and gives up. Without the stall it would have had a
+/// connection; with it, nothing must reach the upstream after healing, or a request that its
+/// caller has given up would run.
 #[actix_rt::test]
-async fn who_gave_up_during_a_cut_is_not_heard_after_it() {
+async fn connection_abandoned_during_a_cut_never_reaches_upstream() {
     let proxy = Proxy::bind().unwrap();
     let listener = TcpListener::bind(("127.0.0.1", 0)).unwrap();
     proxy.upstream(listener.local_addr().unwrap());
@@ -207,14 +209,14 @@
     drop(first);
     let mut second = TcpStream::connect(proxy.address()).unwrap();
     second.write_all(b"second").unwrap();
-    wait::until("both dials, and one given up", async || {
+    wait::until("two connections, one of them given up", async || {
         (proxy.opened() == 2 && proxy.given_up() == 1).then_some(())
     })
     .await
     .unwrap();
     proxy.heal();
     let (mut arrived, _) = listener.accept().unwrap();
-    arrived.set_read_timeout(Some(BOUND)).unwrap();
+    arrived.set_read_timeout(Some(REPLY_TIMEOUT)).unwrap();
     let mut text = [0; 5];
     arrived.read_exact(&mut text).unwrap();
     assert_eq!(&text, b"secon");
--- a/tests/tests/routing_calls.rs
+++ b/tests/tests/routing_calls.rs
@@ -1,5 +1,5 @@
-//! Routing tables and evacuations by the operators' calls, and a group that repairs itself, with real
-//! processes.
+//! Tests routing tables and evacuations through the operators' calls, and a control group that
+//! repairs itself, with real processes.
 
 use serde_json::{Value, json};
 use zinniastall_tests::{Result, cluster::Cluster, wait};
@@ -23,15 +23,15 @@
     cluster.ctl(&["publish", &table.to_string()]).await?.json()
 }
 
-async fn held(cluster: &Cluster) -> Result<(u64, Value)> {
+async fn table_in_force(cluster: &Cluster) -> Result<(u64, Value)> {
     let routing = cluster.ctl(&["routing"]).await?.json()?;
     let number = routing["table"]["number"].as_u64().unwrap_or_default();
     let service = routing["table"]["routes"][0]["split"][0]["service"].clone();
     Ok((number, service))
 }
 
-/// The highest number is in force. A lower or equal one, resent or from a second operator, is accepted
-/// and changes nothing.
+/// The table with the highest number is in force. A table with a lower or equal number, resent
+/// or from a second operator, is accepted and changes nothing.
 #[actix_rt::test]
 async fn the_highest_table_is_in_force() -> Result<()> {
     let cluster = Cluster::builder().zone("patras", "a", 1).start().await?;
@@ -39,14 +39,15 @@
     for stale in [table(7, "other"), table(6, "other"), table(7, "api")] {
         let answer = publish(&cluster, &stale).await?;
         assert_eq!(answer["outcome"], "accepted", "{answer}");
-        assert_eq!(held(&cluster).await?, (7, json!("api")));
+        assert_eq!(table_in_force(&cluster).await?, (7, json!("api")));
     }
     publish(&cluster, &table(12, "other")).await?;
-    assert_eq!(held(&cluster).await?, (12, json!("other")));
+    assert_eq!(table_in_force(&cluster).await?, (12, json!("other")));
     Ok(())
 }
 
-/// A table that contradicts itself is refused as a whole, with the reason, and nothing of it is in force.
+/// An inconsistent table is refused as a whole, with the reason, and no part of it comes into
+/// force.
 #[actix_rt::test]
 async fn an_invalid_table_is_refused_whole() -> Result<()> {
     let cluster = Cluster::builder().zone("patras", "a", 1).start().await?;
@@ -55,20 +56,20 @@
     weightless["routes"][0]["split"][0]["weight"] = json!(0);
     let mut timeless = table(9, "api");
     timeless["routes"][0]["timeout_ms"] = json!(0);
-    let mut doubled = table(9, "api");
-    let route = doubled["routes"][0].clone();
-    if let Some(routes) = doubled["routes"].as_array_mut() {
+    let mut duplicate = table(9, "api");
+    let route = duplicate["routes"][0].clone();
+    if let Some(routes) = duplicate["routes"].as_array_mut() {
         routes.push(route);
     }
     let mut misspelt = table(9, "api");
     misspelt["routes"][0]["tiemout_ms"] = json!(1);
-    let faults = [
+    let invalid = [
         (table(9, "nobody"), "unknown service"),
         (weightless, "add up to 0"),
         (timeless, "timeout of 0"),
-        (doubled, "share host and prefix"),
+        (duplicate, "share host and prefix"),
     ];
-    for (table, reason) in faults {
+    for (table, reason) in invalid {
         let run = cluster.ctl(&["publish", &table.to_string()]).await?;
         assert_eq!(run.code, INVALID, "{reason}");
         let answer = run.answer();
@@ -82,7 +83,7 @@
     }
     let run = cluster.ctl(&["publish", &misspelt.to_string()]).await?;
     assert_eq!(run.code, Some(2), "an unknown field is a usage error");
-    assert_eq!(held(&cluster).await?, (7, json!("api")));
+    assert_eq!(table_in_force(&cluster).await?, (7, json!("api")));
     Ok(())
 }
 
@@ -115,9 +116,9 @@
     Ok(())
 }
 
-/// A replica loses its disk and starts again empty, at its old address. Nobody is there to take it in.
-/// Were it to vote under its old name, it would have forgotten what it acknowledged; were it left out,
-/// the next loss would stop the group. Then the next one loses its disk.
+/// A replica loses its disk and restarts empty at its old address, with no operator to admit it.
+/// If it voted under its old id, it would have forgotten what it acknowledged; if it stayed out,
+/// the next loss would stop the group. Each replica loses its disk in turn.
 #[actix_rt::test]
 async fn lost_disks_are_repaired_without_an_operator() -> Result<()> {
     let builder = Cluster::builder().zone("patras", "a", 1).replicas(3);
@@ -139,14 +140,14 @@
                 let ids: Vec<&str> = voters
                     .filter_map(|replica| replica["id"].as_str())
                     .collect();
-                let whole =
+                let repaired =
                     ids.len() == 3 && replicas.len() == 3 && !ids.contains(&before.as_str());
-                (whole && status["next_loss_safe"] == true).then_some(())
+                (repaired && status["next_loss_safe"] == true).then_some(())
             },
         )
         .await?;
         assert_eq!(
-            held(&cluster).await?,
+            table_in_force(&cluster).await?,
             (number, json!("api")),
             "after {lost} was lost"
         );
--- a/tests/tests/spread/system.rs
+++ b/tests/tests/spread/system.rs
@@ -1,4 +1,4 @@
-//! The system under test and what can be seen of it.
+//! The system under test and its observable state.
 
 use std::{collections::BTreeSet, time::Duration};
 
@@ -16,14 +16,17 @@
 pub(crate) const MODEL: &str = "map-labels";
 pub(crate) const KEY: &str = "a-key";
 
-/// Starts zones with entry instances and one engine each; an engine is named after its zone.
+/// Starts zones with entry instances and one engine each, which is named after its zone.
 pub(crate) async fn start(zones: &[(&str, &str)], instances: usize) -> Result<Cluster> {
     start_with(zones, instances, json!({})).await
 }
 
-/// Starts a system in which a silent link is closed only after a minute, so that it isn't the
-/// closing by which a fault is found.
-pub(crate) async fn start_patient(zones: &[(&str, &str)], instances: usize) -> Result<Cluster> {
+/// Starts a system that closes a silent link only after a minute, so that faults must be
+/// detected otherwise.
+pub(crate) async fn start_with_slow_link_timeout(
+    zones: &[(&str, &str)],
+    instances: usize,
+) -> Result<Cluster> {
     start_with(zones, instances, json!({"spread": {"ceiling_ms": 60_000}})).await
 }
 
@@ -46,7 +49,7 @@
         .map(|node| node.name().to_owned())
         .collect();
     for entry in &all {
-        lists(
+        wait_listed(
             &cluster,
             entry,
             &all.iter().map(String::as_str).collect::<Vec<_>>(),
@@ -56,7 +59,7 @@
     Ok(cluster)
 }
 
-/// Asks an entry instance which instances to use, past its proxy.
+/// Asks an entry instance which instances to use, bypassing its proxy.
 pub(crate) async fn locate(cluster: &Cluster, entry: &str) -> Option<Value> {
     let node = cluster.entries().find(|node| node.name() == entry)?;
     let line = node.running().log().events("listening");
@@ -69,18 +72,18 @@
     answer.json().ok()
 }
 
-/// Waits until an entry instance names exactly these instances.
-pub(crate) async fn lists(cluster: &Cluster, entry: &str, names: &[&str]) -> Result<Value> {
+/// Waits until an entry instance lists exactly these instances.
+pub(crate) async fn wait_listed(cluster: &Cluster, entry: &str, names: &[&str]) -> Result<Value> {
     let wanted: BTreeSet<&str> = names.iter().copied().collect();
-    wait::until(&format!("{entry} naming {wanted:?}"), async || {
+    wait::until(&format!("{entry} listing {wanted:?}"), async || {
         let answer = locate(cluster, entry).await?;
-        (named(&answer) == wanted).then_some(answer)
+        (instance_names(&answer) == wanted).then_some(answer)
     })
     .await
 }
 
-/// Returns the names in an answer.
-pub(crate) fn named(answer: &Value) -> BTreeSet<&str> {
+/// Returns the names of the instances in an answer.
+pub(crate) fn instance_names(answer: &Value) -> BTreeSet<&str> {
     let instances = answer["instances"].as_array();
     let names = instances.into_iter().flatten();
     names
@@ -88,7 +91,7 @@
         .collect()
 }
 
-/// Makes a chat request's body.
+/// Returns the body of a chat request.
 pub(crate) fn chat(question: &str) -> Value {
     json!({
         "model": MODEL, "max_tokens": 2,
@@ -96,7 +99,8 @@
     })
 }
 
-/// Sends one chat request to an entry instance, past its proxy; returns the target that served it.
+/// Sends one chat request to an entry instance, bypassing its proxy; returns the target that
+/// served it.
 pub(crate) async fn ask(cluster: &mut Cluster, entry: &str) -> Result<Option<String>> {
     let address = cluster.entry(entry)?.process().address("callers").await?;
     let body = chat("Name the zones.");
@@ -108,7 +112,7 @@
     Ok((answer.status() == 200).then_some(target))
 }
 
-/// Cuts what nodes that `from` picks send to nodes that `to` picks, silently, and nothing else.
+/// Silently stalls what nodes picked by `from` send to nodes picked by `to`, and nothing else.
 pub(crate) fn cut_one_way(
     cluster: &Cluster,
     from: impl Fn(&Node) -> bool,
@@ -125,8 +129,8 @@
     });
 }
 
-/// Waits until an entry instance has logged an event with a field, `count` times.
-pub(crate) async fn logged(
+/// Waits until an entry instance has logged an event with this field at least `count` times.
+pub(crate) async fn wait_logged(
     cluster: &Cluster,
     entry: &str,
     (event, name, value): (&str, &str, &str),
@@ -134,13 +138,13 @@
     bound: Duration,
 ) -> Result<()> {
     wait::within(bound, &format!("{event} {value} at {entry}"), async || {
-        (times(cluster, entry, (event, name, value)) >= count).then_some(())
+        (count_logged(cluster, entry, (event, name, value)) >= count).then_some(())
     })
     .await
 }
 
-/// Counts how often an entry instance has logged an event with a field.
-pub(crate) fn times(
+/// Counts how often an entry instance has logged an event with this field.
+pub(crate) fn count_logged(
     cluster: &Cluster,
     entry: &str,
     (event, name, value): (&str, &str, &str),
--- a/tests/tests/spread/targets.rs
+++ b/tests/tests/spread/targets.rs
@@ -1,4 +1,4 @@
-//! Targets' announcements: leases, runs, leaving, healing under load.
+//! Tests announcements of targets: leases, incarnations, leaving, healing under load.
 
 use std::{
     cell::Cell,
@@ -10,15 +10,15 @@
 use serde_json::{Value, json};
 use zinniastall_tests::{Result, cluster::Cluster, http, log::field, wait};
 
-use crate::system::{KEY, MODEL, ask, chat, lists, logged, start, times};
+use crate::system::{KEY, MODEL, ask, chat, count_logged, start, wait_listed, wait_logged};
 
-/// Within this time what is known of a target at one instance is in force in its zone.
-const SPREAD: Duration = Duration::from_secs(2);
+/// Longest time in which a change of a target that one instance knows spreads to its zone.
+const PROPAGATION_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Callers at once for each instance under load.
+/// Concurrent callers for each instance under load.
 const CALLERS: usize = 4;
 
-/// Announces a target by hand to an entry instance; returns the status.
+/// Announces a target to an entry instance in place of the target itself; returns the status.
 async fn announce(cluster: &mut Cluster, entry: &str, run: u64, sequence: u64) -> Result<u16> {
     let body = json!({
         "target": "by-hand", "incarnation": run, "sequence": sequence,
@@ -34,9 +34,9 @@
     Ok(http::post(address, path).json(body).send().await?.status())
 }
 
-// A target loses its instance for a moment and announces to another one; then both carry it. If the
-// two reports fought, the target would flicker in the zone's view; if a late one counted after the
-// leave, a leaving target would get new work.
+// A target loses its instance for a moment and announces to another one, so that both report it.
+// If the two reports conflicted, the target would flap in the zone's view; if a late report
+// counted after the leave, a leaving target would get new work.
 #[actix_rt::test]
 async fn target_announcing_to_two_instances() -> Result<()> {
     let mut cluster = start(&[("athens", "a")], 3).await?;
@@ -50,31 +50,31 @@
         };
         assert_eq!(announce(&mut cluster, entry, 7, sequence).await?, 200);
     }
-    logged(&cluster, "athens-a-3", serving, 1, SPREAD).await?;
+    wait_logged(&cluster, "athens-a-3", serving, 1, PROPAGATION_TIMEOUT).await?;
     let leave = json!({"target": "by-hand", "incarnation": 7});
     assert_eq!(
         post(&mut cluster, "athens-a-1", "/v1/targets/leave", &leave).await?,
         200
     );
     for entry in ["athens-a-1", "athens-a-2", "athens-a-3"] {
-        logged(&cluster, entry, gone, 1, SPREAD).await?;
+        wait_logged(&cluster, entry, gone, 1, PROPAGATION_TIMEOUT).await?;
     }
     assert_eq!(announce(&mut cluster, "athens-a-2", 7, 7).await?, 200);
     assert_eq!(announce(&mut cluster, "athens-a-2", 8, 1).await?, 200);
     for entry in ["athens-a-1", "athens-a-2", "athens-a-3"] {
-        logged(&cluster, entry, serving, 2, SPREAD).await?;
+        wait_logged(&cluster, entry, serving, 2, PROPAGATION_TIMEOUT).await?;
         assert_eq!(
-            times(&cluster, entry, serving),
+            count_logged(&cluster, entry, serving),
             2,
-            "{entry}: the left run came back"
+            "{entry}: the incarnation that left came back"
         );
     }
     cluster.stop().await
 }
 
-// A target restarts while the lease of its former run still runs. The new run has other models and
-// empty caches; requests that go by the old report would fail. A late announcement of the old run
-// must not take the new one's place.
+// A target restarts while the lease of its former incarnation is still valid. The new
+// incarnation has other models and empty caches; requests that rely on the old report would
+// fail. A late announcement of the old incarnation must not replace the new one.
 #[actix_rt::test]
 async fn new_run_while_the_old_lease_runs() -> Result<()> {
     let mut cluster = start(&[("athens", "a")], 3).await?;
@@ -82,23 +82,24 @@
     let old = ("target-serving", "incarnation", "7");
     let new = ("target-serving", "incarnation", "8");
     for entry in ["athens-a-1", "athens-a-2", "athens-a-3"] {
-        logged(&cluster, entry, old, 1, SPREAD).await?;
+        wait_logged(&cluster, entry, old, 1, PROPAGATION_TIMEOUT).await?;
     }
     assert_eq!(announce(&mut cluster, "athens-a-2", 8, 1).await?, 200);
     for entry in ["athens-a-1", "athens-a-2", "athens-a-3"] {
-        logged(&cluster, entry, new, 1, SPREAD).await?;
+        wait_logged(&cluster, entry, new, 1, PROPAGATION_TIMEOUT).await?;
         assert_eq!(announce(&mut cluster, entry, 7, 41).await?, 409, "{entry}");
     }
     assert_eq!(
-        times(&cluster, "athens-a-3", old),
+        count_logged(&cluster, "athens-a-3", old),
         1,
-        "the old run came back"
+        "the old incarnation came back"
     );
     cluster.stop().await
 }
 
-// A target leaves while both instances of its zone are under load. Work sent after the leave would
-// be cut when the target goes; a zone that goes by leases alone sends for seconds.
+// A target leaves while both instances of its zone are under load. Work sent after the leave
+// would be cut when the target stops; a zone that relied on leases alone would go on sending for
+// seconds.
 #[actix_rt::test]
 async fn leaving_target_gets_no_new_work() -> Result<()> {
     let mut cluster = start(&[("athens", "a")], 2).await?;
@@ -107,10 +108,10 @@
         .await?;
     let serving = ("target-serving", "target", "engine-leaving");
     for entry in ["athens-a-1", "athens-a-2"] {
-        logged(&cluster, entry, serving, 1, wait::BOUND).await?;
+        wait_logged(&cluster, entry, serving, 1, wait::BOUND).await?;
     }
     let load = Load::start(&mut cluster, &["athens-a-1", "athens-a-2"]).await?;
-    load.answered(40).await?;
+    load.wait_answered(40).await?;
     let line = cluster
         .entry("athens-a-1")?
         .running()
@@ -129,12 +130,12 @@
         200
     );
     let left = Instant::now();
-    while left.elapsed() < SPREAD {
-        load.answered(load.count() + 1).await?;
+    while left.elapsed() < PROPAGATION_TIMEOUT {
+        load.wait_answered(load.count() + 1).await?;
     }
     let before = cluster.ledger("engine-leaving").await?.len();
     assert!(before > 0, "the target had no work before it left");
-    load.answered(load.count() + 100).await?;
+    load.wait_answered(load.count() + 100).await?;
     assert_eq!(
         cluster.ledger("engine-leaving").await?.len(),
         before,
@@ -145,19 +146,19 @@
     cluster.stop().await
 }
 
-// A zone is cut off and comes back while callers keep asking both sides. The cut must not fail
-// requests that need nothing from the other side, and the healing must not drown the instances in
-// new connections.
+// A zone is cut off and comes back while callers keep sending requests to both sides. The
+// partition must not fail requests that need nothing from the other side, and healing must not
+// flood the instances with new connections.
 #[actix_rt::test]
 async fn healing_under_load() -> Result<()> {
     let mut cluster = start(&[("athens", "a"), ("athens", "b")], 2).await?;
     let all = ["athens-a-1", "athens-a-2", "athens-b-1", "athens-b-2"];
     let load = Load::start(&mut cluster, &all).await?;
-    load.answered(40).await?;
+    load.wait_answered(40).await?;
     cluster.partition(|node| node.zone() == "b" && !node.name().starts_with("control"));
-    lists(&cluster, all[0], &all[..2]).await?;
-    lists(&cluster, all[2], &all[2..]).await?;
-    load.answered(load.count() + 100).await?;
+    wait_listed(&cluster, all[0], &all[..2]).await?;
+    wait_listed(&cluster, all[2], &all[2..]).await?;
+    load.wait_answered(load.count() + 100).await?;
     let opened = |cluster: &Cluster| -> Result<u64> {
         cluster
             .entries()
@@ -168,10 +169,10 @@
     let healed = Instant::now();
     cluster.heal();
     for entry in all {
-        lists(&cluster, entry, &all).await?;
+        wait_listed(&cluster, entry, &all).await?;
     }
     let took = healed.elapsed();
-    load.answered(load.count() + 100).await?;
+    load.wait_answered(load.count() + 100).await?;
     let dials = opened(&cluster)? - before;
     println!(
         "healed after {took:?} with {dials} dials to 4 instances, {} failed",
@@ -184,7 +185,7 @@
     cluster.stop().await
 }
 
-/// Callers that ask instances one request after the other.
+/// Callers that send requests to instances one after the other.
 struct Load {
     answered: Rc<Cell<usize>>,
     failed: Rc<Cell<usize>>,
@@ -217,7 +218,7 @@
         self.failed.get()
     }
 
-    async fn answered(&self, count: usize) -> Result<()> {
+    async fn wait_answered(&self, count: usize) -> Result<()> {
         let what = format!("{count} answers");
         wait::until(&what, async || (self.count() >= count).then_some(())).await
     }
@@ -231,7 +232,7 @@
 
 type Counts = (Rc<Cell<usize>>, Rc<Cell<usize>>);
 
-/// Asks one instance for ever and counts what is answered and what fails.
+/// Sends requests to one instance for ever and counts answers and failures.
 async fn call(address: SocketAddr, caller: usize, (answered, failed): Counts) {
     for count in 0.. {
         let body = chat(&format!("Question {count} of caller {caller}."));
