--- a/crates/zinniastall-entry/src/callers/service.rs
+++ b/crates/zinniastall-entry/src/callers/service.rs
@@ -37,7 +37,12 @@
 
 impl Service {
     /// Creates the shared state of an instance.
-    pub fn new(shared_view: Shared, registry: Registry, limits: Limits, settings: &Callers) -> Self {
+    pub fn new(
+        shared_view: Shared,
+        registry: Registry,
+        limits: Limits,
+        settings: &Callers,
+    ) -> Self {
         let tickets = Ledger::new(&shared_view.view(), settings.tickets.clone());
         Self {
             admission: Admission::new(shared_view.clone(), Arc::clone(&settings.policy)),
--- a/crates/zinniastall-entry/src/daemon.rs
+++ b/crates/zinniastall-entry/src/daemon.rs
@@ -14,8 +14,7 @@
     time::timeout,
 };
 use zinniastall_settings::{
-    cli, log,
-    metrics::Registry,
+    cli, log, metrics,
     process::{incarnation, listening},
 };
 use zinniastall_wire::{hello::Purpose, link};
@@ -26,7 +25,7 @@
     publish::{Draining, Publisher},
     settings::Entry,
     spread::{self, actor::Dependencies},
-    targets::{self, Registry},
+    targets,
     view::{Shared, View},
 };
 
@@ -47,23 +46,27 @@
     let publisher = Publisher::new(shared_view.clone()).start();
     let sockets = Sockets::bind(&settings).await?;
     let identity = sockets.identity(&settings, &shared_view.view())?;
-    let registry = Registry::start("zinniastall.entry", settings.statsd)?;
+    let metrics = metrics::Registry::start("zinniastall.entry", settings.statsd)?;
     let dependencies = Dependencies {
         identity: identity.clone(),
         shared_view: shared_view.clone(),
         publisher: publisher.clone(),
-        recorder: registry.recorder(),
+        recorder: metrics.recorder(),
     };
     let spread = spread::start(&settings, dependencies);
-    let registry = Registry {
+    let registry = targets::Registry {
         place: settings.place.clone(),
         announced: spread.clone().recipient(),
         left: spread.clone().recipient(),
     };
     let limits = settings.limits.clone();
-    let service =
-        callers::Service::new(shared_view.clone(), registry.clone(), limits, &settings.callers)
-            .identity(identity.clone());
+    let service = callers::Service::new(
+        shared_view.clone(),
+        metrics.clone(),
+        limits,
+        &settings.callers,
+    )
+    .identity(identity.clone());
     let streams = callers::forward::Receiver::start(service.clone());
     let forwarding = streams.arbiter();
     let servers = Servers {
@@ -80,7 +83,7 @@
         identity.clone(),
         shared_view,
         publisher.clone(),
-        registry,
+        metrics,
     );
     let acceptors = Acceptors::new(identity)
         .owner(Purpose::Gossip, spread::Gossip(spread.clone()))
@@ -102,7 +105,7 @@
 /// Creates the targets' HTTP server, which runs on its own thread.
 fn serve_targets(
     settings: &Entry,
-    registry: Registry,
+    registry: targets::Registry,
     listener: TcpListener,
 ) -> eyre::Result<Server> {
     let server =
