--- a/tests/src/binary.rs
+++ b/tests/src/binary.rs
@@ -22,24 +22,24 @@
 ///
 /// # Errors
 ///
-/// [`Error::Binary`] when it is not built, [`Error::Stale`] when a source is newer than it: a test
+/// [`Error::NotBuilt`] when it is not built, [`Error::Stale`] when a source is newer than it: a test
 /// would pass or fail by code that nobody has any more.
 pub fn path(name: &str) -> Result<PathBuf> {
     let path = match FOLDER.get() {
         Some(folder) => folder.join(name),
-        None => beside()?.join(name),
+        None => target_directory()?.join(name),
     };
     if !path.is_file() {
-        return Err(Error::Binary(path));
+        return Err(Error::NotBuilt(path));
     }
-    match newer(&path)? {
+    match newer_source(&path)? {
         Some(changed) => Err(Error::Stale { path, changed }),
         None => Ok(path),
     }
 }
 
 /// Returns a source that is newer than its binary, by the list that the build leaves beside it.
-fn newer(path: &Path) -> Result<Option<PathBuf>> {
+fn newer_source(path: &Path) -> Result<Option<PathBuf>> {
     let built = path.metadata()?.modified()?;
     let Ok(list) = std::fs::read_to_string(path.with_extension("d")) else {
         return Ok(None);
@@ -52,7 +52,7 @@
     Ok(sources.into_iter().find(changed))
 }
 
-fn beside() -> Result<PathBuf> {
+fn target_directory() -> Result<PathBuf> {
     let mut folder = std::env::current_exe()?;
     folder.pop();
     if folder.ends_with("deps") {
--- a/tests/src/cluster/builder.rs
+++ b/tests/src/cluster/builder.rs
@@ -90,7 +90,7 @@
             direct: self.direct,
             _folder: folder,
         };
-        super::found::found(&cluster).await?;
+        super::group::bootstrap(&cluster).await?;
         cluster.entries = self.start_entries(&cluster).await?;
         Ok(cluster)
     }
--- a/tests/src/cluster/found.rs
+++ b/tests/src/cluster/group.rs
@@ -6,13 +6,13 @@
 use crate::{ctl, error::Result, wait};
 
 /// Election timeout of [`group`], in milliseconds: soon enough for a test, on a busy machine too.
-pub const ELECTION: u64 = 500;
+pub const ELECTION_MS: u64 = 500;
 
 /// Describes control replicas without entry instances, spread over three regions.
 pub fn group(replicas: usize) -> Builder {
     Cluster::builder()
         .replicas(replicas)
-        .control(json!({"timing": {"heartbeat_ms": 50, "election_ms": ELECTION}}))
+        .control(json!({"timing": {"heartbeat_ms": 50, "election_ms": ELECTION_MS}}))
         .zone("patras", "a", 0)
         .zone("athens", "a", 0)
         .zone("thessaloniki", "a", 0)
@@ -23,12 +23,12 @@
 /// # Errors
 ///
 /// Fails when a call is refused.
-pub(super) async fn found(cluster: &Cluster) -> Result<()> {
+pub(super) async fn bootstrap(cluster: &Cluster) -> Result<()> {
     let operators = cluster.operators();
     ctl::run(&operators[..1], &["bootstrap"]).await?.json()?;
     let names: Vec<String> = cluster.controls.keys().skip(1).cloned().collect();
     for name in names {
-        cluster.enlist(&name).await?;
+        cluster.add_replica(&name).await?;
     }
     Ok(())
 }
@@ -40,7 +40,7 @@
     /// # Errors
     ///
     /// Fails when it is refused, or does not catch up in time.
-    pub async fn enlist(&self, name: &str) -> Result<String> {
+    pub async fn add_replica(&self, name: &str) -> Result<String> {
         let id = self.replica_id(name).await?;
         let links = self.controls[name].address("links")?.to_string();
         self.ctl(&["replica", "admit", &id, &links]).await?.json()?;
@@ -84,12 +84,12 @@
     /// # Errors
     ///
     /// Fails when a step is refused, or takes too long.
-    pub async fn replace(&self, name: &str, forgotten: &str) -> Result<String> {
-        let fresh = self.enlist(name).await?;
-        let removed = self.ctl(&["replica", "remove", forgotten]).await?;
+    pub async fn replace(&self, name: &str, former_id: &str) -> Result<String> {
+        let added = self.add_replica(name).await?;
+        let removed = self.ctl(&["replica", "remove", former_id]).await?;
         removed.json()?;
-        self.next_loss_safe(true).await?;
-        Ok(fresh)
+        self.wait_next_loss_safe(true).await?;
+        Ok(added)
     }
 
     /// Kills a control replica, empties its data folder and starts it again at the same addresses.
@@ -110,7 +110,7 @@
     /// # Errors
     ///
     /// Fails when it does not in time.
-    pub async fn next_loss_safe(&self, wanted: bool) -> Result<()> {
+    pub async fn wait_next_loss_safe(&self, wanted: bool) -> Result<()> {
         let what = format!("next_loss_safe = {wanted}");
         wait::until(&what, async || {
             let status = self.ctl(&["status"]).await.ok()?.json().ok()?;
@@ -125,7 +125,7 @@
     ///
     /// Fails when none does in time.
     pub async fn leader(&self) -> Result<String> {
-        wait::until("a leader", async || self.leader_now().await).await
+        wait::until("a leader", async || self.current_leader().await).await
     }
 
     /// Waits until a control replica other than these leads, and returns its name.
@@ -133,15 +133,15 @@
     /// # Errors
     ///
     /// Fails when none does in time.
-    pub async fn leader_besides(&self, others: &[&str]) -> Result<String> {
+    pub async fn leader_except(&self, others: &[&str]) -> Result<String> {
         wait::until("another leader", async || {
-            let leader = self.leader_now().await?;
+            let leader = self.current_leader().await?;
             (!others.contains(&leader.as_str())).then_some(leader)
         })
         .await
     }
 
-    async fn leader_now(&self) -> Option<String> {
+    async fn current_leader(&self) -> Option<String> {
         let status = self
             .ctl(&["--timeout", "3000", "status"])
             .await
--- a/tests/src/cluster/mod.rs
+++ b/tests/src/cluster/mod.rs
@@ -4,7 +4,7 @@
 //! for the connections between any two of them: see [`Cluster::links`].
 
 mod builder;
-mod found;
+mod group;
 mod objects;
 
 use std::net::SocketAddr;
@@ -16,15 +16,15 @@
     ctl,
     error::{Error, Result},
     http::{self, Request},
-    node::{ANY, Node, Plan},
+    node::{ANY_PORT, Node, Plan},
     proxy::{
         callers::Callers,
-        rule::{Rule, Way},
+        rule::{Direction, Rule},
     },
     settings, wait,
 };
 pub use builder::Builder;
-pub use found::{ELECTION, group};
+pub use group::{ELECTION_MS, group};
 pub use objects::model;
 
 /// A running system.
@@ -166,7 +166,7 @@
             .map(|node| Ok(node.address("targets")?.to_string()))
             .collect::<Result<_>>()?;
         let mut settings = json!({
-            "listen": ANY,
+            "listen": ANY_PORT,
             "announce": {"instances": instances, "target": name},
         });
         if !self.direct {
@@ -224,7 +224,7 @@
     /// # Errors
     ///
     /// Fails when it does not in time.
-    pub async fn located(
+    pub async fn wait_located(
         &mut self,
         entry: &str,
         key: &str,
@@ -248,7 +248,7 @@
     /// # Errors
     ///
     /// Fails when it does not in time.
-    pub async fn serves(&self, address: SocketAddr, key: &str, body: &Value) -> Result<()> {
+    pub async fn wait_serving(&self, address: SocketAddr, key: &str, body: &Value) -> Result<()> {
         let what = format!("{address} answering");
         wait::until(&what, async || {
             let request = http::post(address, "/v1/chat/completions")
@@ -262,7 +262,7 @@
 
     /// Sets rules for the connections between nodes, by their calling and their called end; `None`
     /// leaves a connection as it is.
-    pub fn links(&self, rule: impl Fn(&Node, &Node) -> Option<Rule>) {
+    pub fn set_link_rules(&self, rule: impl Fn(&Node, &Node) -> Option<Rule>) {
         for to in self.nodes() {
             for from in self.nodes() {
                 if let Some(rule) = rule(from, to) {
@@ -275,8 +275,8 @@
 
     /// Cuts the nodes that `inside` picks off from all others, silently.
     pub fn partition(&self, inside: impl Fn(&Node) -> bool) {
-        let stalled = Rule::default().with(Way::Both, |lane| lane.stalled = true);
-        self.links(|from, to| (inside(from) != inside(to)).then_some(stalled));
+        let stalled = Rule::default().with(Direction::Both, |effect| effect.stalled = true);
+        self.set_link_rules(|from, to| (inside(from) != inside(to)).then_some(stalled));
     }
 
     /// Lets everything pass again.
--- a/tests/src/cluster/objects.rs
+++ b/tests/src/cluster/objects.rs
@@ -6,7 +6,7 @@
 use crate::error::Result;
 
 /// Longest wait for confirmations, in milliseconds.
-const CONFIRMED_MS: &str = "10000";
+const CONFIRMATION_TIMEOUT_MS: &str = "10000";
 
 /// Returns a model object as the command line takes it.
 pub fn model(name: &str, version: &str) -> String {
@@ -56,7 +56,12 @@
     /// Fails when it is not accepted.
     pub async fn residency(&self, client: &str, regions: &[&str]) -> Result<Value> {
         let rule = json!({"residency": {"id": client, "client": client, "regions": regions}});
-        let arguments = ["--wait", CONFIRMED_MS, "apply", &rule.to_string()];
+        let arguments = [
+            "--wait",
+            CONFIRMATION_TIMEOUT_MS,
+            "apply",
+            &rule.to_string(),
+        ];
         self.ctl(&arguments).await?.json()
     }
 }
--- a/tests/src/error.rs
+++ b/tests/src/error.rs
@@ -10,7 +10,7 @@
 pub enum Error {
     /// A binary is not where the build puts it.
     #[error("{0} is not built; run `cargo build --workspace --bins` or `cargo test --workspace`")]
-    Binary(PathBuf),
+    NotBuilt(PathBuf),
     /// A binary is older than one of its sources.
     #[error("{path} is older than {changed}; run `cargo build --workspace --bins`")]
     Stale {
@@ -26,12 +26,12 @@
     #[error(transparent)]
     Signal(#[from] nix::Error),
     /// A condition did not come about in time.
-    #[error("not seen within {bound:?}: {what}")]
-    Late {
+    #[error("not seen within {timeout:?}: {what}")]
+    Timeout {
         /// Condition.
         what: String,
         /// Time waited.
-        bound: Duration,
+        timeout: Duration,
     },
     /// A process ended although it should run.
     #[error("{name} ended early: {status}")]
--- a/tests/src/history/check.rs
+++ b/tests/src/history/check.rs
@@ -49,20 +49,20 @@
     let mut sorted: Vec<_> = calls.iter().collect();
     sorted.sort_by_key(|call| call.began);
     let start = Configuration {
-        taken: Taken::new(sorted.len()),
+        ordered: CallSet::new(sorted.len()),
         state: model.initial(),
     };
     let mut seen = HashSet::from([start.clone()]);
-    let mut open = vec![start];
+    let mut pending = vec![start];
     let mut explained = 0;
-    while let Some(configuration) = open.pop() {
-        if configuration.taken.holds_all_answered(&sorted) {
+    while let Some(configuration) = pending.pop() {
+        if configuration.ordered.contains_all_answered(&sorted) {
             return Ok(());
         }
-        explained = explained.max(configuration.taken.count());
+        explained = explained.max(configuration.ordered.count());
         for next in configuration.successors(model, &sorted) {
             if seen.insert(next.clone()) {
-                open.push(next);
+                pending.push(next);
             }
         }
     }
@@ -78,7 +78,7 @@
 /// such pair is looked at once.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 struct Configuration<State> {
-    taken: Taken,
+    ordered: CallSet,
     state: State,
 }
 
@@ -91,7 +91,7 @@
         model: &M,
         calls: &[&Call<M::Request, M::Answer>],
     ) -> Vec<Self> {
-        let open = || (0..calls.len()).filter(|call| !self.taken.holds(*call));
+        let open = || (0..calls.len()).filter(|call| !self.ordered.contains(*call));
         let first_end = open()
             .map(|call| calls[call].ended)
             .min()
@@ -107,7 +107,7 @@
                 continue;
             }
             successors.push(Self {
-                taken: self.taken.with(call),
+                ordered: self.ordered.with(call),
                 state,
             });
         }
@@ -117,18 +117,18 @@
 
 /// A set of calls, by place.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-struct Taken {
+struct CallSet {
     bits: Vec<u64>,
 }
 
-impl Taken {
+impl CallSet {
     fn new(calls: usize) -> Self {
         Self {
             bits: vec![0; calls.div_ceil(64)],
         }
     }
 
-    fn holds(&self, call: usize) -> bool {
+    fn contains(&self, call: usize) -> bool {
         self.bits[call / 64] >> (call % 64) & 1 == 1
     }
 
@@ -145,8 +145,8 @@
             .sum()
     }
 
-    fn holds_all_answered<Request, Answer>(&self, calls: &[&Call<Request, Answer>]) -> bool {
+    fn contains_all_answered<Request, Answer>(&self, calls: &[&Call<Request, Answer>]) -> bool {
         let mut answered = (0..calls.len()).filter(|call| calls[*call].answer.is_some());
-        answered.all(|call| self.holds(call))
+        answered.all(|call| self.contains(call))
     }
 }
--- a/tests/src/history/register.rs
+++ b/tests/src/history/register.rs
@@ -52,14 +52,14 @@
 /// A revision that nobody was told of is only known to be later than the one before.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 enum Revision {
-    Is(u64),
+    Known(u64),
     After(u64),
 }
 
 impl Revision {
-    const fn may_be(self, revision: u64) -> bool {
+    const fn could_be(self, revision: u64) -> bool {
         match self {
-            Self::Is(held) => held == revision,
+            Self::Known(held) => held == revision,
             Self::After(earlier) => earlier < revision,
         }
     }
@@ -72,32 +72,32 @@
 
     fn initial(&self) -> State {
         State {
-            revision: Revision::Is(0),
+            revision: Revision::Known(0),
             value: None,
         }
     }
 
     fn step(&self, state: &State, request: &Request, answer: Option<&Answer>) -> Option<State> {
         let held = state.revision;
-        let told = |revision| State {
-            revision: Revision::Is(revision),
+        let with_revision = |revision| State {
+            revision: Revision::Known(revision),
             ..state.clone()
         };
         match (request, answer) {
-            (Request::Read, Some(Answer::Found { revision, value })) => {
-                (held.may_be(*revision) && *value == state.value).then(|| told(*revision))
-            }
+            (Request::Read, Some(Answer::Found { revision, value })) => (held.could_be(*revision)
+                && *value == state.value)
+                .then(|| with_revision(*revision)),
             (Request::Write { expected, .. }, Some(Answer::Conflict { revision })) => {
-                (held.may_be(*revision) && revision != expected).then(|| told(*revision))
+                (held.could_be(*revision) && revision != expected).then(|| with_revision(*revision))
             }
             (Request::Write { expected, value }, Some(Answer::Accepted { revision })) => {
-                let fits = held.may_be(*expected) && revision > expected;
+                let fits = held.could_be(*expected) && revision > expected;
                 fits.then(|| State {
-                    revision: Revision::Is(*revision),
+                    revision: Revision::Known(*revision),
                     value: value.clone(),
                 })
             }
-            (Request::Write { expected, value }, None) if held.may_be(*expected) => Some(State {
+            (Request::Write { expected, value }, None) if held.could_be(*expected) => Some(State {
                 revision: Revision::After(*expected),
                 value: value.clone(),
             }),
--- a/tests/src/http.rs
+++ b/tests/src/http.rs
@@ -17,9 +17,9 @@
 };
 
 /// Longest wait for an answer.
-const BOUND: Duration = Duration::from_mins(1);
+const RESPONSE_TIMEOUT: Duration = Duration::from_mins(1);
 /// Longest body of a whole answer, in bytes.
-const LIMIT: usize = 64 << 20;
+const MAX_BODY_BYTES: usize = 64 << 20;
 
 /// A request in the making.
 pub struct Request {
@@ -46,7 +46,7 @@
 /// Starts a request.
 pub fn request(method: Method, address: SocketAddr, path: &str) -> Request {
     let client = Client::builder()
-        .timeout(BOUND)
+        .timeout(RESPONSE_TIMEOUT)
         .disable_redirects()
         .finish();
     Request {
@@ -91,9 +91,13 @@
     ///
     /// [`Error::Http`] when the answer does not arrive whole.
     pub async fn send(self) -> Result<Answer> {
-        let mut response = self.inner.send_body(self.body).await.map_err(refuse)?;
+        let mut response = self.inner.send_body(self.body).await.map_err(http_error)?;
         let head = Head::of(&response);
-        let body = response.body().limit(LIMIT).await.map_err(refuse)?;
+        let body = response
+            .body()
+            .limit(MAX_BODY_BYTES)
+            .await
+            .map_err(http_error)?;
         Ok(Answer { head, body })
     }
 
@@ -103,9 +107,9 @@
     ///
     /// [`Error::Http`] when no answer starts.
     pub async fn stream(self) -> Result<(Head, Events<impl Stream<Item = Result<Bytes>> + Unpin>)> {
-        let response = self.inner.send_body(self.body).await.map_err(refuse)?;
+        let response = self.inner.send_body(self.body).await.map_err(http_error)?;
         let head = Head::of(&response);
-        let bytes = response.map(|chunk| chunk.map_err(refuse));
+        let bytes = response.map(|chunk| chunk.map_err(http_error));
         Ok((head, Events::new(bytes)))
     }
 }
@@ -118,7 +122,7 @@
 pub async fn content(
     events: Events<impl Stream<Item = Result<Bytes>> + Unpin>,
 ) -> Result<(String, bool)> {
-    content_by(events, |_| {}).await
+    content_with(events, |_| {}).await
 }
 
 /// The same; `seen` is told how many chat events have arrived, at each of them.
@@ -126,9 +130,9 @@
 /// # Errors
 ///
 /// See [`content`].
-pub async fn content_by(
+pub async fn content_with(
     mut events: Events<impl Stream<Item = Result<Bytes>> + Unpin>,
-    seen: impl Fn(usize),
+    on_event: impl Fn(usize),
 ) -> Result<(String, bool)> {
     let (mut text, mut count) = (String::new(), 0);
     while let Ok(Some(event)) = events.next().await {
@@ -140,7 +144,7 @@
             .as_str()
             .unwrap_or_default();
         count += 1;
-        seen(count);
+        on_event(count);
     }
     Ok((text, false))
 }
@@ -209,6 +213,6 @@
     }
 }
 
-fn refuse(error: impl std::fmt::Display) -> Error {
+fn http_error(error: impl std::fmt::Display) -> Error {
     Error::Http(error.to_string())
 }
--- a/tests/src/node.rs
+++ b/tests/src/node.rs
@@ -13,7 +13,7 @@
 };
 
 /// Address that takes any free port.
-pub const ANY: &str = "127.0.0.1:0";
+pub const ANY_PORT: &str = "127.0.0.1:0";
 
 /// A process of a cluster; it can be lost and started again at the same addresses.
 #[derive(Debug)]
@@ -100,7 +100,7 @@
 
     /// Returns addresses to bind by role, as settings list them.
     pub fn listen(&self) -> Value {
-        let any = |role: &&str| ((*role).to_owned(), ANY.into());
+        let any = |role: &&str| ((*role).to_owned(), ANY_PORT.into());
         Value::Object(self.proxies.keys().map(any).collect())
     }
 
--- a/tests/src/page.rs
+++ b/tests/src/page.rs
@@ -38,7 +38,7 @@
 /// # Errors
 ///
 /// [`Error::Unknown`] names the place at which they differ.
-pub fn fits(shown: &Value, got: &Value, place: &str) -> Result<()> {
+pub fn check_shape(shown: &Value, got: &Value, place: &str) -> Result<()> {
     let differs = || Error::Unknown(format!("{place}: the page shows {shown}, got {got}"));
     match (shown, got) {
         (Value::Object(fields), Value::Object(answer)) => {
@@ -47,12 +47,12 @@
             }
             for (name, field) in fields {
                 let value = answer.get(name).ok_or_else(differs)?;
-                fits(field, value, &format!("{place}.{name}"))?;
+                check_shape(field, value, &format!("{place}.{name}"))?;
             }
             Ok(())
         }
         (Value::Array(shown), Value::Array(got)) => match (shown.first(), got.first()) {
-            (Some(shown), Some(got)) => fits(shown, got, &format!("{place}[0]")),
+            (Some(shown), Some(got)) => check_shape(shown, got, &format!("{place}[0]")),
             (None, None) => Ok(()),
             _ => Err(differs()),
         },
@@ -65,17 +65,17 @@
 }
 
 /// Splits a shell command as far as the pages need it: at blanks, but not within single quotes.
-pub fn words(command: &str) -> Vec<String> {
+pub fn split_command(command: &str) -> Vec<String> {
     let mut words = vec![String::new()];
     let mut quoted = false;
-    for sign in command.chars() {
-        match sign {
+    for character in command.chars() {
+        match character {
             '\'' => quoted = !quoted,
             ' ' if !quoted => words.push(String::new()),
             _ => words
                 .iter_mut()
                 .next_back()
-                .map_or((), |word| word.push(sign)),
+                .map_or((), |word| word.push(character)),
         }
     }
     words.retain(|word| !word.is_empty());
--- a/tests/src/process.rs
+++ b/tests/src/process.rs
@@ -22,7 +22,7 @@
 };
 
 /// Lines of a log that are printed.
-const PRINTED: usize = 200;
+const MAX_PRINTED_LINES: usize = 200;
 
 /// A running process; it is killed on drop, and its log is printed unless it had ended cleanly.
 #[derive(Debug)]
@@ -64,7 +64,7 @@
     }
 
     /// Keeps a settings file until the process is dropped.
-    pub(crate) fn keep(&mut self, file: NamedTempFile) {
+    pub(crate) fn keep_settings(&mut self, file: NamedTempFile) {
         self.settings = Some(file);
     }
 
@@ -91,11 +91,11 @@
     pub async fn address(&mut self, role: &str) -> Result<SocketAddr> {
         let what = format!("{} listening for {role}", self.name);
         let found = wait::until(&what, async || {
-            if let Some(address) = self.reported(role) {
+            if let Some(address) = self.reported_address(role) {
                 return Some(Ok(address));
             }
             let name = self.name.clone();
-            self.ended()
+            self.exit_status()
                 .map(|status| Err(Error::Ended { name, status }))
         });
         found.await?
@@ -136,7 +136,7 @@
     /// # Errors
     ///
     /// Fails when the process cannot be signalled.
-    pub fn thaw(&self) -> Result<()> {
+    pub fn resume(&self) -> Result<()> {
         self.signal(Signal::SIGCONT)
     }
 
@@ -154,8 +154,8 @@
     /// # Errors
     ///
     /// Fails when it does not end in time.
-    pub async fn ends(&mut self) -> Result<ExitStatus> {
-        self.ends_within(wait::BOUND).await
+    pub async fn wait_exit(&mut self) -> Result<ExitStatus> {
+        self.wait_exit_within(wait::TIMEOUT).await
     }
 
     /// Waits until the process has ended, for a time that its work needs.
@@ -163,13 +163,13 @@
     /// # Errors
     ///
     /// Fails when it does not end in time.
-    pub async fn ends_within(&mut self, bound: Duration) -> Result<ExitStatus> {
+    pub async fn wait_exit_within(&mut self, limit: Duration) -> Result<ExitStatus> {
         let what = format!("end of {}", self.name);
-        wait::within(bound, &what, async || self.child.try_wait().ok().flatten()).await
+        wait::within(limit, &what, async || self.child.try_wait().ok().flatten()).await
     }
 
     /// Returns how the process ended, if it has.
-    pub fn ended(&mut self) -> Option<ExitStatus> {
+    pub fn exit_status(&mut self) -> Option<ExitStatus> {
         self.child.try_wait().ok().flatten()
     }
 
@@ -180,19 +180,19 @@
     /// Fails when it cannot be signalled or does not end in time.
     pub async fn stop(&mut self) -> Result<ExitStatus> {
         self.terminate()?;
-        self.ends().await
+        self.wait_exit().await
     }
 
     fn print(&self) {
         let lines = self.log.lines();
-        let skipped = lines.len().saturating_sub(PRINTED);
+        let skipped = lines.len().saturating_sub(MAX_PRINTED_LINES);
         eprintln!("--- log of {}, {skipped} lines before", self.name);
         for line in &lines[skipped..] {
             eprintln!("{line}");
         }
     }
 
-    fn reported(&self, role: &str) -> Option<SocketAddr> {
+    fn reported_address(&self, role: &str) -> Option<SocketAddr> {
         let lines = self.log.events("listening");
         let line = lines
             .iter()
--- a/tests/src/proxy/callers.rs
+++ b/tests/src/proxy/callers.rs
@@ -54,12 +54,12 @@
         let link = format!("socket:[{inode}]");
         let names = self.names.lock().unwrap_or_else(PoisonError::into_inner);
         let names = names.clone();
-        let mut holders = names.into_iter().filter(|(id, _)| holds(*id, &link));
+        let mut holders = names.into_iter().filter(|(id, _)| holds_socket(*id, &link));
         holders.next().map(|(_, name)| name)
     }
 }
 
-fn holds(id: u32, link: &str) -> bool {
+fn holds_socket(id: u32, link: &str) -> bool {
     let Ok(files) = std::fs::read_dir(format!("/proc/{id}/fd")) else {
         return false;
     };
--- a/tests/src/proxy/connection.rs
+++ b/tests/src/proxy/connection.rs
@@ -16,31 +16,31 @@
 
 use super::{
     counter::Counter,
-    judge::{Judge, Watch},
-    rule::{Lane, Rule, Way},
+    resolver::{Resolver, Watch},
+    rule::{Direction, Impairment, Rule},
 };
 
 /// Chunks in flight in one direction; with chunks of 16 KB a delayed link keeps its throughput.
-const CHUNKS: usize = 256;
+const MAX_CHUNKS_IN_FLIGHT: usize = 256;
 /// Longest chunk.
-const CHUNK: usize = 16 * 1024;
+const MAX_CHUNK_BYTES: usize = 16 * 1024;
 /// Pause between two looks at a caller that waits for the end of a cut.
-const LOOK: Duration = Duration::from_millis(10);
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
 /// Serves one connection until it ends or its rule breaks it.
 pub(super) async fn serve(
     caller: TcpStream,
-    mut judge: Judge,
+    mut resolver: Resolver,
     upstream: Option<SocketAddr>,
-    given_up: Counter,
+    abandoned: Counter,
 ) {
     // An end that is dropped without an orderly end of both ways is reset, as a cut looks.
     let _ = (caller.set_zero_linger(), caller.set_nodelay(true));
-    let late = judge.late().await;
-    let (sender, rule) = watch::channel(judge.rule().await);
+    let dialled_during_stall = resolver.dialled_during_stall().await;
+    let (sender, rule) = watch::channel(resolver.rule().await);
     tokio::select! {
-        () = judge.run(sender) => {}
-        () = connect(caller, rule, upstream, late.then_some(given_up)) => {}
+        () = resolver.run(sender) => {}
+        () = connect(caller, rule, upstream, dialled_during_stall.then_some(abandoned)) => {}
     }
 }
 
@@ -48,12 +48,12 @@
     mut caller: TcpStream,
     mut rule: Watch,
     upstream: Option<SocketAddr>,
-    late: Option<Counter>,
+    dialled_during_stall: Option<Counter>,
 ) {
-    if let Some(given_up) = late
-        && held(&caller, &mut rule).await == Held::GivenUp
+    if let Some(abandoned) = dialled_during_stall
+        && hold(&caller, &mut rule).await == Hold::Abandoned
     {
-        given_up.increment();
+        abandoned.increment();
         return;
     }
     let Some(upstream) = upstream.filter(|_| !rule.borrow().refused) else {
@@ -63,36 +63,36 @@
         return;
     };
     let _ = (server.set_zero_linger(), server.set_nodelay(true));
-    if relay(&mut caller, &mut server, &rule).await == Fate::HalfOpen {
+    if relay(&mut caller, &mut server, &rule).await == Outcome::HalfOpen {
         drop(server);
-        until(&mut rule, |rule| rule.refused).await;
+        wait_until(&mut rule, |rule| rule.refused).await;
     }
 }
 
 /// How the wait of a connection that was dialled during a cut ended.
 #[derive(Debug, PartialEq, Eq)]
-enum Held {
-    Passed,
-    GivenUp,
+enum Hold {
+    Released,
+    Abandoned,
 }
 
 /// Holds a connection until its way is open; until then its upstream must not even see it opened.
 ///
 /// A caller that gives up meanwhile never had a connection; what it wrote must not arrive later.
-async fn held(caller: &TcpStream, rule: &mut Watch) -> Held {
+async fn hold(caller: &TcpStream, rule: &mut Watch) -> Hold {
     tokio::select! {
-        () = until(rule, |rule| rule.refused || !rule.up.stalled) => {}
-        () = given_up(caller) => return Held::GivenUp,
+        () = wait_until(rule, |rule| rule.refused || !rule.up.stalled) => {}
+        () = abandoned(caller) => return Hold::Abandoned,
     }
-    if gave_up(caller) {
-        return Held::GivenUp;
+    if has_closed(caller) {
+        return Hold::Abandoned;
     }
-    Held::Passed
+    Hold::Released
 }
 
-async fn given_up(caller: &TcpStream) {
-    while !gave_up(caller) {
-        tokio::time::sleep(LOOK).await;
+async fn abandoned(caller: &TcpStream) {
+    while !has_closed(caller) {
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
 
@@ -100,7 +100,7 @@
 ///
 /// The runtime's own readiness says so only after its next turn, and not at all while unread bytes
 /// wait before the end: a connection that was healed sooner passed for one whose caller is there.
-fn gave_up(caller: &TcpStream) -> bool {
+fn has_closed(caller: &TcpStream) -> bool {
     let closed = EpollEvent::new(EpollFlags::EPOLLRDHUP, 0);
     let asked = Epoll::new(EpollCreateFlags::EPOLL_CLOEXEC).and_then(|epoll| {
         epoll.add(caller, closed)?;
@@ -111,26 +111,26 @@
 
 /// How a connection ended.
 #[derive(Debug, PartialEq, Eq)]
-enum Fate {
+enum Outcome {
     Ended,
     HalfOpen,
 }
 
-async fn relay(caller: &mut TcpStream, server: &mut TcpStream, rule: &Watch) -> Fate {
+async fn relay(caller: &mut TcpStream, server: &mut TcpStream, rule: &Watch) -> Outcome {
     let (caller_in, caller_out) = caller.split();
     let (server_in, server_out) = server.split();
-    let up = pass(caller_in, server_out, rule.clone(), Way::Up);
-    let down = pass(server_in, caller_out, rule.clone(), Way::Down);
-    let (mut refused, mut halved) = (rule.clone(), rule.clone());
+    let up = pass(caller_in, server_out, rule.clone(), Direction::Up);
+    let down = pass(server_in, caller_out, rule.clone(), Direction::Down);
+    let (mut refused, mut half_opened) = (rule.clone(), rule.clone());
     tokio::select! {
-        _ = async { tokio::try_join!(up, down) } => Fate::Ended,
-        () = until(&mut refused, |rule| rule.refused) => Fate::Ended,
-        () = until(&mut halved, |rule| rule.half_open) => Fate::HalfOpen,
+        _ = async { tokio::try_join!(up, down) } => Outcome::Ended,
+        () = wait_until(&mut refused, |rule| rule.refused) => Outcome::Ended,
+        () = wait_until(&mut half_opened, |rule| rule.half_open) => Outcome::HalfOpen,
     }
 }
 
 /// Waits until the rule of the connection is as wanted.
-async fn until(rule: &mut Watch, wanted: impl Fn(&Rule) -> bool) {
+async fn wait_until(rule: &mut Watch, wanted: impl Fn(&Rule) -> bool) {
     if rule.wait_for(wanted).await.is_err() {
         // The proxy is gone, which ends the connection from outside.
         std::future::pending::<()>().await;
@@ -145,17 +145,17 @@
     input: ReadHalf<'_>,
     output: WriteHalf<'_>,
     rule: Watch,
-    way: Way,
+    direction: Direction,
 ) -> Result<(), Cut> {
-    let (sender, receiver) = mpsc::channel(CHUNKS);
+    let (sender, receiver) = mpsc::channel(MAX_CHUNKS_IN_FLIGHT);
     let reading = read(input, sender);
-    let writing = write(output, receiver, rule, way);
+    let writing = write(output, receiver, rule, direction);
     tokio::try_join!(reading, writing).map(drop)
 }
 
 async fn read(mut input: ReadHalf<'_>, sender: mpsc::Sender<(Instant, Bytes)>) -> Result<(), Cut> {
     loop {
-        let mut chunk = BytesMut::with_capacity(CHUNK);
+        let mut chunk = BytesMut::with_capacity(MAX_CHUNK_BYTES);
         let length = input.read_buf(&mut chunk).await.map_err(|_| Cut)?;
         if length == 0 {
             return Ok(());
@@ -169,18 +169,18 @@
     mut output: WriteHalf<'_>,
     mut receiver: mpsc::Receiver<(Instant, Bytes)>,
     mut rule: Watch,
-    way: Way,
+    direction: Direction,
 ) -> Result<(), Cut> {
     let mut written = 0;
     while let Some((arrived, mut chunk)) = receiver.recv().await {
-        unstalled(&mut rule, way).await;
-        let now = lane(&rule, way);
+        wait_unstalled(&mut rule, direction).await;
+        let now = impairment(&rule, direction);
         tokio::time::sleep_until(arrived + now.delay).await;
         if let Some(rate) = now.rate {
-            tokio::time::sleep(time_for(chunk.len(), rate)).await;
+            tokio::time::sleep(transmission_time(chunk.len(), rate)).await;
         }
-        unstalled(&mut rule, way).await;
-        let left = lane(&rule, way)
+        wait_unstalled(&mut rule, direction).await;
+        let left = impairment(&rule, direction)
             .cut_after
             .map(|limit| limit.saturating_sub(written));
         if let Some(left) = left.and_then(|left| usize::try_from(left).ok()) {
@@ -192,18 +192,18 @@
             return Err(Cut);
         }
     }
-    unstalled(&mut rule, way).await;
+    wait_unstalled(&mut rule, direction).await;
     output.shutdown().await.map_err(|_| Cut)
 }
 
-async fn unstalled(rule: &mut Watch, way: Way) {
-    until(rule, |rule| !rule.lane(way).stalled).await;
+async fn wait_unstalled(rule: &mut Watch, direction: Direction) {
+    wait_until(rule, |rule| !rule.impairment(direction).stalled).await;
 }
 
-fn lane(rule: &Watch, way: Way) -> Lane {
-    rule.borrow().lane(way)
+fn impairment(rule: &Watch, direction: Direction) -> Impairment {
+    rule.borrow().impairment(direction)
 }
 
-fn time_for(bytes: usize, rate: u64) -> Duration {
+fn transmission_time(bytes: usize, rate: u64) -> Duration {
     Duration::from_micros(bytes as u64 * 1_000_000 / rate.max(1))
 }
--- a/tests/src/proxy/frames.rs
+++ b/tests/src/proxy/frames.rs
@@ -16,11 +16,11 @@
 use tokio_tungstenite::{accept_async, client_async, tungstenite};
 use zinniastall_wire::{frame::Frame, stream::Message};
 
-use super::{RUNTIME, rule::Way};
+use super::{RUNTIME, rule::Direction};
 use crate::error::Result;
 
 /// Says what passes in place of a message.
-type Change = Arc<Mutex<dyn FnMut(Way, Message) -> Vec<Message> + Send>>;
+type Rewrite = Arc<Mutex<dyn FnMut(Direction, Message) -> Vec<Message> + Send>>;
 
 /// A relay before one address; all its links end with it.
 #[derive(Debug)]
@@ -37,7 +37,7 @@
     /// Fails when no port can be had.
     pub fn start(
         upstream: SocketAddr,
-        change: impl FnMut(Way, Message) -> Vec<Message> + Send + 'static,
+        rewrite: impl FnMut(Direction, Message) -> Vec<Message> + Send + 'static,
     ) -> Result<Self> {
         let listener = std::net::TcpListener::bind(("127.0.0.1", 0))?;
         listener.set_nonblocking(true)?;
@@ -45,8 +45,8 @@
         let runtime = RUNTIME.enter();
         let listener = TcpListener::from_std(listener)?;
         drop(runtime);
-        let change: Change = Arc::new(Mutex::new(change));
-        let task = RUNTIME.spawn(accept(listener, upstream, change));
+        let rewrite: Rewrite = Arc::new(Mutex::new(rewrite));
+        let task = RUNTIME.spawn(accept(listener, upstream, rewrite));
         Ok(Self { address, task })
     }
 
@@ -62,14 +62,14 @@
     }
 }
 
-async fn accept(listener: TcpListener, upstream: SocketAddr, change: Change) {
+async fn accept(listener: TcpListener, upstream: SocketAddr, rewrite: Rewrite) {
     let mut links = tokio::task::JoinSet::new();
     while let Ok((stream, _)) = listener.accept().await {
-        links.spawn(relay(stream, upstream, Arc::clone(&change)));
+        links.spawn(relay(stream, upstream, Arc::clone(&rewrite)));
     }
 }
 
-async fn relay(stream: TcpStream, upstream: SocketAddr, change: Change) -> Option<()> {
+async fn relay(stream: TcpStream, upstream: SocketAddr, rewrite: Rewrite) -> Option<()> {
     let near = accept_async(stream).await.ok()?;
     let stream = TcpStream::connect(upstream).await.ok()?;
     let url = format!("ws://{upstream}/link");
@@ -77,20 +77,20 @@
     let (to_near, from_near) = near.split();
     let (to_far, from_far) = far.split();
     tokio::select! {
-        () = pass(Way::Up, from_near, to_far, &change) => {}
-        () = pass(Way::Down, from_far, to_near, &change) => {}
+        () = pass(Direction::Up, from_near, to_far, &rewrite) => {}
+        () = pass(Direction::Down, from_far, to_near, &rewrite) => {}
     }
     Some(())
 }
 
 async fn pass(
-    way: Way,
+    direction: Direction,
     mut from: impl Stream<Item = tungstenite::Result<tungstenite::Message>> + Unpin,
     mut to: impl Sink<tungstenite::Message> + Unpin,
-    change: &Change,
+    rewrite: &Rewrite,
 ) {
     while let Some(Ok(message)) = from.next().await {
-        for message in changed(way, message, change) {
+        for message in rewritten(direction, message, rewrite) {
             if to.send(message).await.is_err() {
                 return;
             }
@@ -98,7 +98,11 @@
     }
 }
 
-fn changed(way: Way, message: tungstenite::Message, change: &Change) -> Vec<tungstenite::Message> {
+fn rewritten(
+    direction: Direction,
+    message: tungstenite::Message,
+    rewrite: &Rewrite,
+) -> Vec<tungstenite::Message> {
     let frame = match &message {
         tungstenite::Message::Binary(bytes) => Frame::decode(bytes).ok(),
         _ => None,
@@ -106,8 +110,8 @@
     let Some(Frame::Stream(inner)) = frame else {
         return vec![message];
     };
-    let mut change = change.lock().unwrap_or_else(PoisonError::into_inner);
-    let encoded = change(way, inner).into_iter().map(|message| {
+    let mut rewrite = rewrite.lock().unwrap_or_else(PoisonError::into_inner);
+    let encoded = rewrite(direction, inner).into_iter().map(|message| {
         let bytes = Frame::Stream(message).encode().unwrap_or_default();
         tungstenite::Message::Binary(bytes.into())
     });
--- a/tests/src/proxy/mod.rs
+++ b/tests/src/proxy/mod.rs
@@ -10,7 +10,7 @@
 mod connection;
 mod counter;
 pub mod frames;
-mod judge;
+mod resolver;
 pub mod rule;
 mod sockets;
 
@@ -26,11 +26,11 @@
 use crate::error::Result;
 use callers::Callers;
 use counter::Counter;
-use judge::Judge;
-use rule::{Rule, Way};
+use resolver::Resolver;
+use rule::{Direction, Rule};
 
 /// Pause after a connection could not be taken.
-const PAUSE: Duration = Duration::from_millis(10);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(10);
 
 static RUNTIME: LazyLock<Runtime> = LazyLock::new(|| {
     Builder::new_multi_thread()
@@ -68,7 +68,7 @@
     rules: watch::Sender<Rules>,
     task: JoinHandle<()>,
     opened: Counter,
-    given_up: Counter,
+    abandoned: Counter,
 }
 
 impl Proxy {
@@ -91,11 +91,11 @@
         listener.set_nonblocking(true)?;
         let address = listener.local_addr()?;
         let (rules, watch) = watch::channel(Rules::default());
-        let (opened, given_up) = (Counter::default(), Counter::default());
+        let (opened, abandoned) = (Counter::default(), Counter::default());
         let runtime = RUNTIME.enter();
         let listener = TcpListener::from_std(listener)?;
         drop(runtime);
-        let counters = (opened.clone(), given_up.clone());
+        let counters = (opened.clone(), abandoned.clone());
         let accepting = accept(listener, watch, callers.clone(), counters);
         let task = RUNTIME.spawn(accepting);
         Ok(Self {
@@ -103,7 +103,7 @@
             rules,
             task,
             opened,
-            given_up,
+            abandoned,
         })
     }
 
@@ -124,28 +124,28 @@
     }
 
     /// Returns how many callers that dialled during a cut gave up before it ended.
-    pub fn given_up(&self) -> u64 {
-        self.given_up.count()
+    pub fn abandoned(&self) -> u64 {
+        self.abandoned.count()
     }
 
     /// Lets nothing pass in a way, silently, as a network partition does.
-    pub fn stall(&self, way: Way) {
-        self.change(|rule| rule.with(way, |lane| lane.stalled = true));
+    pub fn stall(&self, direction: Direction) {
+        self.change(|rule| rule.with(direction, |effect| effect.stalled = true));
     }
 
     /// Delays every byte.
-    pub fn delay(&self, way: Way, delay: Duration) {
-        self.change(|rule| rule.with(way, |lane| lane.delay = delay));
+    pub fn delay(&self, direction: Direction, delay: Duration) {
+        self.change(|rule| rule.with(direction, |effect| effect.delay = delay));
     }
 
     /// Limits the bytes a second.
-    pub fn rate(&self, way: Way, rate: u64) {
-        self.change(|rule| rule.with(way, |lane| lane.rate = Some(rate)));
+    pub fn rate(&self, direction: Direction, rate: u64) {
+        self.change(|rule| rule.with(direction, |effect| effect.rate = Some(rate)));
     }
 
     /// Resets each connection after this many bytes in a way.
-    pub fn cut_after(&self, way: Way, bytes: u64) {
-        self.change(|rule| rule.with(way, |lane| lane.cut_after = Some(bytes)));
+    pub fn cut_after(&self, direction: Direction, bytes: u64) {
+        self.change(|rule| rule.with(direction, |effect| effect.cut_after = Some(bytes)));
     }
 
     /// Resets all connections and each new one.
@@ -205,22 +205,27 @@
     listener: TcpListener,
     rules: watch::Receiver<Rules>,
     callers: Callers,
-    (opened, given_up): (Counter, Counter),
+    (opened, abandoned): (Counter, Counter),
 ) {
     loop {
         let Ok((stream, peer)) = listener.accept().await else {
             // Out of files for a moment; an end here would look like a fault of the system.
-            tokio::time::sleep(PAUSE).await;
+            tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             continue;
         };
         let upstream = rules.borrow().upstream;
         let Ok(own) = stream.local_addr() else {
             continue;
         };
-        let judge = Judge::new(rules.clone(), callers.clone(), (peer, own));
+        let resolver = Resolver::new(rules.clone(), callers.clone(), (peer, own));
         // Counted once the rules it was dialled under are noted: a test that has seen the count may
         // change them.
         opened.increment();
-        tokio::spawn(connection::serve(stream, judge, upstream, given_up.clone()));
+        tokio::spawn(connection::serve(
+            stream,
+            resolver,
+            upstream,
+            abandoned.clone(),
+        ));
     }
 }
--- a/tests/src/proxy/judge.rs
+++ b/tests/src/proxy/resolver.rs
@@ -11,31 +11,31 @@
 
 /// Works out the rule of one connection.
 #[derive(Debug)]
-pub(super) struct Judge {
+pub(super) struct Resolver {
     rules: watch::Receiver<Rules>,
     /// Rules at the time at which the connection was taken.
-    taken_under: Rules,
+    accepted_under: Rules,
     callers: Callers,
     /// Addresses of the calling end and of the proxy's.
     ends: (SocketAddr, SocketAddr),
     /// Whether it has been asked who calls, and the answer.
-    asked: bool,
+    identified: bool,
     caller: Option<String>,
 }
 
-impl Judge {
+impl Resolver {
     pub(super) fn new(
         rules: watch::Receiver<Rules>,
         callers: Callers,
         ends: (SocketAddr, SocketAddr),
     ) -> Self {
-        let taken_under = rules.borrow().clone();
+        let accepted_under = rules.borrow().clone();
         Self {
             rules,
-            taken_under,
+            accepted_under,
             callers,
             ends,
-            asked: false,
+            identified: false,
             caller: None,
         }
     }
@@ -44,30 +44,30 @@
     ///
     /// Rules may have changed since: a task that starts late on a busy machine would take a connection
     /// of the cut for one that came after it, and pass on what its caller has written off.
-    pub(super) async fn late(&mut self) -> bool {
-        let rules = self.taken_under.clone();
-        self.ask(&rules).await;
+    pub(super) async fn dialled_during_stall(&mut self) -> bool {
+        let rules = self.accepted_under.clone();
+        self.identify_caller(&rules).await;
         rules.rule(self.caller.as_deref()).up.stalled
     }
 
     /// Returns the rule as it is now.
     pub(super) async fn rule(&mut self) -> Rule {
         let rules = self.rules.borrow_and_update().clone();
-        self.ask(&rules).await;
+        self.identify_caller(&rules).await;
         let mut rule = rules.rule(self.caller.as_deref());
-        rule.refused |= rules.epoch != self.taken_under.epoch;
+        rule.refused |= rules.epoch != self.accepted_under.epoch;
         rule
     }
 
     /// Finds out who calls, once and only if these rules tell callers apart.
-    async fn ask(&mut self, rules: &Rules) {
-        if rules.by_caller.is_empty() || self.asked {
+    async fn identify_caller(&mut self, rules: &Rules) {
+        if rules.by_caller.is_empty() || self.identified {
             return;
         }
         let (callers, (peer, own)) = (self.callers.clone(), self.ends);
         let finding = tokio::task::spawn_blocking(move || callers.find(peer, own));
         self.caller = finding.await.unwrap_or_default();
-        self.asked = true;
+        self.identified = true;
     }
 
     /// Keeps the rule up to date; ends with the proxy.
--- a/tests/src/proxy/rule.rs
+++ b/tests/src/proxy/rule.rs
@@ -4,7 +4,7 @@
 
 /// Directions of a connection, as its caller sees them.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Way {
+pub enum Direction {
     /// From the caller.
     Up,
     /// Towards the caller.
@@ -15,7 +15,7 @@
 
 /// What happens to one direction.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Lane {
+pub struct Impairment {
     /// Nothing passes, not even the end of the connection, and neither end is told; what was sent
     /// passes once this is lifted, as TCP would send it again.
     pub stalled: bool,
@@ -31,9 +31,9 @@
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Rule {
     /// From the caller.
-    pub up: Lane,
+    pub up: Impairment,
     /// Towards the caller.
-    pub down: Lane,
+    pub down: Impairment,
     /// Connections are reset, new ones at once.
     pub refused: bool,
     /// The upstream end is closed; the caller is not told and hears nothing more.
@@ -42,20 +42,20 @@
 
 impl Rule {
     /// Returns what happens to one direction; that from the caller when both are meant.
-    pub const fn lane(&self, way: Way) -> Lane {
-        match way {
-            Way::Down => self.down,
-            Way::Up | Way::Both => self.up,
+    pub const fn impairment(&self, direction: Direction) -> Impairment {
+        match direction {
+            Direction::Down => self.down,
+            Direction::Up | Direction::Both => self.up,
         }
     }
 
     /// Changes the lanes of a way.
     #[must_use]
-    pub fn with(mut self, way: Way, change: impl Fn(&mut Lane)) -> Self {
-        if way != Way::Down {
+    pub fn with(mut self, direction: Direction, change: impl Fn(&mut Impairment)) -> Self {
+        if direction != Direction::Down {
             change(&mut self.up);
         }
-        if way != Way::Up {
+        if direction != Direction::Up {
             change(&mut self.down);
         }
         self
--- a/tests/src/proxy/sockets.rs
+++ b/tests/src/proxy/sockets.rs
@@ -15,17 +15,17 @@
 };
 
 /// Length of a message's header.
-const HEADER: usize = 16;
+const HEADER_BYTES: usize = 16;
 /// Length of a request for one connection.
-const REQUEST: usize = HEADER + 56;
+const REQUEST_BYTES: usize = HEADER_BYTES + 56;
 /// Place of the socket's number in an answer.
-const INODE: usize = HEADER + 68;
+const INODE_OFFSET: usize = HEADER_BYTES + 68;
 /// Message type: look up by address family.
-const BY_FAMILY: u16 = 20;
+const SOCK_DIAG_BY_FAMILY: u16 = 20;
 /// Message flag: this is a request.
-const IS_REQUEST: u16 = 1;
+const NLM_F_REQUEST: u16 = 1;
 const AF_INET: u8 = 2;
-const TCP: u8 = 6;
+const IPPROTO_TCP: u8 = 6;
 
 /// Returns the number of the socket whose own end is `near` and whose other end is `far`; 0 and
 /// `None` both mean that no process holds it.
@@ -45,26 +45,26 @@
     sendto(netlink.as_raw_fd(), &request, &kernel, MsgFlags::empty())?;
     let mut answer = [0; 512];
     let length = recv(netlink.as_raw_fd(), &mut answer, MsgFlags::empty())?;
-    let found = length > INODE + 4 && answer[4..6] == BY_FAMILY.to_ne_bytes();
+    let found = length > INODE_OFFSET + 4 && answer[4..6] == SOCK_DIAG_BY_FAMILY.to_ne_bytes();
     let number = |at: usize| <[u8; 4]>::try_from(&answer[at..at + 4]).map(u32::from_ne_bytes);
-    Ok(number(INODE).ok().filter(|_| found))
+    Ok(number(INODE_OFFSET).ok().filter(|_| found))
 }
 
 fn request(near: SocketAddrV4, far: SocketAddrV4) -> Result<Vec<u8>> {
-    let length = u32::try_from(REQUEST).map_err(Error::other)?;
-    let mut bytes = Vec::with_capacity(REQUEST);
+    let length = u32::try_from(REQUEST_BYTES).map_err(Error::other)?;
+    let mut bytes = Vec::with_capacity(REQUEST_BYTES);
     bytes.extend(length.to_ne_bytes());
-    bytes.extend(BY_FAMILY.to_ne_bytes());
-    bytes.extend(IS_REQUEST.to_ne_bytes());
+    bytes.extend(SOCK_DIAG_BY_FAMILY.to_ne_bytes());
+    bytes.extend(NLM_F_REQUEST.to_ne_bytes());
     // Sequence number and sender's port, which the kernel fills in.
     bytes.extend([0; 8]);
-    bytes.extend([AF_INET, TCP, 0, 0]);
+    bytes.extend([AF_INET, IPPROTO_TCP, 0, 0]);
     // All states.
     bytes.extend(u32::MAX.to_ne_bytes());
     bytes.extend(near.port().to_be_bytes());
     bytes.extend(far.port().to_be_bytes());
-    bytes.extend(wide(near));
-    bytes.extend(wide(far));
+    bytes.extend(padded(near));
+    bytes.extend(padded(far));
     // Any interface, no cookie.
     bytes.extend([0; 4]);
     bytes.extend([u8::MAX; 8]);
@@ -72,7 +72,7 @@
 }
 
 /// Writes an IPv4 address into the room of an IPv6 one.
-fn wide(address: SocketAddrV4) -> [u8; 16] {
+fn padded(address: SocketAddrV4) -> [u8; 16] {
     let mut bytes = [0; 16];
     bytes[..4].copy_from_slice(&address.ip().octets());
     bytes
--- a/tests/src/settings.rs
+++ b/tests/src/settings.rs
@@ -13,7 +13,7 @@
     let file = tempfile::Builder::new().suffix(".json").tempfile()?;
     std::fs::write(file.path(), settings.to_string())?;
     let mut process = Process::start(name, binary, file.path())?;
-    process.keep(file);
+    process.keep_settings(file);
     Ok(process)
 }
 
--- a/tests/src/usage.rs
+++ b/tests/src/usage.rs
@@ -5,7 +5,7 @@
 use crate::error::{Error, Result};
 
 /// Clock ticks a second in `/proc`; constant on Linux.
-const TICKS: u64 = 100;
+const TICKS_PER_SECOND: u64 = 100;
 
 /// Returns the memory that a process holds, in bytes.
 ///
@@ -25,11 +25,11 @@
 /// # Errors
 ///
 /// Fails when the process is gone.
-pub fn processor(id: u32) -> Result<Duration> {
+pub fn cpu_time(id: u32) -> Result<Duration> {
     let stat = std::fs::read_to_string(format!("/proc/{id}/stat"))?;
     // The name, in parentheses, may hold spaces; user and system time are fields 14 and 15.
     let rest = stat.rsplit_once(')').map_or("", |(_, rest)| rest);
     let fields = rest.split_whitespace().skip(11).take(2);
     let ticks: u64 = fields.filter_map(|field| field.parse::<u64>().ok()).sum();
-    Ok(Duration::from_millis(ticks * 1000 / TICKS))
+    Ok(Duration::from_millis(ticks * 1000 / TICKS_PER_SECOND))
 }
--- a/tests/src/wait.rs
+++ b/tests/src/wait.rs
@@ -5,26 +5,26 @@
 use crate::error::{Error, Result};
 
 /// Longest wait for a condition; generous, since machines under test are busy.
-pub const BOUND: Duration = Duration::from_secs(30);
+pub const TIMEOUT: Duration = Duration::from_secs(30);
 /// Time between two looks at a condition.
-const STEP: Duration = Duration::from_millis(10);
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Waits until `probe` returns a value, for at most [`BOUND`].
+/// Waits until `probe` returns a value, for at most [`TIMEOUT`].
 ///
 /// # Errors
 ///
-/// [`Error::Late`] names the condition.
+/// [`Error::Timeout`] names the condition.
 pub async fn until<T>(what: &str, probe: impl AsyncFnMut() -> Option<T>) -> Result<T> {
-    within(BOUND, what, probe).await
+    within(TIMEOUT, what, probe).await
 }
 
 /// Waits until `probe` returns a value, for at most `bound`.
 ///
 /// # Errors
 ///
-/// [`Error::Late`] names the condition.
+/// [`Error::Timeout`] names the condition.
 pub async fn within<T>(
-    bound: Duration,
+    timeout: Duration,
     what: &str,
     mut probe: impl AsyncFnMut() -> Option<T>,
 ) -> Result<T> {
@@ -33,10 +33,10 @@
         if let Some(value) = probe().await {
             return Ok(value);
         }
-        if start.elapsed() > bound {
+        if start.elapsed() > timeout {
             let what = what.to_owned();
-            return Err(Error::Late { what, bound });
+            return Err(Error::Timeout { what, timeout });
         }
-        tokio::time::sleep(STEP).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
--- a/tests/tests/control_disk.rs
+++ b/tests/tests/control_disk.rs
@@ -47,14 +47,14 @@
     let mut accepted = 0;
     for torn in [1, 7, 40] {
         accepted += change(&cluster, &format!("m{torn}")).await?;
-        cluster.next_loss_safe(true).await?;
+        cluster.wait_next_loss_safe(true).await?;
         let leader = cluster.leader().await?;
         cluster.control(&leader)?.process().kill()?;
         let log = newest(cluster.control(&leader)?.settings())?;
         let file = std::fs::OpenOptions::new().write(true).open(&log)?;
         file.set_len(log.metadata()?.len() - torn)?;
         cluster.control(&leader)?.restart().await?;
-        cluster.next_loss_safe(true).await?;
+        cluster.wait_next_loss_safe(true).await?;
         assert_eq!(models(&cluster).await?, Some(accepted));
     }
     Ok(())
@@ -84,7 +84,7 @@
         .lines()
         .join("\n");
     assert!(said.contains(&log.display().to_string()), "{said}");
-    cluster.leader_besides(&[&damaged]).await?;
+    cluster.leader_except(&[&damaged]).await?;
     let more = change(&cluster, "n").await?;
     cluster.wipe(&damaged).await?;
     cluster.replace(&damaged, &forgotten).await?;
--- a/tests/tests/control_force.rs
+++ b/tests/tests/control_force.rs
@@ -8,7 +8,7 @@
     cluster::{Builder, Cluster},
     log::field,
     node::Node,
-    proxy::rule::{Rule, Way},
+    proxy::rule::{Direction, Rule},
     wait,
 };
 
@@ -93,7 +93,7 @@
 fn cut_off(cluster: &Cluster, inside: &[&str]) {
     let inside = |node: &Node| inside.contains(&node.name());
     cluster.partition(inside);
-    cluster.links(|from, to| (inside(from) && inside(to)).then(Rule::default));
+    cluster.set_link_rules(|from, to| (inside(from) && inside(to)).then(Rule::default));
 }
 
 /// Restarts an instance, and checks that it puts nothing older in force than a revision.
@@ -228,7 +228,7 @@
         let changes = names.iter().map(|name| change(&cluster, name));
         futures_util::future::try_join_all(changes).await?;
     }
-    cluster.entry(slow)?.process().thaw()?;
+    cluster.entry(slow)?.process().resume()?;
     let revision = settled(&cluster, 2).await?;
     let revisions = in_force(&mut cluster, slow)?;
     assert!(revisions.is_sorted(), "{revisions:?}");
@@ -249,7 +249,7 @@
         .await?;
     settled(&cluster, 2).await?;
     cluster.partition(|node| node.name() == "control-1");
-    cluster.leader_besides(&["control-1"]).await?;
+    cluster.leader_except(&["control-1"]).await?;
     change(&cluster, "m").await?;
     let newest = settled(&cluster, 2).await?;
     cut_off(&cluster, &BEHIND);
@@ -273,7 +273,7 @@
     // SIGTERM passes leadership on at once; a kill would cost an election timeout.
     cluster.control("control-1")?.process().stop().await?;
     cluster.control("control-1")?.restart().await?;
-    cluster.leader_besides(&["control-1"]).await?;
+    cluster.leader_except(&["control-1"]).await?;
     change(&cluster, "before").await?;
     settled(&cluster, 2).await?;
     cluster.partition(|node| node.name() == "control-1");
@@ -373,8 +373,8 @@
     settled(&cluster, 6).await?;
     let entries: Vec<String> = cluster.entries().map(|node| node.name().into()).collect();
     let is_entry = |node: &Node| entries.iter().any(|name| name == node.name());
-    let stalled = Rule::default().with(Way::Both, |lane| lane.stalled = true);
-    cluster.links(|from, to| (is_entry(from) && is_entry(to)).then_some(stalled));
+    let stalled = Rule::default().with(Direction::Both, |lane| lane.stalled = true);
+    cluster.set_link_rules(|from, to| (is_entry(from) && is_entry(to)).then_some(stalled));
     let leader = cluster.leader().await?;
     change(&cluster, "m0").await?;
     // Whoever followed a neighbour has found control by now.
--- a/tests/tests/control_group.rs
+++ b/tests/tests/control_group.rs
@@ -5,10 +5,10 @@
 use serde_json::{Value, json};
 use zinniastall_tests::{
     Result,
-    cluster::{Cluster, ELECTION, group, model},
+    cluster::{Cluster, ELECTION_MS, group, model},
     ctl::{self, Run},
     node::Node,
-    proxy::rule::{Rule, Way},
+    proxy::rule::{Direction, Rule},
     wait,
 };
 
@@ -108,7 +108,7 @@
     .await?;
     // The request itself follows the connection; one that arrives only later proves less.
     actix_rt::time::sleep(Duration::from_millis(200)).await;
-    cluster.control(&leader)?.process().thaw()?;
+    cluster.control(&leader)?.process().resume()?;
     let run = asked.await.map_err(std::io::Error::other)??;
     assert!(!run.output.contains("old"), "{run:?}");
     Ok(())
@@ -123,13 +123,13 @@
     let leader = cluster.leader().await?;
     let old = cluster.control(&leader)?.address("operators")?;
     cut(&cluster, &leader);
-    let successor = cluster.leader_besides(&[&leader]).await?;
+    let successor = cluster.leader_except(&[&leader]).await?;
     change(&cluster, "m", "new").await?;
     let asked = ctl::run(&[old], &["--timeout", "1000", "get", "model", "m"]).await?;
     assert!(!asked.output.contains("old"), "{asked:?}");
     assert!(hears || asked.code == FAILED, "{asked:?}");
     // Long enough for an isolated replica without pre-votes to raise its term several times.
-    actix_rt::time::sleep(Duration::from_millis(ELECTION * 6)).await;
+    actix_rt::time::sleep(Duration::from_millis(ELECTION_MS * 6)).await;
     let before = term(&cluster.status_of(&successor).await?);
     cluster.heal();
     let news = cluster.status_of(&successor).await?["revision"].clone();
@@ -160,11 +160,11 @@
 fn one_way(cluster: &Cluster, name: &str, away: bool) {
     let lane = |way| Rule::default().with(way, |lane| lane.stalled = true);
     let (own, theirs) = if away {
-        (Way::Up, Way::Down)
+        (Direction::Up, Direction::Down)
     } else {
-        (Way::Down, Way::Up)
+        (Direction::Down, Direction::Up)
     };
-    cluster.links(|from, to| match (from.name() == name, to.name() == name) {
+    cluster.set_link_rules(|from, to| match (from.name() == name, to.name() == name) {
         (true, false) => Some(lane(own)),
         (false, true) => Some(lane(theirs)),
         _ => None,
@@ -198,20 +198,20 @@
     for number in 0..40 {
         change(&cluster, &format!("m{number}"), "1").await?;
     }
-    cluster.next_loss_safe(true).await?;
+    cluster.wait_next_loss_safe(true).await?;
     let lost = cluster.leader().await?;
     let forgotten = cluster.replica_id(&lost).await?;
     cluster.wipe(&lost).await?;
     let address = cluster.control(&lost)?.address("operators")?;
-    cluster.leader_besides(&[&lost]).await?;
+    cluster.leader_except(&[&lost]).await?;
     let refused = ctl::run(&[address], &["bootstrap"]).await?;
     assert_eq!(refused.code, FAILED, "{refused:?}");
-    cluster.next_loss_safe(false).await?;
+    cluster.wait_next_loss_safe(false).await?;
     let fresh = cluster.replace(&lost, &forgotten).await?;
     assert_ne!(fresh, forgotten);
     let next = cluster.leader().await?;
     cluster.control(&next)?.process().kill()?;
-    cluster.leader_besides(&[&next]).await?;
+    cluster.leader_except(&[&next]).await?;
     let models = cluster.ctl(&["list", "model"]).await?.json()?;
     assert_eq!(models["records"].as_array().map(Vec::len), Some(40));
     change(&cluster, "m40", "1").await?;
@@ -227,13 +227,13 @@
     let leader = cluster.leader().await?;
     let names: Vec<String> = cluster.controls().map(|node| node.name().into()).collect();
     for name in names.iter().filter(|name| **name != leader) {
-        cluster.next_loss_safe(true).await?;
+        cluster.wait_next_loss_safe(true).await?;
         cluster.control(name)?.process().freeze()?;
         let status = cluster.ctl(&["status"]).await?.json()?;
-        cluster.control(name)?.process().thaw()?;
+        cluster.control(name)?.process().resume()?;
         assert_eq!(status["next_loss_safe"], false, "{status}");
     }
-    cluster.next_loss_safe(true).await
+    cluster.wait_next_loss_safe(true).await
 }
 
 /// Two of five control instances are cut off, a change is accepted by the other three, and the
@@ -261,15 +261,15 @@
     cluster.partition(|node| aware.iter().any(|name| *name == node.name()));
     cluster.wipe(&lost).await?;
     let knows = |node: &Node| aware.iter().any(|name| *name == node.name());
-    cluster.links(|from, to| (!knows(from) && !knows(to)).then(Rule::default));
+    cluster.set_link_rules(|from, to| (!knows(from) && !knows(to)).then(Rule::default));
     // Long enough for three that count each other as voters to elect a leader several times.
-    actix_rt::time::sleep(Duration::from_millis(ELECTION * 6)).await;
+    actix_rt::time::sleep(Duration::from_millis(ELECTION_MS * 6)).await;
     let cut = unaware[1];
     cluster.heal();
     cluster.partition(|node| node.name() == cut);
-    cluster.leader_besides(&[&lost]).await?;
+    cluster.leader_except(&[&lost]).await?;
     assert_eq!(version(&cluster, "m").await.as_deref(), Some("2"));
-    cluster.enlist(&lost).await?;
+    cluster.add_replica(&lost).await?;
     cluster
         .ctl(&["replica", "remove", &forgotten])
         .await?
@@ -284,7 +284,7 @@
         (status["commit"] == news && replicas == 5).then_some(())
     })
     .await?;
-    cluster.next_loss_safe(true).await?;
+    cluster.wait_next_loss_safe(true).await?;
     assert_eq!(version(&cluster, "m").await.as_deref(), Some("3"));
     Ok(())
 }
--- a/tests/tests/control_history.rs
+++ b/tests/tests/control_history.rs
@@ -57,11 +57,11 @@
             1 => cluster.control(&leader)?.process().freeze()?,
             _ => cluster.partition(|node| node.name() == leader),
         }
-        cluster.leader_besides(&[&leader]).await?;
+        cluster.leader_except(&[&leader]).await?;
         actix_rt::time::sleep(Duration::from_millis(300)).await;
         match fault % 3 {
             0 => cluster.control(&leader)?.restart().await?,
-            1 => cluster.control(&leader)?.process().thaw()?,
+            1 => cluster.control(&leader)?.process().resume()?,
             _ => cluster.heal(),
         }
     }
--- a/tests/tests/control_load.rs
+++ b/tests/tests/control_load.rs
@@ -9,7 +9,7 @@
 
 use zinniastall_tests::{
     Result,
-    cluster::{Cluster, ELECTION, group, model},
+    cluster::{Cluster, ELECTION_MS, group, model},
     ctl, wait,
 };
 
@@ -123,7 +123,7 @@
 async fn cut_off_leader(cluster: &Cluster) -> Result<String> {
     let leader = cluster.leader().await?;
     cluster.partition(|node| node.name() == leader);
-    actix_rt::time::sleep(Duration::from_millis(ELECTION / 2)).await;
+    actix_rt::time::sleep(Duration::from_millis(ELECTION_MS / 2)).await;
     Ok(leader)
 }
 
@@ -138,11 +138,11 @@
         load.goes_on().await?;
         let leader = cut_off_leader(&cluster).await?;
         cluster.control(&leader)?.process().kill()?;
-        cluster.leader_besides(&[&leader]).await?;
+        cluster.leader_except(&[&leader]).await?;
         load.goes_on().await?;
         cluster.heal();
         cluster.control(&leader)?.restart().await?;
-        cluster.next_loss_safe(true).await?;
+        cluster.wait_next_loss_safe(true).await?;
     }
     load.check(&cluster).await
 }
@@ -159,12 +159,12 @@
     let forgotten = cluster.replica_id(&lost).await?;
     cluster.wipe(&lost).await?;
     cluster.heal();
-    cluster.leader_besides(&[&lost]).await?;
+    cluster.leader_except(&[&lost]).await?;
     load.goes_on().await?;
     cluster.replace(&lost, &forgotten).await?;
     let next = cluster.leader().await?;
     cluster.control(&next)?.process().kill()?;
-    cluster.leader_besides(&[&next]).await?;
+    cluster.leader_except(&[&next]).await?;
     load.goes_on().await?;
     load.check(&cluster).await
 }
--- a/tests/tests/control_orders.rs
+++ b/tests/tests/control_orders.rs
@@ -111,11 +111,11 @@
     versioned(&cluster, "2").await?;
     cluster.control(&leader)?.process().event("paused").await?;
     cluster.control(&leader)?.process().freeze()?;
-    cluster.leader_besides(&[&leader]).await?;
+    cluster.leader_except(&[&leader]).await?;
     versioned(&cluster, "3").await?;
     obeys(&mut cluster, "target", "3").await?;
     std::fs::remove_file(&pause)?;
-    cluster.control(&leader)?.process().thaw()?;
+    cluster.control(&leader)?.process().resume()?;
     wait::until("the stale order", async || {
         let orders = orders(&mut cluster, "target").await.ok()?;
         let newest = orders.iter().rposition(|order| version(order) == "2")?;
--- a/tests/tests/documented.rs
+++ b/tests/tests/documented.rs
@@ -45,7 +45,7 @@
         for name in &self.headers {
             assert_ne!(answer.header(name), "", "{call}: no header {name}");
         }
-        page::fits(&self.body, &answer.json()?, call)
+        page::check_shape(&self.body, &answer.json()?, call)
     }
 }
 
@@ -76,7 +76,7 @@
             json!({"id": id, "prefix": prefix, "service": "portal", "idempotent": idempotent});
         cluster.apply(&json!({ "route": route })).await?;
     }
-    cluster.located("patras-a-1", KEY, MODEL, 2).await?;
+    cluster.wait_located("patras-a-1", KEY, MODEL, 2).await?;
     Ok(cluster)
 }
 
@@ -85,7 +85,7 @@
     let mut cluster = callers().await?;
     let address = cluster.entry("patras-a-1")?.address("callers")?;
     let room = json!({"model": MODEL, "messages": [{"role": "user", "content": "room"}]});
-    cluster.serves(address, KEY, &room).await?;
+    cluster.wait_serving(address, KEY, &room).await?;
     wait::until("the portal answering", async || {
         let answer = call(address, "GET /proofs/7").await.ok()?;
         (answer.status() == 200).then_some(())
@@ -129,7 +129,7 @@
     for (shown, got) in shown.iter().zip(&got).take(shown.len() - 1) {
         let shown: Value = serde_json::from_str(&shown.replace(",...", ""))?;
         let got: Value = serde_json::from_str(got)?;
-        page::fits(&shown["choices"], &got["choices"], "choices")?;
+        page::check_shape(&shown["choices"], &got["choices"], "choices")?;
     }
     Ok(())
 }
@@ -148,7 +148,7 @@
     };
     let answer = post("announce", announce).await?;
     assert_eq!(answer.status(), 200, "{}", answer.text());
-    page::fits(&serde_json::from_str(lease)?, &answer.json()?, "lease")?;
+    page::check_shape(&serde_json::from_str(lease)?, &answer.json()?, "lease")?;
     let mut stale: Value = serde_json::from_str(announce)?;
     stale["incarnation"] = 16.into();
     let mut empty: Value = serde_json::from_str(announce)?;
@@ -202,7 +202,7 @@
         }
         let model = cluster.ctl(&["get", "model", MODEL]).await?.answer();
         let command = command.replace("REVISION", &model["revision"].to_string());
-        let words = page::words(&command);
+        let words = page::split_command(&command);
         let words: Vec<&str> = words.iter().map(String::as_str).collect();
         let run = cluster.ctl(&words).await?;
         println!("{command}: {:?}", run.code);
--- a/tests/tests/load.rs
+++ b/tests/tests/load.rs
@@ -8,7 +8,7 @@
 
 use serde_json::{Value, json};
 use zinniastall_tests::{
-    Result, cluster::Cluster, http, node::ANY, process::Process, proxy::Proxy, settings, wait,
+    Result, cluster::Cluster, http, node::ANY_PORT, process::Process, proxy::Proxy, settings, wait,
 };
 
 const MODEL: &str = "map-labels";
@@ -21,7 +21,7 @@
 /// As [`direct`]; returns also how many connections the load tool opened.
 async fn connecting(engine: Value, change: Value) -> Result<(Value, u64)> {
     let mut engine_settings = json!({
-        "kind": "engine", "listen": ANY,
+        "kind": "engine", "listen": ANY_PORT,
         "engine": {"models": [{"model": "map-labels", "version": "1"}]},
     });
     settings::merge(&mut engine_settings, engine);
@@ -39,7 +39,7 @@
     });
     settings::merge(&mut experiment, change);
     let mut load = settings::start("load", "zinniastall-load", &experiment)?;
-    let status = load.ends().await?;
+    let status = load.wait_exit().await?;
     assert!(status.success(), "{status}");
     assert!(std::fs::read_to_string(plot)?.contains("<svg"));
     let report: Value = serde_json::from_str(&std::fs::read_to_string(report)?)?;
@@ -110,7 +110,7 @@
         "sources": [{"client": "maps", "model": "map-labels", "rate": 40, "arrivals": "fixed"}],
     });
     let mut load = settings::start("load", "zinniastall-load", &experiment)?;
-    load.ends().await?;
+    load.wait_exit().await?;
     let report: Value = serde_json::from_str(&std::fs::read_to_string(report)?)?;
     let all = &report["variants"][0]["all"];
     assert!(all["requests"].as_u64() > Some(10), "{all}");
@@ -154,7 +154,9 @@
     cluster.client("maps", "key-1").await?;
     cluster.client("studio", "key-2").await?;
     cluster.model(MODEL).await?;
-    cluster.located("patras-a-1", "key-1", MODEL, 3).await?;
+    cluster
+        .wait_located("patras-a-1", "key-1", MODEL, 3)
+        .await?;
     let mut load = under_load(&cluster, &files.path().join("report.json"))?;
     let engine = cluster.target("engine-1")?.address("http")?;
     wait::until("a run at the engine", async || {
@@ -169,7 +171,7 @@
     .await?;
     cluster.target("engine-1")?.process().kill()?;
     cluster.target("engine-1")?.restart().await?;
-    let status = load.ends().await?;
+    let status = load.wait_exit().await?;
     let report = std::fs::read_to_string(files.path().join("report.json"))?;
     assert!(status.success(), "{status}: {report}");
     let report: Value = serde_json::from_str(&report)?;
--- a/tests/tests/operator_calls.rs
+++ b/tests/tests/operator_calls.rs
@@ -95,7 +95,7 @@
     let address = cluster.entry("patras-a-1")?.address("callers")?;
     let messages = json!([{"role": "user", "content": "Which rooms are there?"}]);
     let body = json!({"model": MODEL, "max_tokens": 2, "messages": messages});
-    cluster.serves(address, KEY, &body).await?;
+    cluster.wait_serving(address, KEY, &body).await?;
     let status = print(&cluster, &["status"]).await?;
     assert_eq!(status["instances"][0]["instance"], "patras-a-1", "{status}");
     let instance = print(&cluster, &["instance", "patras-a-1"]).await?;
--- a/tests/tests/path/border.rs
+++ b/tests/tests/path/border.rs
@@ -7,7 +7,7 @@
     Result,
     http::{Answer, Request},
     log::field,
-    proxy::rule::{Rule, Way},
+    proxy::rule::{Direction, Rule},
     wait,
 };
 
@@ -20,7 +20,7 @@
 /// Patras meanwhile, and lets the link go on. Returns the answer and the request's line in the log
 /// of Athens, if it came there.
 async fn cross(cluster: &mut System, request: Request) -> Result<(Answer, Vec<String>)> {
-    let stalled = Rule::default().with(Way::Both, |lane| lane.stalled = true);
+    let stalled = Rule::default().with(Direction::Both, |lane| lane.stalled = true);
     let proxy = cluster.entry("athens-a-1")?.proxy("links")?;
     let before = proxy.opened();
     proxy.rule_for("patras-a-1", stalled);
@@ -46,7 +46,7 @@
 /// Starts Patras anew, so that it has no link for requests yet.
 async fn without_links(cluster: &mut System) -> Result<SocketAddr> {
     cluster.entry("patras-a-1")?.restart().await?;
-    cluster.located("patras-a-1", KEY, MODEL, 2).await?;
+    cluster.wait_located("patras-a-1", KEY, MODEL, 2).await?;
     cluster.entry("patras-a-1")?.address("callers")
 }
 
--- a/tests/tests/path/cold.rs
+++ b/tests/tests/path/cold.rs
@@ -44,7 +44,7 @@
             .await?;
     }
     configure(&mut cluster).await?;
-    cluster.located("patras-a-1", KEY, MODEL, 2).await?;
+    cluster.wait_located("patras-a-1", KEY, MODEL, 2).await?;
     let address = cluster.entry("patras-a-1")?.address("callers")?;
     serving(address, "engine-1").await?;
     cluster.target("engine-1")?.process().kill()?;
--- a/tests/tests/path/drain.rs
+++ b/tests/tests/path/drain.rs
@@ -75,7 +75,7 @@
         cluster
             .target("engine-1")?
             .process()
-            .ends()
+            .wait_exit()
             .await?
             .success()
     );
--- a/tests/tests/path/entry_lost.rs
+++ b/tests/tests/path/entry_lost.rs
@@ -21,7 +21,7 @@
 /// Reads a stream and counts its events; returns its text and whether it ended.
 async fn read(request: Request, seen: Rc<Cell<usize>>) -> Result<(String, bool)> {
     let (_, events) = request.stream().await?;
-    http::content_by(events, |count| seen.set(count)).await
+    http::content_with(events, |count| seen.set(count)).await
 }
 
 /// Loses an instance when the engine has stopped at a point of a stream, and asks again at the other
@@ -64,7 +64,7 @@
         assert_eq!(again, (expected(PROMPT, TOKENS), true));
     }
     if freeze {
-        cluster.entry("patras-a-1")?.process().thaw()?;
+        cluster.entry("patras-a-1")?.process().resume()?;
     }
     // The engine says nothing more, so a first answer that is whole must come from its resumption.
     if let Ok((text, done)) = reading.await.map_err(std::io::Error::other)? {
--- a/tests/tests/path/forward.rs
+++ b/tests/tests/path/forward.rs
@@ -8,7 +8,7 @@
     cluster::Cluster,
     http,
     log::field,
-    proxy::rule::{Rule, Way},
+    proxy::rule::{Direction, Rule},
     wait,
 };
 
@@ -35,10 +35,10 @@
         .await?;
     configure(&mut cluster).await?;
     cluster.residency(CLIENT, &["patras", "athens"]).await?;
-    cluster.located("patras-a-1", KEY, MODEL, 2).await?;
+    cluster.wait_located("patras-a-1", KEY, MODEL, 2).await?;
     let address = cluster.entry("patras-a-1")?.address("callers")?;
     cluster
-        .serves(address, KEY, &chat("probe", 1, false))
+        .wait_serving(address, KEY, &chat("probe", 1, false))
         .await?;
     Ok(cluster)
 }
@@ -144,7 +144,7 @@
     cluster.residency(CLIENT, &["patras", "athens"]).await?;
     let address = cluster.entry("patras-a-1")?.address("callers")?;
     cluster
-        .serves(address, KEY, &chat("probe", 1, false))
+        .wait_serving(address, KEY, &chat("probe", 1, false))
         .await?;
     let long = |number| chat(&format!("long {number}"), 150, false);
     let flying: Vec<_> = (0..4)
@@ -182,8 +182,8 @@
 async fn stricter_of_two_revisions_wins() -> Result<()> {
     let mut cluster = regions().await?;
     let address = cluster.entry("patras-a-1")?.address("callers")?;
-    let stalled = Rule::default().with(Way::Both, |lane| lane.stalled = true);
-    cluster.links(|from, to| {
+    let stalled = Rule::default().with(Direction::Both, |lane| lane.stalled = true);
+    cluster.set_link_rules(|from, to| {
         let ends = [from.name(), to.name()];
         let cut = ends.contains(&"control-1") && ends.contains(&"patras-a-1");
         cut.then_some(stalled)
@@ -226,7 +226,7 @@
     })
     .await?;
     for entry in ["athens-a-1", "patras-a-1"] {
-        cluster.entry(entry)?.proxy("links")?.stall(Way::Both);
+        cluster.entry(entry)?.proxy("links")?.stall(Direction::Both);
     }
     cluster.partition(|node| node.region() == "athens");
     let cut = Instant::now();
@@ -242,7 +242,9 @@
         .engine("engine-2", ("patras", "a"), MODEL, json!({}))
         .await?;
     for address in [far, address] {
-        cluster.serves(address, KEY, &chat("own", 2, false)).await?;
+        cluster
+            .wait_serving(address, KEY, &chat("own", 2, false))
+            .await?;
         for number in 0..5 {
             let answer = ask(address, &chat(&format!("request {number}"), 2, false));
             assert_eq!(answer.send().await?.status(), 200);
--- a/tests/tests/path/forwarded.rs
+++ b/tests/tests/path/forwarded.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use serde_json::json;
-use zinniastall_tests::{Result, http, proxy::rule::Way, wait};
+use zinniastall_tests::{Result, http, proxy::rule::Direction, wait};
 
 use super::{
     forward::{regions, regions_with},
@@ -59,7 +59,7 @@
     let mut cluster = regions_with(json!({"engine": {"token_us": 1}}), json!({})).await?;
     let address = cluster.entry("patras-a-1")?.address("callers")?;
     let proxy = cluster.entry("athens-a-1")?.proxy("links")?;
-    proxy.rate(Way::Down, 48 << 10);
+    proxy.rate(Direction::Down, 48 << 10);
     let body = chat("a long proposal", 1000, true);
     let (_, events) = ask(address, &body).stream().await?;
     let reading = actix_rt::spawn(http::content(events));
--- a/tests/tests/path/frames.rs
+++ b/tests/tests/path/frames.rs
@@ -4,7 +4,7 @@
 
 use zinniastall_tests::{
     Result, http,
-    proxy::{frames::Frames, rule::Way},
+    proxy::{frames::Frames, rule::Direction},
 };
 use zinniastall_wire::stream::Message;
 
@@ -20,7 +20,7 @@
 
 /// Puts a relay before Athens that changes the frames of the request [`ID`].
 async fn changing(
-    mut change: impl FnMut(Way, Message) -> Vec<Message> + Send + 'static,
+    mut change: impl FnMut(Direction, Message) -> Vec<Message> + Send + 'static,
 ) -> Result<(System, Frames)> {
     let mut cluster = regions().await?;
     let mut marked = None;
@@ -44,14 +44,14 @@
     proxy.reset();
     let address = cluster.entry("patras-a-1")?.address("callers")?;
     let probe = chat("probe through the relay", 1, false);
-    cluster.serves(address, KEY, &probe).await?;
+    cluster.wait_serving(address, KEY, &probe).await?;
     Ok((cluster, frames))
 }
 
 /// Asks again over the same link. A region that has broken an answer is left alone for a while.
 async fn next_is_whole(cluster: &System, address: SocketAddr) -> Result<()> {
     cluster
-        .serves(address, KEY, &chat("probe", 1, false))
+        .wait_serving(address, KEY, &chat("probe", 1, false))
         .await?;
     let (_, events) = ask(address, &chat("the next", 3, true)).stream().await?;
     let answer = http::content(events).await?;
@@ -119,7 +119,7 @@
         move |way, message| match message {
             Message::Data { .. } => held.replace(message).into_iter().collect(),
             Message::End { .. } => std::iter::once(message).chain(held.take()).collect(),
-            _ if way == Way::Up => vec![message],
+            _ if way == Direction::Up => vec![message],
             _ => held.take().into_iter().chain([message]).collect(),
         }
     };
@@ -149,7 +149,7 @@
                     opened = Some(Message::Open(open.clone()));
                 }
                 ended |= matches!(message, Message::End { .. });
-                let due = way == Way::Up && (ended || !$late);
+                let due = way == Direction::Up && (ended || !$late);
                 let double = due.then(|| opened.take()).flatten();
                 if double.is_some() {
                     let _ = again.send(());
--- a/tests/tests/path/hops.rs
+++ b/tests/tests/path/hops.rs
@@ -148,7 +148,7 @@
         cluster.entry(&entry)?.process().event("zone-heard").await?;
         let address = cluster.entry(&entry)?.address("callers")?;
         cluster
-            .serves(address, KEY, &chat("probe", 1, false))
+            .wait_serving(address, KEY, &chat("probe", 1, false))
             .await?;
         addresses.push(address);
     }
--- a/tests/tests/path/once.rs
+++ b/tests/tests/path/once.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use serde_json::json;
-use zinniastall_tests::{Result, http, proxy::rule::Way, wait};
+use zinniastall_tests::{Result, http, proxy::rule::Direction, wait};
 
 use super::support::{
     CHAT, KEY, ONCE, ask, ask_once, chat, error, expected, runs, text, ticket, zone,
@@ -53,7 +53,7 @@
     let second = cluster.entry("patras-a-2")?.address("callers")?;
     let (ticket, body) = (ticket(first).await?, chat("a billed proposal", 4, false));
     let proxy = cluster.entry("patras-a-1")?.proxy("callers")?;
-    proxy.cut_after(Way::Down, 20);
+    proxy.cut_after(Direction::Down, 20);
     let lost = ask_once(first, &ticket, &body).send().await;
     assert!(lost.is_err(), "the proxy let the answer pass");
     proxy.heal();
@@ -113,7 +113,7 @@
     cluster.entry("patras-a-1")?.restart().await?;
     let address = cluster.entry("patras-a-1")?.address("callers")?;
     cluster
-        .serves(address, KEY, &chat("probe", 1, false))
+        .wait_serving(address, KEY, &chat("probe", 1, false))
         .await?;
     let answer = ask_once(address, &ticket, &body).send().await?;
     assert_eq!(error(&answer).0, "unknown", "{}", answer.text());
@@ -136,7 +136,7 @@
         .await?;
     assert_eq!(error(&answer).0, "unknown", "{}", answer.text());
     assert_eq!(ran(&mut cluster, &body).await?, 0);
-    cluster.entry("patras-a-1")?.process().thaw()?;
+    cluster.entry("patras-a-1")?.process().resume()?;
     let what = "the issuer answering again";
     wait::until(what, async || {
         let request = http::post(first, CHAT).key(KEY).json(&body);
--- a/tests/tests/path/overtake.rs
+++ b/tests/tests/path/overtake.rs
@@ -5,7 +5,7 @@
 use serde_json::json;
 use zinniastall_tests::{
     Result,
-    proxy::rule::{Rule, Way},
+    proxy::rule::{Direction, Rule},
 };
 
 use super::support::{CLIENT, KEY, ask, chat, error};
@@ -28,8 +28,8 @@
         .ctl(&["--wait", "10000", "apply", &withdraw])
         .await?;
     withdrawn.json()?;
-    let slow = Rule::default().with(Way::Both, |lane| lane.delay = LATE);
-    cluster.links(|from, to| {
+    let slow = Rule::default().with(Direction::Both, |lane| lane.delay = LATE);
+    cluster.set_link_rules(|from, to| {
         let far = from.name() == "athens-a-1" && to.name().starts_with("control");
         far.then_some(slow)
     });
--- a/tests/tests/path/poison.rs
+++ b/tests/tests/path/poison.rs
@@ -28,7 +28,7 @@
     }
     let mut ended = 0;
     for name in &names {
-        ended += usize::from(cluster.target(name)?.process().ended().is_some());
+        ended += usize::from(cluster.target(name)?.process().exit_status().is_some());
     }
     assert!(ended <= LIMIT, "{ended} engines ended");
     Ok(())
--- a/tests/tests/path/races.rs
+++ b/tests/tests/path/races.rs
@@ -97,7 +97,7 @@
         } else {
             node.process().freeze()?;
             tokio::time::sleep(Duration::from_millis(pause * 4)).await;
-            node.process().thaw()?;
+            node.process().resume()?;
         }
     }
     Ok(())
--- a/tests/tests/path/support.rs
+++ b/tests/tests/path/support.rs
@@ -80,7 +80,7 @@
     }
     configure(&mut cluster).await?;
     for entry in ["patras-a-1", "patras-a-2"] {
-        cluster.located(entry, KEY, MODEL, 2).await?;
+        cluster.wait_located(entry, KEY, MODEL, 2).await?;
         knows(&mut cluster, entry, engines.len()).await?;
     }
     Ok(cluster)
@@ -145,7 +145,7 @@
 
 /// Waits until an instance has ended by itself, without having cut a request.
 pub(crate) async fn ends_well(cluster: &mut System, entry: &str) -> Result<()> {
-    let status = cluster.entry(entry)?.process().ends().await?;
+    let status = cluster.entry(entry)?.process().wait_exit().await?;
     assert!(status.success(), "{entry}: {status}");
     let cut = cluster.entry(entry)?.process().log().events("drain-cut");
     assert!(cut.is_empty(), "{cut:?}");
--- a/tests/tests/path/together.rs
+++ b/tests/tests/path/together.rs
@@ -95,7 +95,7 @@
     let answer = again().await?;
     assert_eq!(error(&answer).0, "unknown", "{}", answer.text());
     cluster.partition(|node| node.region() == "athens");
-    cluster.entry("athens-a-1")?.process().thaw()?;
+    cluster.entry("athens-a-1")?.process().resume()?;
     let answer = again().await?;
     assert_eq!(error(&answer).0, "unknown", "{}", answer.text());
     let first = reading.await.map_err(std::io::Error::other)??;
--- a/tests/tests/proxy.rs
+++ b/tests/tests/proxy.rs
@@ -10,7 +10,7 @@
     proxy::{
         Proxy,
         callers::Callers,
-        rule::{Rule, Way},
+        rule::{Direction, Rule},
     },
     wait,
 };
@@ -83,9 +83,9 @@
 }
 
 stalls! {
-    stall_up_is_silent: Way::Up;
-    stall_down_is_silent: Way::Down;
-    stall_both_is_silent: Way::Both;
+    stall_up_is_silent: Direction::Up;
+    stall_down_is_silent: Direction::Down;
+    stall_both_is_silent: Direction::Both;
 }
 
 #[test]
@@ -115,7 +115,7 @@
 fn delay_holds_each_byte() {
     let (proxy, mut stream) = proxied();
     answers(&mut stream, BOUND).unwrap();
-    proxy.delay(Way::Both, Duration::from_millis(50));
+    proxy.delay(Direction::Both, Duration::from_millis(50));
     let start = Instant::now();
     answers(&mut stream, BOUND).unwrap();
     assert!(start.elapsed() >= Duration::from_millis(100));
@@ -124,7 +124,7 @@
 #[test]
 fn rate_limits_bytes() {
     let (proxy, mut stream) = proxied();
-    proxy.rate(Way::Up, 100_000);
+    proxy.rate(Direction::Up, 100_000);
     let start = Instant::now();
     let mut bytes = vec![0; 50_000];
     stream.write_all(&bytes).unwrap();
@@ -136,7 +136,7 @@
 #[test]
 fn cut_after_lets_exactly_that_much_pass() {
     let (proxy, mut stream) = proxied();
-    proxy.cut_after(Way::Down, 3);
+    proxy.cut_after(Direction::Down, 3);
     stream.write_all(b"abcdef").unwrap();
     stream.set_read_timeout(Some(BOUND)).unwrap();
     stream.read_exact(&mut [0; 3]).unwrap();
@@ -157,7 +157,7 @@
 /// Rules for one calling process leave others alone: that is how a zone is cut off.
 #[actix_rt::test]
 async fn callers_are_told_apart() {
-    let stalled = Rule::default().with(Way::Both, |lane| lane.stalled = true);
+    let stalled = Rule::default().with(Direction::Both, |lane| lane.stalled = true);
     let callers = Callers::default();
     let own = |(): &()| std::process::id();
     callers.start("this test", || Ok::<_, ()>(()), own).unwrap();
@@ -178,7 +178,7 @@
 /// for a stranger, its connection would pass the cut, and the test would fail on a machine that is busy.
 #[actix_rt::test]
 async fn a_process_that_dials_at_its_start_is_told_apart() {
-    let stalled = Rule::default().with(Way::Both, |lane| lane.stalled = true);
+    let stalled = Rule::default().with(Direction::Both, |lane| lane.stalled = true);
     let callers = Callers::default();
     let proxy = Proxy::bind_for(&callers).unwrap();
     proxy.upstream(echo());
@@ -201,14 +201,14 @@
     let proxy = Proxy::bind().unwrap();
     let listener = TcpListener::bind(("127.0.0.1", 0)).unwrap();
     proxy.upstream(listener.local_addr().unwrap());
-    proxy.stall(Way::Both);
+    proxy.stall(Direction::Both);
     let mut first = TcpStream::connect(proxy.address()).unwrap();
     first.write_all(b"first").unwrap();
     drop(first);
     let mut second = TcpStream::connect(proxy.address()).unwrap();
     second.write_all(b"second").unwrap();
     wait::until("both dials, and one given up", async || {
-        (proxy.opened() == 2 && proxy.given_up() == 1).then_some(())
+        (proxy.opened() == 2 && proxy.abandoned() == 1).then_some(())
     })
     .await
     .unwrap();
--- a/tests/tests/routing_calls.rs
+++ b/tests/tests/routing_calls.rs
@@ -123,7 +123,7 @@
     let builder = Cluster::builder().zone("patras", "a", 1).replicas(3);
     let builder = builder.control(json!({"group": {"heals": true}}));
     let mut cluster = builder.start().await?;
-    cluster.next_loss_safe(true).await?;
+    cluster.wait_next_loss_safe(true).await?;
     let mut number = 10;
     for lost in ["control-2", "control-3", "control-1"] {
         let before = cluster.replica_id(lost).await?;
--- a/tests/tests/spread/instances.rs
+++ b/tests/tests/spread/instances.rs
@@ -23,14 +23,14 @@
         .await?;
     let serving = ("target-serving", "target", "engine-spare");
     for entry in ["athens-a-1", "athens-a-2", "athens-a-3"] {
-        logged(&cluster, entry, serving, 1, wait::BOUND).await?;
+        logged(&cluster, entry, serving, 1, wait::TIMEOUT).await?;
     }
     cluster.entry("athens-a-2")?.process().freeze()?;
     lists(&cluster, "athens-a-1", &["athens-a-1", "athens-a-3"]).await?;
     cluster.target("engine-spare")?.process().kill()?;
     let gone = ("target-gone", "target", "engine-spare");
     logged(&cluster, "athens-a-1", gone, 1, Duration::from_secs(10)).await?;
-    cluster.entry("athens-a-2")?.process().thaw()?;
+    cluster.entry("athens-a-2")?.process().resume()?;
     logged(&cluster, "athens-a-2", gone, 1, Duration::from_secs(2)).await?;
     assert_eq!(
         times(&cluster, "athens-a-2", serving),
--- a/tests/tests/spread/system.rs
+++ b/tests/tests/spread/system.rs
@@ -9,7 +9,7 @@
     http,
     log::field,
     node::Node,
-    proxy::rule::{Rule, Way},
+    proxy::rule::{Direction, Rule},
     wait,
 };
 
@@ -115,11 +115,11 @@
     to: impl Fn(&Node) -> bool,
 ) {
     let one_way = |way| Rule::default().with(way, |lane| lane.stalled = true);
-    cluster.links(|caller, called| {
+    cluster.set_link_rules(|caller, called| {
         match (from(caller) && to(called), to(caller) && from(called)) {
-            (true, true) => Some(one_way(Way::Both)),
-            (true, false) => Some(one_way(Way::Up)),
-            (false, true) => Some(one_way(Way::Down)),
+            (true, true) => Some(one_way(Direction::Both)),
+            (true, false) => Some(one_way(Direction::Up)),
+            (false, true) => Some(one_way(Direction::Down)),
             (false, false) => None,
         }
     });
--- a/tests/tests/spread/targets.rs
+++ b/tests/tests/spread/targets.rs
@@ -107,7 +107,7 @@
         .await?;
     let serving = ("target-serving", "target", "engine-leaving");
     for entry in ["athens-a-1", "athens-a-2"] {
-        logged(&cluster, entry, serving, 1, wait::BOUND).await?;
+        logged(&cluster, entry, serving, 1, wait::TIMEOUT).await?;
     }
     let load = Load::start(&mut cluster, &["athens-a-1", "athens-a-2"]).await?;
     load.answered(40).await?;
--- a/tests/tests/whole_path.rs
+++ b/tests/tests/whole_path.rs
@@ -21,14 +21,14 @@
     }
     cluster.client("maps", KEY).await?;
     cluster.model(MODEL).await?;
-    cluster.located("patras-a-1", KEY, MODEL, 2).await?;
+    cluster.wait_located("patras-a-1", KEY, MODEL, 2).await?;
     let body = json!({
         "model": MODEL, "stream": true, "max_tokens": 8,
         "messages": [{"role": "user", "content": "Which rooms are there?"}],
     });
     for entry in ["patras-a-1", "patras-b-1"] {
         let address = cluster.entry(entry)?.address("callers")?;
-        cluster.serves(address, KEY, &body).await?;
+        cluster.wait_serving(address, KEY, &body).await?;
         let request = http::post(address, "/v1/chat/completions").key(KEY);
         let (head, events) = request.json(&body).stream().await?;
         assert_eq!(head.status, 200);
@@ -58,7 +58,7 @@
     cluster.model(MODEL).await?;
     let address = cluster.entry("patras-a-1")?.address("callers")?;
     let body = json!({"model": MODEL, "messages": [{"role": "user", "content": "room"}]});
-    cluster.serves(address, KEY, &body).await?;
+    cluster.wait_serving(address, KEY, &body).await?;
     let id = cluster.entry("patras-a-1")?.process().id();
     let rest = usage::memory(id)?;
     let (callers, each) = FLOOD;
@@ -73,6 +73,6 @@
     let used = usage::memory(id)?.saturating_sub(rest);
     println!("{callers} endless heads: {used} bytes");
     assert!(used < each * callers as u64, "{used} bytes");
-    cluster.serves(address, KEY, &body).await?;
+    cluster.wait_serving(address, KEY, &body).await?;
     cluster.stop().await
 }
--- a/xtask/examples/control_capacity/main.rs
+++ b/xtask/examples/control_capacity/main.rs
@@ -22,22 +22,22 @@
 };
 
 /// Relays of each case; the first is the target size, at which calls are measured as well.
-const CASES: [usize; 3] = [134, 67, 0];
+const RELAY_COUNTS: [usize; 3] = [134, 67, 0];
 /// Instances that a relay speaks for: 1,700 over 134.
-const INSTANCES: usize = 13;
+const INSTANCES_PER_RELAY: usize = 13;
 /// Clients and models of the target size.
 const CLIENTS: usize = 460;
 const MODELS: usize = 28;
 /// Time at rest, and changes that are spread over the same time.
-const RUN: Duration = Duration::from_secs(10);
+const RUN_TIME: Duration = Duration::from_secs(10);
 const CHANGES: u32 = 50;
 /// Calls of each kind.
-const CALLS: u32 = 20;
+const CALLS_PER_KIND: u32 = 20;
 
 #[actix_rt::main]
 async fn main() -> Result<()> {
     zinniastall_tests::binary::use_folder("target/release".into());
-    for relays in CASES {
+    for relays in RELAY_COUNTS {
         case(relays).await?;
     }
     Ok(())
@@ -51,14 +51,14 @@
         .await?;
     configure(&cluster).await?;
     let followers = follow(&mut cluster, relays).await?;
-    joined(&cluster, relays * INSTANCES).await?;
-    if relays == CASES[0] {
-        calls(&cluster).await?;
+    wait_joined(&cluster, relays * INSTANCES_PER_RELAY).await?;
+    if relays == RELAY_COUNTS[0] {
+        measure_calls(&cluster).await?;
     }
     let leader = cluster.leader().await?;
-    let first = look(&cluster)?;
-    actix_rt::time::sleep(RUN).await;
-    let second = look(&cluster)?;
+    let first = sample(&cluster)?;
+    actix_rt::time::sleep(RUN_TIME).await;
+    let second = sample(&cluster)?;
     let begun = Instant::now();
     for change in 0..CHANGES {
         cluster
@@ -67,10 +67,10 @@
                 &change.to_string(),
             ))?)
             .await?;
-        actix_rt::time::sleep(RUN / CHANGES).await;
+        actix_rt::time::sleep(RUN_TIME / CHANGES).await;
     }
     let took = begun.elapsed();
-    let third = look(&cluster)?;
+    let third = sample(&cluster)?;
     for ((name, first), ((_, second), (_, third))) in
         first.iter().zip(second.iter().zip(third.iter()))
     {
@@ -115,7 +115,10 @@
     let one = |number: usize| {
         let address = Rc::clone(&addresses[number % addresses.len()]);
         actix_rt::spawn(async move {
-            if let Err(error) = Relay::new(number, INSTANCES).follow(address).await {
+            if let Err(error) = Relay::new(number, INSTANCES_PER_RELAY)
+                .follow(address)
+                .await
+            {
                 println!("relay {number} ended: {error}");
             }
         })
@@ -124,7 +127,7 @@
 }
 
 /// Waits until all instances are members and have the newest revision in force.
-async fn joined(cluster: &Cluster, wanted: usize) -> Result<()> {
+async fn wait_joined(cluster: &Cluster, wanted: usize) -> Result<()> {
     let begun = Instant::now();
     wait::within(
         Duration::from_mins(2),
@@ -147,38 +150,32 @@
 
 /// What one replica has used at a moment.
 #[derive(Debug, Clone, Copy)]
-struct Look {
-    processor: Duration,
+struct Sample {
+    cpu_time: Duration,
     memory: u64,
     traffic: traffic::Traffic,
 }
 
-fn look(cluster: &Cluster) -> Result<Vec<(String, Look)>> {
-    let traffic = traffic::look()?;
+fn sample(cluster: &Cluster) -> Result<Vec<(String, Sample)>> {
+    let traffic = traffic::sample()?;
     let of = |node: &zinniastall_tests::node::Node| {
         let id = node.running().id();
-        let look = Look {
-            processor: usage::processor(id)?,
+        let sample = Sample {
+            cpu_time: usage::cpu_time(id)?,
             memory: usage::memory(id)?,
             traffic: traffic.get(&id).copied().unwrap_or_default(),
         };
-        Ok((node.name().to_owned(), look))
+        Ok((node.name().to_owned(), sample))
     };
     cluster.controls().map(of).collect()
 }
 
 #[expect(clippy::cast_precision_loss, reason = "figures for people")]
-fn report(relays: usize, role: &str, looks: [&Look; 3], took: Duration) {
-    let [first, second, third] = looks;
-    let at_rest = second
-        .processor
-        .saturating_sub(first.processor)
-        .as_secs_f64();
-    let busy = third
-        .processor
-        .saturating_sub(second.processor)
-        .as_secs_f64();
-    let (run, took) = (RUN.as_secs_f64(), took.as_secs_f64());
+fn report(relays: usize, role: &str, samples: [&Sample; 3], took: Duration) {
+    let [first, second, third] = samples;
+    let at_rest = second.cpu_time.saturating_sub(first.cpu_time).as_secs_f64();
+    let busy = third.cpu_time.saturating_sub(second.cpu_time).as_secs_f64();
+    let (run, took) = (RUN_TIME.as_secs_f64(), took.as_secs_f64());
     let rest = second.traffic.since(&first.traffic);
     let changing = third.traffic.since(&second.traffic);
     let over_rest =
@@ -201,7 +198,7 @@
 }
 
 /// Measures calls from the command line: each is a process of its own.
-async fn calls(cluster: &Cluster) -> Result<()> {
+async fn measure_calls(cluster: &Cluster) -> Result<()> {
     let changing = model("called", "1");
     let kinds: [(&str, &[&str]); 3] = [
         ("get", &["get", "client", "client-1"]),
@@ -209,31 +206,31 @@
         ("status", &["status"]),
     ];
     for (kind, arguments) in kinds {
-        let (mut times, before, opened) = (Vec::new(), children()?, opened(cluster)?);
-        for _ in 0..CALLS {
+        let (mut times, before, opened) = (Vec::new(), children_cpu_time()?, opened(cluster)?);
+        for _ in 0..CALLS_PER_KIND {
             let begun = Instant::now();
             cluster.ctl(arguments).await?.json()?;
             times.push(begun.elapsed());
         }
         times.sort_unstable();
-        let after = children()?;
+        let after = children_cpu_time()?;
         let connections = opened_since(cluster, opened)?;
-        let peak = peak(&cluster.operators(), arguments)?;
+        let peak = peak_memory(&cluster.operators(), arguments)?;
         println!(
-            "call {kind} calls={CALLS} p50={:.1?} max={:.1?} processor_ms={:.2} memory_kb={} \
+            "call {kind} calls={CALLS_PER_KIND} p50={:.1?} max={:.1?} processor_ms={:.2} memory_kb={} \
              connections={:.1}",
             times[times.len() / 2],
             times[times.len() - 1],
-            (after.saturating_sub(before) / CALLS).as_secs_f64() * 1e3,
+            (after.saturating_sub(before) / CALLS_PER_KIND).as_secs_f64() * 1e3,
             peak,
-            f64::from(u32::try_from(connections).unwrap_or(u32::MAX)) / f64::from(CALLS),
+            f64::from(u32::try_from(connections).unwrap_or(u32::MAX)) / f64::from(CALLS_PER_KIND),
         );
     }
     Ok(())
 }
 
 /// Returns the processor time of children that have ended.
-fn children() -> Result<Duration> {
+fn children_cpu_time() -> Result<Duration> {
     let usage = getrusage(UsageWho::RUSAGE_CHILDREN).map_err(std::io::Error::from)?;
     let micros = |time: nix::sys::time::TimeVal| {
         let seconds = u64::try_from(time.tv_sec()).unwrap_or_default();
@@ -246,7 +243,7 @@
 ///
 /// The kernel's figure for ended children holds what this process had when it started them, so the
 /// call is looked at while it runs; the last look counts.
-fn peak(addresses: &[SocketAddr], arguments: &[&str]) -> Result<u64> {
+fn peak_memory(addresses: &[SocketAddr], arguments: &[&str]) -> Result<u64> {
     let list: Vec<String> = addresses.iter().map(SocketAddr::to_string).collect();
     let mut child = Command::new(zinniastall_tests::binary::path("zinniastall-ctl")?)
         .args(["--address", &list.join(",")])
--- a/xtask/examples/control_capacity/relay.rs
+++ b/xtask/examples/control_capacity/relay.rs
@@ -13,12 +13,12 @@
 };
 
 /// Time between two looks at what is new, as in a real relay.
-const NEWS: Duration = Duration::from_millis(50);
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 /// Looks between two signs of life, and between two repetitions of everything.
-const LIFE: u32 = 20;
-const EVERYTHING: u32 = 200;
+const TICKS_PER_HEARTBEAT: u32 = 20;
+const TICKS_PER_FULL_CONFIRMATION: u32 = 200;
 /// Looks between two presentations of instances that aren't members yet.
-const JOIN: u32 = 10;
+const TICKS_PER_PRESENTATION: u32 = 10;
 
 /// A relay with the instances that it speaks for.
 #[derive(Debug)]
@@ -73,41 +73,41 @@
             member,
         };
         feed::send(&mut sender, from).await?;
-        let mut looks = time::interval(NEWS);
-        let mut told = 0;
-        for look in 0_u32.. {
+        let mut ticks = time::interval(POLL_INTERVAL);
+        let mut confirmed = 0;
+        for tick in 0_u32.. {
             loop {
                 tokio::select! {
-                    message = feed::receive(&mut receiver) => self.take(message?),
-                    _ = looks.tick() => break,
+                    message = feed::receive(&mut receiver) => self.apply(message?),
+                    _ = ticks.tick() => break,
                 }
             }
-            if look % JOIN == 0 {
+            if tick % TICKS_PER_PRESENTATION == 0 {
                 self.present(&mut sender).await?;
             }
-            if self.revision > told || look % EVERYTHING == 0 {
-                told = self.revision;
+            if self.revision > confirmed || tick % TICKS_PER_FULL_CONFIRMATION == 0 {
+                confirmed = self.revision;
                 self.confirm(&mut sender, self.members.len()).await?;
-            } else if look % LIFE == 0 {
+            } else if tick % TICKS_PER_HEARTBEAT == 0 {
                 self.confirm(&mut sender, 1).await?;
             }
         }
         Ok(())
     }
 
-    fn take(&mut self, message: Message) {
+    fn apply(&mut self, message: Message) {
         match message {
             Message::Snapshot(state) => {
                 self.revision = state.revision;
                 for name in state.members.keys() {
-                    self.note(name);
+                    self.add_known(name);
                 }
             }
             Message::Changes(changes) => {
                 for (revision, change) in changes {
                     self.revision = revision;
                     if let Body::Join(member) = change.body {
-                        self.note(&member.instance);
+                        self.add_known(&member.instance);
                     }
                 }
             }
@@ -115,7 +115,7 @@
         }
     }
 
-    fn note(&mut self, name: &str) {
+    fn add_known(&mut self, name: &str) {
         if self.members.iter().any(|member| member.instance == name) {
             self.known.insert(name.to_owned());
         }
@@ -129,14 +129,18 @@
         Ok(())
     }
 
-    async fn confirm(&self, sender: &mut Sender, words: usize) -> Result<(), Error> {
-        let members = self.members.iter().take(words);
-        let word = |member: &Member| Confirmation {
+    async fn confirm(&self, sender: &mut Sender, count: usize) -> Result<(), Error> {
+        let members = self.members.iter().take(count);
+        let confirmation = |member: &Member| Confirmation {
             instance: member.instance.clone(),
             incarnation: 1,
             revision: self.revision,
             draining: false,
         };
-        feed::send(sender, Message::Confirm(members.map(word).collect())).await
+        feed::send(
+            sender,
+            Message::Confirm(members.map(confirmation).collect()),
+        )
+        .await
     }
 }
--- a/xtask/examples/control_capacity/traffic.rs
+++ b/xtask/examples/control_capacity/traffic.rs
@@ -5,7 +5,7 @@
 use zinniastall_tests::Result;
 
 /// Bytes of headers that a segment takes on the wire, as docs/CAPACITY.md counts them.
-const HEADERS: u64 = 70;
+const HEADER_BYTES: u64 = 70;
 
 /// Segments and bytes over the open sockets of a process.
 #[derive(Debug, Default, Clone, Copy)]
@@ -18,7 +18,7 @@
 impl Traffic {
     /// Returns the bytes sent with the headers of their segments.
     pub(crate) const fn on_the_wire(&self) -> u64 {
-        self.sent_bytes + HEADERS * self.sent_segments
+        self.sent_bytes + HEADER_BYTES * self.sent_segments
     }
 
     /// Returns what came after an earlier look; sockets that closed in between would be missing.
@@ -36,7 +36,7 @@
 /// # Errors
 ///
 /// Fails when `ss` cannot be run.
-pub(crate) fn look() -> Result<HashMap<u32, Traffic>> {
+pub(crate) fn sample() -> Result<HashMap<u32, Traffic>> {
     let output = Command::new("ss").args(["-tinpHO"]).output()?;
     let mut traffic: HashMap<u32, Traffic> = HashMap::new();
     for line in String::from_utf8_lossy(&output.stdout).lines() {
--- a/xtask/examples/control_cost.rs
+++ b/xtask/examples/control_cost.rs
@@ -17,20 +17,20 @@
 use zinniastall_tests::{
     Result,
     cluster::Cluster,
-    proxy::rule::{Rule, Way},
+    proxy::rule::{Direction, Rule},
     usage, wait,
 };
 
 /// Time that each way between two regions takes on the emulated slow link.
-const SLOW: Duration = Duration::from_millis(40);
+const REGION_DELAY: Duration = Duration::from_millis(40);
 /// Time for which each load runs.
-const RUN: Duration = Duration::from_secs(5);
+const RUN_TIME: Duration = Duration::from_secs(5);
 /// Changes whose way into force is timed.
-const TIMED: usize = 100;
+const TIMED_CHANGES: usize = 100;
 /// Losses of a leader that are timed.
-const LOSSES: usize = 5;
+const LEADER_LOSSES: usize = 5;
 /// Changes over which a follower's processor time is taken.
-const COSTED: usize = 2_000;
+const CPU_CHANGES: usize = 2_000;
 
 type Client = OperatorClient<Channel>;
 
@@ -40,10 +40,10 @@
     for slow in [false, true] {
         commits(slow).await?;
     }
-    losses().await?;
-    cost().await?;
-    force(false).await?;
-    force(true).await
+    leader_losses().await?;
+    follower_cost().await?;
+    time_to_force(false).await?;
+    time_to_force(true).await
 }
 
 async fn cluster(slow: bool, entries: usize) -> Result<Cluster> {
@@ -60,8 +60,8 @@
         .zone("thessaloniki", "a", entries)
         .start()
         .await?;
-    let delayed = Rule::default().with(Way::Both, |lane| lane.delay = SLOW);
-    cluster.links(|from, to| (slow && from.region() != to.region()).then_some(delayed));
+    let delayed = Rule::default().with(Direction::Both, |effect| effect.delay = REGION_DELAY);
+    cluster.set_link_rules(|from, to| (slow && from.region() != to.region()).then_some(delayed));
     Ok(cluster)
 }
 
@@ -118,7 +118,7 @@
                     let mut taken = times.take();
                     taken.push(begun.elapsed());
                     times.set(taken);
-                    if start.elapsed() > RUN {
+                    if start.elapsed() > RUN_TIME {
                         return;
                     }
                 }
@@ -140,12 +140,12 @@
 }
 
 /// Times changes until every instance has confirmed them, from sending to the answer.
-async fn force(slow: bool) -> Result<()> {
+async fn time_to_force(slow: bool) -> Result<()> {
     let mut cluster = cluster(slow, 3).await?;
-    members(&cluster, 9).await?;
+    wait_current(&cluster, 9).await?;
     let mut client = client(&mut cluster).await?;
     let (mut whole, mut commit) = (Vec::new(), Vec::new());
-    for number in 0..TIMED {
+    for number in 0..TIMED_CHANGES {
         let begun = Instant::now();
         let answer = client.apply(request(format!("c{number}"), 0, 0, 0)).await;
         answer.map_err(std::io::Error::other)?;
@@ -164,10 +164,10 @@
     Ok(())
 }
 
-async fn losses() -> Result<()> {
+async fn leader_losses() -> Result<()> {
     let mut cluster = cluster(false, 0).await?;
     let mut times = Vec::new();
-    for _ in 0..LOSSES {
+    for _ in 0..LEADER_LOSSES {
         let leader = cluster.leader().await?;
         let mut left = Vec::new();
         for name in ["control-1", "control-2", "control-3"] {
@@ -192,7 +192,7 @@
         .await?;
     }
     println!(
-        "kill to next commit election_ms=500 runs={LOSSES} {}",
+        "kill to next commit election_ms=500 runs={LEADER_LOSSES} {}",
         quantiles(times)
     );
     Ok(())
@@ -218,52 +218,52 @@
 }
 
 /// Takes processor time of followers over many changes, less that of the same time without.
-async fn cost() -> Result<()> {
+async fn follower_cost() -> Result<()> {
     let mut cluster = cluster(false, 3).await?;
-    members(&cluster, 9).await?;
+    wait_current(&cluster, 9).await?;
     let mut client = client(&mut cluster).await?;
     let leader = cluster.leader().await?;
     let names: Vec<String> = cluster.nodes().map(|node| node.name().to_owned()).collect();
-    let idle = used(&cluster);
-    actix_rt::time::sleep(RUN).await;
-    let before = used(&cluster);
+    let idle = cpu_times(&cluster);
+    actix_rt::time::sleep(RUN_TIME).await;
+    let before = cpu_times(&cluster);
     let begun = Instant::now();
     let mut expected = 0;
-    for version in 0..COSTED {
+    for version in 0..CPU_CHANGES {
         let answer = client
             .apply(request("m".to_owned(), version, expected, 0))
             .await;
         expected = answer.map_err(std::io::Error::other)?.into_inner().current;
     }
-    members(&cluster, 9).await?;
+    wait_current(&cluster, 9).await?;
     let took = begun.elapsed();
-    let after = used(&cluster);
+    let after = cpu_times(&cluster);
     println!(
-        "cost leader={leader} changes={COSTED} seconds={:.2}",
+        "cost leader={leader} changes={CPU_CHANGES} seconds={:.2}",
         took.as_secs_f64()
     );
     for (number, name) in names.iter().enumerate() {
         let at_rest = before[number].saturating_sub(idle[number]);
-        let background = at_rest.mul_f64(took.as_secs_f64() / RUN.as_secs_f64());
+        let background = at_rest.mul_f64(took.as_secs_f64() / RUN_TIME.as_secs_f64());
         let busy = after[number]
             .saturating_sub(before[number])
             .saturating_sub(background);
-        let each = busy.as_secs_f64() * 1e6 / f64::from(u32::try_from(COSTED).unwrap_or(1));
-        let rest = at_rest.as_secs_f64() / RUN.as_secs_f64() * 100.0;
+        let each = busy.as_secs_f64() * 1e6 / f64::from(u32::try_from(CPU_CHANGES).unwrap_or(1));
+        let rest = at_rest.as_secs_f64() / RUN_TIME.as_secs_f64() * 100.0;
         println!("cost {name} a_change={each:.0}us at_rest={rest:.2}% of a core");
     }
     Ok(())
 }
 
-fn used(cluster: &Cluster) -> Vec<Duration> {
-    let of = |node: &zinniastall_tests::node::Node| usage::processor(node.running().id());
+fn cpu_times(cluster: &Cluster) -> Vec<Duration> {
+    let of = |node: &zinniastall_tests::node::Node| usage::cpu_time(node.running().id());
     cluster
         .nodes()
         .map(|node| of(node).unwrap_or_default())
         .collect()
 }
 
-async fn members(cluster: &Cluster, wanted: usize) -> Result<()> {
+async fn wait_current(cluster: &Cluster, wanted: usize) -> Result<()> {
     wait::until("all members up to date", async || {
         let status = cluster.ctl(&["status"]).await.ok()?.json().ok()?;
         let instances = status["instances"].as_array()?;
--- a/xtask/examples/revisions.rs
+++ b/xtask/examples/revisions.rs
@@ -11,15 +11,15 @@
     cluster::Cluster,
     http,
     log::field,
-    proxy::rule::{Rule, Way},
+    proxy::rule::{Direction, Rule},
 };
 
 /// Changes, each followed by a request that needs it.
 const ROUNDS: usize = 150;
 /// Time that each way between the regions takes.
-const SLOW: Duration = Duration::from_millis(40);
+const REGION_DELAY: Duration = Duration::from_millis(40);
 /// How much longer configuration takes than requests, in turn.
-const LAGS: [Duration; 2] = [Duration::ZERO, Duration::from_millis(100)];
+const CONFIGURATION_LAGS: [Duration; 2] = [Duration::ZERO, Duration::from_millis(100)];
 const MODEL: &str = "map-labels";
 
 #[actix_rt::main]
@@ -27,7 +27,7 @@
     zinniastall_tests::binary::use_folder("target/release".into());
     println!("| configuration later by | wait | refused | judged behind | p50 | p99 |");
     println!("|---|---|---|---|---|---|");
-    for lag in LAGS {
+    for lag in CONFIGURATION_LAGS {
         for behind_ms in [0, 500] {
             run(lag, behind_ms).await?;
         }
@@ -36,7 +36,7 @@
 }
 
 async fn run(lag: Duration, behind_ms: u64) -> Result<()> {
-    let mut cluster = start(lag, behind_ms).await?;
+    let mut cluster = start_cluster(lag, behind_ms).await?;
     let home = cluster
         .entry("home-a-1")?
         .process()
@@ -52,7 +52,7 @@
         cluster.apply(&object(true)).await?;
         cluster.residency(&client, &["home", "far"]).await?;
         cluster.apply(&object(false)).await?;
-        let (status, took) = first(home, &key).await?;
+        let (status, took) = first_request(home, &key).await?;
         refused += usize::from(status != 200);
         times.push(took);
     }
@@ -76,7 +76,7 @@
 }
 
 /// Starts two regions, the far one with the engine, over a link that delays.
-async fn start(lag: Duration, behind_ms: u64) -> Result<Cluster> {
+async fn start_cluster(lag: Duration, behind_ms: u64) -> Result<Cluster> {
     let mut cluster = Cluster::builder()
         .zone("home", "a", 1)
         .zone("far", "a", 1)
@@ -95,13 +95,13 @@
         .process()
         .address("callers")
         .await?;
-    cluster.serves(home, "probe", &body("probe")).await?;
-    let rule = |delay| Rule::default().with(Way::Both, |lane| lane.delay = delay);
-    cluster.links(|from, to| {
+    cluster.wait_serving(home, "probe", &body("probe")).await?;
+    let rule = |delay| Rule::default().with(Direction::Both, |effect| effect.delay = delay);
+    cluster.set_link_rules(|from, to| {
         let control = to.name().starts_with("control");
         match (from.name(), control) {
-            ("far-a-1", true) => Some(rule(SLOW + lag)),
-            ("far-a-1" | "home-a-1", false) => Some(rule(SLOW)),
+            ("far-a-1", true) => Some(rule(REGION_DELAY + lag)),
+            ("far-a-1" | "home-a-1", false) => Some(rule(REGION_DELAY)),
             _ => None,
         }
     });
@@ -110,7 +110,7 @@
 
 /// Asks until the home instance has the change, and returns how the first request that it sent away
 /// ended.
-async fn first(home: std::net::SocketAddr, key: &str) -> Result<(u16, Duration)> {
+async fn first_request(home: std::net::SocketAddr, key: &str) -> Result<(u16, Duration)> {
     loop {
         let started = Instant::now();
         let request = http::post(home, "/v1/chat/completions").key(key);
--- a/xtask/src/bench/load.rs
+++ b/xtask/src/bench/load.rs
@@ -6,7 +6,7 @@
 use zinniastall_tests::settings;
 
 /// Time beyond the measured one within which the load tool must end.
-const GRACE: Duration = Duration::from_mins(2);
+const EXIT_GRACE: Duration = Duration::from_mins(2);
 
 /// Runs an experiment and returns its report, which stays at `report`.
 ///
@@ -20,9 +20,9 @@
     let time = |field: &str| experiment[field].as_u64().unwrap_or_default();
     let variants = experiment["variants"].as_array().map_or(1, Vec::len) as u64;
     let millis = (time("warmup_ms") + time("duration_ms")) * variants;
-    let bound = Duration::from_millis(millis) + GRACE;
+    let timeout = Duration::from_millis(millis) + EXIT_GRACE;
     let mut tool = settings::start("load", "zinniastall-load", &experiment)?;
-    let status = tool.ends_within(bound).await?;
+    let status = tool.wait_exit_within(timeout).await?;
     let text = std::fs::read_to_string(report);
     let text = text.map_err(|error| eyre::eyre!("no report ({status}): {error}"))?;
     Ok(serde_json::from_str(&text)?)
--- a/xtask/src/bench/mod.rs
+++ b/xtask/src/bench/mod.rs
@@ -11,7 +11,7 @@
 use path::Scenario;
 
 /// Folder of the reports.
-const REPORTS: &str = "docs/measurements";
+const REPORT_DIRECTORY: &str = "docs/measurements";
 
 /// What is measured.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -41,7 +41,7 @@
 /// Fails when a process fails.
 pub(crate) fn run(root: &Path, bench: Bench) -> eyre::Result<()> {
     build::run(root, Profile::Release)?;
-    let reports = root.join(REPORTS);
+    let reports = root.join(REPORT_DIRECTORY);
     std::fs::create_dir_all(&reports)?;
     println!("machine: {}", machine()?);
     actix_rt::System::new().block_on(async {
--- a/xtask/src/bench/path/mod.rs
+++ b/xtask/src/bench/path/mod.rs
@@ -90,7 +90,7 @@
     if scenario == Scenario::Loss {
         let after = Duration::from_millis(WARMUP_MS + DURATION_MS / 5);
         let away = Duration::from_millis(DURATION_MS * 3 / 10);
-        system.lose(after, away).await?;
+        system.lose_engines(after, away).await?;
     }
     let result = running.await??;
     system.cluster.stop().await?;
--- a/xtask/src/bench/path/system.rs
+++ b/xtask/src/bench/path/system.rs
@@ -5,7 +5,7 @@
 use serde_json::{Value, json};
 use zinniastall_tests::{
     cluster::Cluster,
-    proxy::rule::{Rule, Way},
+    proxy::rule::{Direction, Rule},
 };
 
 use super::{
@@ -14,8 +14,8 @@
 };
 
 /// Engines of a zone at full capacity, and slots of each.
-const ENGINES: u32 = 3;
-const SLOTS: u32 = 4;
+const ENGINES_PER_ZONE: u32 = 3;
+const SLOTS_PER_ENGINE: u32 = 4;
 /// Times of an engine: to the first token, a block of uncached prompt, from token to token.
 const FIRST_MS: u32 = 10;
 const BLOCK_MS: u32 = 1;
@@ -26,9 +26,9 @@
 pub(super) const PREFIXES: u32 = 96;
 pub(super) const PREFIX_BLOCKS: u32 = 16;
 pub(super) const SUFFIX_BLOCKS: u32 = 2;
-const CACHE: u32 = PREFIXES * PREFIX_BLOCKS / 2;
+const CACHE_BLOCKS: u32 = PREFIXES * PREFIX_BLOCKS / 2;
 /// Time one way between regions.
-const FAR: Duration = Duration::from_millis(20);
+const REGION_DELAY: Duration = Duration::from_millis(20);
 pub(super) const WARMUP_MS: u64 = 4_000;
 pub(super) const DURATION_MS: u64 = 10_000;
 
@@ -36,7 +36,7 @@
 /// beginning cached.
 pub(super) fn capacity() -> f64 {
     let service = FIRST_MS + SUFFIX_BLOCKS * BLOCK_MS + TOKENS * TOKEN_MS;
-    f64::from(2 * ENGINES * SLOTS) * 1000.0 / f64::from(service)
+    f64::from(2 * ENGINES_PER_ZONE * SLOTS_PER_ENGINE) * 1000.0 / f64::from(service)
 }
 
 /// A cluster under one policy.
@@ -64,9 +64,9 @@
             targets: Vec::new(),
             files: tempfile::tempdir()?,
         };
-        system.apart();
+        system.delay_regions();
         for zone in zones {
-            system.engines(&zone).await?;
+            system.start_engines(&zone).await?;
         }
         system.cluster.client(CLIENT, KEY).await?;
         system
@@ -74,18 +74,18 @@
             .residency(CLIENT, &["patras", "athens"])
             .await?;
         system.cluster.model(MODEL).await?;
-        system.ready().await?;
+        system.wait_ready().await?;
         Ok(system)
     }
 
     /// Puts regions at a distance.
-    fn apart(&self) {
-        let far = Rule::default().with(Way::Both, |lane| lane.delay = FAR);
+    fn delay_regions(&self) {
+        let far = Rule::default().with(Direction::Both, |effect| effect.delay = REGION_DELAY);
         self.cluster
-            .links(|from, to| (from.region() != to.region()).then_some(far));
+            .set_link_rules(|from, to| (from.region() != to.region()).then_some(far));
     }
 
-    async fn engines(&mut self, zone: &Zone) -> eyre::Result<()> {
+    async fn start_engines(&mut self, zone: &Zone) -> eyre::Result<()> {
         let (region, zone, engines, slots) = *zone;
         for number in 1..=engines {
             let name = format!("engine-{region}-{zone}-{number}");
@@ -94,7 +94,7 @@
                 "ledger_file": self.files.path().join(&name),
                 "engine": {
                     "first_ms": FIRST_MS, "block_us": BLOCK_MS * 1000,
-                    "token_us": TOKEN_MS * 1000, "cache_blocks": CACHE,
+                    "token_us": TOKEN_MS * 1000, "cache_blocks": CACHE_BLOCKS,
                 },
             });
             self.cluster
@@ -108,7 +108,7 @@
         Ok(())
     }
 
-    async fn ready(&mut self) -> eyre::Result<()> {
+    async fn wait_ready(&mut self) -> eyre::Result<()> {
         let names: Vec<String> = self
             .cluster
             .entries()
@@ -116,21 +116,27 @@
             .collect();
         let body = json!({"model": MODEL, "messages": [{"role": "user", "content": "hello"}]});
         for name in &names {
-            self.cluster.located(name, KEY, MODEL, names.len()).await?;
+            self.cluster
+                .wait_located(name, KEY, MODEL, names.len())
+                .await?;
             let entry = self
                 .cluster
                 .entry(name)?
                 .process()
                 .address("callers")
                 .await?;
-            self.cluster.serves(entry, KEY, &body).await?;
+            self.cluster.wait_serving(entry, KEY, &body).await?;
             self.entries.push(entry);
         }
         Ok(())
     }
 
     /// Kills every second engine after a while, and brings them back cold after another.
-    pub(super) async fn lose(&mut self, after: Duration, away: Duration) -> eyre::Result<()> {
+    pub(super) async fn lose_engines(
+        &mut self,
+        after: Duration,
+        away: Duration,
+    ) -> eyre::Result<()> {
         tokio::time::sleep(after).await;
         let lost: Vec<String> = self.targets.iter().step_by(2).cloned().collect();
         for target in &lost {
--- a/xtask/src/bench/speed.rs
+++ b/xtask/src/bench/speed.rs
@@ -19,21 +19,21 @@
 const ENTRY: &str = "patras-a-1";
 const ENGINE: &str = "engine-1";
 /// First rate tried, in requests a second, and the factor from one to the next.
-const RATE: (f64, f64) = (1_000.0, 1.4);
+const RATE_SWEEP: (f64, f64) = (1_000.0, 1.4);
 /// Kinds of answers, and whether they are streamed.
-const ANSWERS: [(&str, bool); 2] = [("whole", false), ("streamed", true)];
+const ANSWER_KINDS: [(&str, bool); 2] = [("whole", false), ("streamed", true)];
 /// Share of the requests that must be answered in time for a rate to count as carried.
-const CARRIED: f64 = 0.99;
+const MIN_IN_TIME_SHARE: f64 = 0.99;
 /// Open streams at which memory is read.
-const STREAMS: [u64; 3] = [0, 1_000, 3_000];
+const OPEN_STREAMS: [u64; 3] = [0, 1_000, 3_000];
 
 pub(super) async fn run(reports: &Path) -> eyre::Result<()> {
     let mut bench = Bench::start().await?;
     // First of all: later the process also holds what its busiest time has left behind.
-    bench.memory(reports).await?;
-    for (name, stream) in ANSWERS {
+    bench.measure_memory(reports).await?;
+    for (name, stream) in ANSWER_KINDS {
         println!("\n{name} answers\n");
-        let (highest, cost) = bench.highest(reports, stream).await?;
+        let (highest, cost) = bench.find_max_rate(reports, stream).await?;
         println!("\nhighest rate carried by one thread: {highest:.0} requests a second");
         println!(
             "processor time of the entry instance: {} us a request",
@@ -43,7 +43,9 @@
             "requests a second per core: {:.0}\n",
             1.0 / cost.as_secs_f64()
         );
-        bench.added(reports, name, stream, highest / 2.0).await?;
+        bench
+            .measure_added_latency(reports, name, stream, highest / 2.0)
+            .await?;
     }
     Ok(bench.cluster.stop().await?)
 }
@@ -74,7 +76,7 @@
         let entry = cluster.entry(ENTRY)?.process().address("callers").await?;
         let engine = cluster.target(ENGINE)?.process().address("http").await?;
         let body = json!({"model": MODEL, "messages": [{"role": "user", "content": "hello"}]});
-        cluster.serves(entry, KEY, &body).await?;
+        cluster.wait_serving(entry, KEY, &body).await?;
         Ok(Self {
             cluster,
             entry,
@@ -83,8 +85,12 @@
     }
 
     /// Raises the rate until it is no longer carried; returns it and the processor time a request.
-    async fn highest(&mut self, reports: &Path, stream: bool) -> eyre::Result<(f64, Duration)> {
-        let mut rate = RATE.0;
+    async fn find_max_rate(
+        &mut self,
+        reports: &Path,
+        stream: bool,
+    ) -> eyre::Result<(f64, Duration)> {
+        let mut rate = RATE_SWEEP.0;
         let mut best = (0.0, Duration::ZERO);
         let mut table = Table::new(&[
             "requests a second",
@@ -94,15 +100,15 @@
             "CPU us a request",
         ]);
         loop {
-            let before = self.processor()?;
+            let before = self.cpu_time()?;
             let variants = json!([{"name": "system", "entries": [self.entry]}]);
             let experiment = experiment(&variants, rate, stream, 4_000);
             let report = load::run(experiment, &reports.join("speed-rate.json")).await?;
-            let spent = self.processor()?.saturating_sub(before);
+            let spent = self.cpu_time()?.saturating_sub(before);
             let all = &report["variants"][0]["all"];
             let planned = report["planned"].as_u64().unwrap_or(1).max(1);
             let cost = spent / u32::try_from(planned).unwrap_or(u32::MAX);
-            let share = ratio(&all["goodput"]) * 4.0 / ratio(&all["requests"]).max(1.0);
+            let share = number(&all["goodput"]) * 4.0 / number(&all["requests"]).max(1.0);
             table.row(vec![
                 format!("{rate:.0}"),
                 format!("{:.1} %", share * 100.0),
@@ -110,11 +116,11 @@
                 millis(&all["whole"]["p99"]),
                 cost.as_micros().to_string(),
             ]);
-            if share < CARRIED {
+            if share < MIN_IN_TIME_SHARE {
                 break;
             }
             best = (rate, cost);
-            rate *= RATE.1;
+            rate *= RATE_SWEEP.1;
         }
         table.print();
         Ok(best)
@@ -122,7 +128,13 @@
 
     /// Compares the entry instance with the engine called directly: time to the end of whole answers,
     /// to the first token of streamed ones.
-    async fn added(&self, reports: &Path, name: &str, stream: bool, rate: f64) -> eyre::Result<()> {
+    async fn measure_added_latency(
+        &self,
+        reports: &Path,
+        name: &str,
+        stream: bool,
+        rate: f64,
+    ) -> eyre::Result<()> {
         println!("added latency at {rate:.0} requests a second, in milliseconds\n");
         let variants = json!([
             {"name": "direct", "direct": self.engine},
@@ -134,7 +146,7 @@
         let mut table = Table::new(&["quantile", "direct", "system", "added"]);
         for quantile in ["p50", "p95", "p99"] {
             let at = |variant: usize| &report["variants"][variant]["all"][measure][quantile];
-            let added = (ratio(at(1)) - ratio(at(0))) / 1000.0;
+            let added = (number(at(1)) - number(at(0))) / 1000.0;
             let cells = [
                 quantile.to_owned(),
                 millis(at(0)),
@@ -148,20 +160,20 @@
     }
 
     /// Reads the memory of the entry instance at rest and with many open streams.
-    async fn memory(&mut self, reports: &Path) -> eyre::Result<()> {
+    async fn measure_memory(&mut self, reports: &Path) -> eyre::Result<()> {
         let mut table = Table::new(&["open streams", "memory MB", "KB a stream"]);
         let id = self.cluster.entry(ENTRY)?.process().id();
         let rest = usage::memory(id)?;
-        for streams in STREAMS {
+        for streams in OPEN_STREAMS {
             let used = if streams == 0 {
                 rest
             } else {
-                self.open(reports, streams, id).await?
+                self.memory_with_streams(reports, streams, id).await?
             };
             let each = used.saturating_sub(rest) / 1024 / streams.max(1);
             table.row(vec![
                 streams.to_string(),
-                format!("{:.1}", ratio(&used.into()) / 1e6),
+                format!("{:.1}", number(&used.into()) / 1e6),
                 each.to_string(),
             ]);
         }
@@ -171,7 +183,12 @@
     }
 
     /// Holds some streams open at a slow engine and returns the memory then.
-    async fn open(&mut self, reports: &Path, streams: u64, id: u32) -> eyre::Result<u64> {
+    async fn memory_with_streams(
+        &mut self,
+        reports: &Path,
+        streams: u64,
+        id: u32,
+    ) -> eyre::Result<u64> {
         let name = format!("slow-{streams}");
         let model = format!("slow-{streams}");
         let settings = json!({
@@ -218,9 +235,9 @@
         Ok(used)
     }
 
-    fn processor(&mut self) -> eyre::Result<Duration> {
+    fn cpu_time(&mut self) -> eyre::Result<Duration> {
         let id = self.cluster.entry(ENTRY)?.process().id();
-        Ok(usage::processor(id)?)
+        Ok(usage::cpu_time(id)?)
     }
 }
 
@@ -236,6 +253,6 @@
     })
 }
 
-fn ratio(value: &Value) -> f64 {
+fn number(value: &Value) -> f64 {
     value.as_f64().unwrap_or_default()
 }
--- a/xtask/src/demo.rs
+++ b/xtask/src/demo.rs
@@ -61,7 +61,7 @@
 
 /// Asks an entry instance which to use.
 async fn locate(cluster: &mut Cluster) -> eyre::Result<SocketAddr> {
-    let answer = cluster.located("patras-b-1", KEY, MODEL, 4).await?;
+    let answer = cluster.wait_located("patras-b-1", KEY, MODEL, 4).await?;
     println!("instances to use, by the word of patras-b-1:");
     let instances = answer["instances"].as_array().cloned().unwrap_or_default();
     for instance in &instances {
@@ -81,7 +81,7 @@
         "model": MODEL, "stream": true, "max_tokens": 8,
         "messages": [{"role": "user", "content": "Which rooms are there?"}],
     });
-    cluster.serves(address, KEY, &body).await?;
+    cluster.wait_serving(address, KEY, &body).await?;
     let request = http::post(address, "/v1/chat/completions").key(KEY);
     let (head, events) = request.json(&body).stream().await?;
     eyre::ensure!(head.status == 200, "status {}", head.status);
--- a/xtask/src/main.rs
+++ b/xtask/src/main.rs
@@ -59,8 +59,11 @@
 }
 
 /// Reads how much is to be done, under the option's name or by default, and the seed.
-fn options(arguments: &mut lexopt::Parser, (name, most): (&str, u64)) -> eyre::Result<(u64, u64)> {
-    let (mut amount, mut seed) = (most, 1);
+fn options(
+    arguments: &mut lexopt::Parser,
+    (name, default): (&str, u64),
+) -> eyre::Result<(u64, u64)> {
+    let (mut amount, mut seed) = (default, 1);
     while let Some(argument) = arguments.next()? {
         match argument {
             lexopt::Arg::Long("seed") => seed = arguments.value()?.parse()?,
--- a/xtask/src/soak/faults.rs
+++ b/xtask/src/soak/faults.rs
@@ -5,7 +5,7 @@
 use rand::{Rng, rngs::StdRng, seq::IndexedRandom};
 use zinniastall_tests::proxy::{
     Proxy,
-    rule::{Rule, Way},
+    rule::{Direction, Rule},
 };
 
 use super::{operator::Operator, system::System};
@@ -30,16 +30,16 @@
 }
 
 /// Draws the next fault.
-pub(super) fn next(random: &mut StdRng, system: &System) -> Fault {
-    let lasting = Duration::from_millis(random.random_range(300..4_000));
+pub(super) fn draw(random: &mut StdRng, system: &System) -> Fault {
+    let duration = Duration::from_millis(random.random_range(300..4_000));
     let groups = [&system.entries, &system.controls, &system.targets];
     let name = |random: &mut StdRng| {
         let group = groups[random.random_range(0..groups.len())];
         group.choose(random).cloned().unwrap_or_default()
     };
     match random.random_range(0..7) {
-        0 => Fault::Kill(name(random), lasting),
-        1 => Fault::Freeze(name(random), lasting),
+        0 => Fault::Kill(name(random), duration),
+        1 => Fault::Freeze(name(random), duration),
         2 => Fault::Stop(name(random)),
         3 => {
             let entry = system.entries.choose(random).cloned().unwrap_or_default();
@@ -48,40 +48,40 @@
             Fault::Partition(
                 region.unwrap_or_default(),
                 zone.unwrap_or_default(),
-                lasting,
+                duration,
             )
         }
-        4 => Fault::OneWay(name(random), lasting),
+        4 => Fault::OneWay(name(random), duration),
         5 => Fault::Reset(name(random)),
-        _ => Fault::Slow(name(random), lasting),
+        _ => Fault::Slow(name(random), duration),
     }
 }
 
 /// Brings a fault about, lets the operator work meanwhile, and takes it away.
-pub(super) async fn bring(
+pub(super) async fn inject(
     system: &mut System,
     fault: &Fault,
     operator: &mut Operator,
 ) -> eyre::Result<()> {
     match fault {
-        Fault::Kill(name, lasting) => {
+        Fault::Kill(name, duration) => {
             system.cluster.node(name)?.process().kill()?;
-            during(system, operator, *lasting).await;
+            operate_for(system, operator, *duration).await;
             system.cluster.node(name)?.restart().await?;
         }
-        Fault::Freeze(name, lasting) => {
+        Fault::Freeze(name, duration) => {
             system.cluster.node(name)?.process().freeze()?;
-            during(system, operator, *lasting).await;
-            system.cluster.node(name)?.process().thaw()?;
+            operate_for(system, operator, *duration).await;
+            system.cluster.node(name)?.process().resume()?;
         }
         Fault::Stop(name) => {
             system.cluster.node(name)?.process().terminate()?;
-            let bound = Duration::from_mins(2);
+            let timeout = Duration::from_mins(2);
             let status = system
                 .cluster
                 .node(name)?
                 .process()
-                .ends_within(bound)
+                .wait_exit_within(timeout)
                 .await?;
             if !status.success() {
                 println!("soak: {name} did not end cleanly: {status}");
@@ -89,37 +89,39 @@
             }
             system.cluster.node(name)?.restart().await?;
         }
-        Fault::Partition(region, zone, lasting) => {
+        Fault::Partition(region, zone, duration) => {
             let cluster = &system.cluster;
             cluster.partition(|node| node.region() == region && node.zone() == zone);
-            during(system, operator, *lasting).await;
+            operate_for(system, operator, *duration).await;
             system.cluster.heal();
         }
-        Fault::OneWay(name, lasting) => {
-            let stalled = Rule::default().with(Way::Up, |lane| lane.stalled = true);
+        Fault::OneWay(name, duration) => {
+            let stalled = Rule::default().with(Direction::Up, |effect| effect.stalled = true);
             let from = |node: &str| (node == name).then_some(stalled);
-            system.cluster.links(|caller, _| from(caller.name()));
-            during(system, operator, *lasting).await;
+            system
+                .cluster
+                .set_link_rules(|caller, _| from(caller.name()));
+            operate_for(system, operator, *duration).await;
             system.cluster.heal();
         }
         Fault::Reset(name) => {
             let node = system.cluster.node(name)?;
             node.proxies().values().for_each(Proxy::reset);
         }
-        Fault::Slow(name, lasting) => {
+        Fault::Slow(name, duration) => {
             let node = system.cluster.node(name)?;
-            let slow = Duration::from_millis(50);
+            let delay = Duration::from_millis(50);
             let proxies = node.proxies().values();
-            proxies.for_each(|proxy| proxy.delay(Way::Both, slow));
-            during(system, operator, *lasting).await;
+            proxies.for_each(|proxy| proxy.delay(Direction::Both, delay));
+            operate_for(system, operator, *duration).await;
             system.cluster.heal();
         }
     }
     Ok(())
 }
 
-async fn during(system: &System, operator: &mut Operator, lasting: Duration) {
-    let end = tokio::time::Instant::now() + lasting;
+async fn operate_for(system: &System, operator: &mut Operator, duration: Duration) {
+    let end = tokio::time::Instant::now() + duration;
     operator.step(system).await;
     tokio::time::sleep_until(end).await;
 }
--- a/xtask/src/soak/mod.rs
+++ b/xtask/src/soak/mod.rs
@@ -20,9 +20,9 @@
 use system::System;
 
 /// Least length of a soak; a shorter one has no time for a fault and its end.
-const SHORTEST: u64 = 15;
+const MIN_SECONDS: u64 = 15;
 /// Time before the end in which no fault begins.
-const CALM: Duration = Duration::from_secs(8);
+const QUIET_PERIOD: Duration = Duration::from_secs(8);
 
 /// Runs a soak and prints its summary line.
 ///
@@ -31,7 +31,7 @@
 /// Fails when a promise was broken or the soak itself could not run.
 pub(crate) fn run(root: &Path, seconds: u64, seed: u64) -> eyre::Result<()> {
     build::run(root, Profile::Debug)?;
-    let length = Duration::from_secs(seconds.max(SHORTEST));
+    let length = Duration::from_secs(seconds.max(MIN_SECONDS));
     let broken = actix_rt::System::new().block_on(soak(length, seed))?;
     eyre::ensure!(
         broken == 0,
@@ -48,26 +48,26 @@
     let mut random = StdRng::seed_from_u64(seed);
     let mut operator = Operator::default();
     let mut faults = 0;
-    while Instant::now() + CALM < end {
-        let fault = faults::next(&mut random, &system);
+    while Instant::now() + QUIET_PERIOD < end {
+        let fault = faults::draw(&mut random, &system);
         println!("soak: {fault:?}");
-        faults::bring(&mut system, &fault, &mut operator).await?;
+        faults::inject(&mut system, &fault, &mut operator).await?;
         faults += 1;
         operator.step(&system).await;
     }
-    let report = load.end(length).await?;
+    let report = load.wait(length).await?;
     operator.settle(&system).await?;
-    let verdict = Verdict {
+    let findings = Findings {
         faults,
         strayed: system.strayed().await?,
         died: system.died(),
     };
     system.stop().await?;
-    Ok(summary(seed, &report, &operator, &verdict))
+    Ok(summary(seed, &report, &operator, &findings))
 }
 
 /// What neither the load tool nor the operator sees.
-struct Verdict {
+struct Findings {
     faults: usize,
     /// Requests that ran outside the region of their client.
     strayed: usize,
@@ -76,7 +76,7 @@
 }
 
 /// Prints the summary line and returns how many promises were broken.
-fn summary(seed: u64, report: &Value, operator: &Operator, verdict: &Verdict) -> usize {
+fn summary(seed: u64, report: &Value, operator: &Operator, findings: &Findings) -> usize {
     let variant = &report["variants"][0];
     let (all, audit) = (&variant["all"], &variant["audit"]);
     let of = |name: &str| {
@@ -88,7 +88,7 @@
         .map(of)
         .iter()
         .sum();
-    let broken = ledger + verdict.strayed + operator.reverted + operator.unclean + verdict.died;
+    let broken = ledger + findings.strayed + operator.reverted + operator.unclean + findings.died;
     println!(
         "soak: requests={} answered={} not_run={} unknown={} runs={} changes={} faults={} \
          wrong={} invented={} ran_anyway={} doubled={} strayed={} reverted={} unclean={} died={} \
@@ -99,15 +99,15 @@
         all["unknown"],
         audit["runs"],
         operator.accepted,
-        verdict.faults,
+        findings.faults,
         audit["wrong"],
         audit["invented"],
         audit["ran_anyway"],
         audit["doubled"],
-        verdict.strayed,
+        findings.strayed,
         operator.reverted,
         operator.unclean,
-        verdict.died,
+        findings.died,
     );
     broken
 }
--- a/xtask/src/soak/operator.rs
+++ b/xtask/src/soak/operator.rs
@@ -10,7 +10,7 @@
 /// Objects that are changed in turn.
 const OBJECTS: usize = 4;
 /// Longest wait for the group once all faults are over.
-const SETTLE: Duration = Duration::from_mins(1);
+const SETTLE_TIMEOUT: Duration = Duration::from_mins(1);
 
 /// An operator's script and what it was told.
 #[derive(Debug, Default)]
@@ -50,7 +50,7 @@
             if known == 0 {
                 continue;
             }
-            let held = wait::within(SETTLE, "the group answering", async || {
+            let held = wait::within(SETTLE_TIMEOUT, "the group answering", async || {
                 let arguments = ["--timeout", "2000", "get", "model", &name(object)];
                 let record = system.cluster.ctl(&arguments).await.ok()?.json().ok()?;
                 version(&record)
--- a/xtask/src/soak/system.rs
+++ b/xtask/src/soak/system.rs
@@ -6,15 +6,15 @@
 use zinniastall_tests::{cluster::Cluster, node::Node, process::Process, settings};
 
 pub(super) const MODEL: &str = "map-labels";
-const PLACES: [(&str, &str); 3] = [("patras", "a"), ("patras", "b"), ("athens", "a")];
+const ZONES: [(&str, &str); 3] = [("patras", "a"), ("patras", "b"), ("athens", "a")];
 const CLIENTS: [(&str, &str); 2] = [("maps", "key-1"), ("studio", "key-2")];
 /// The client that is bound to a region, and that region.
-const BOUND: &str = CLIENTS[0].0;
-const HOME: &str = "patras";
+const PINNED_CLIENT: &str = CLIENTS[0].0;
+const HOME_REGION: &str = "patras";
 /// Requests a second of one client in one zone.
-const RATE: f64 = 15.0;
+const REQUESTS_PER_SECOND: f64 = 15.0;
 /// Longest wait of a caller, in milliseconds.
-const PATIENCE_MS: u64 = 20_000;
+const CALLER_TIMEOUT_MS: u64 = 20_000;
 
 /// A cluster and the names of what can be lost in it.
 pub(super) struct System {
@@ -35,11 +35,11 @@
     pub(super) async fn start() -> eyre::Result<Self> {
         let ledgers = tempfile::tempdir()?;
         let mut builder = Cluster::builder().replicas(3);
-        for (region, zone) in PLACES {
+        for (region, zone) in ZONES {
             builder = builder.zone(region, zone, 2);
         }
         let mut cluster = builder.start().await?;
-        for (region, zone) in PLACES {
+        for (region, zone) in ZONES {
             for number in 1..=2 {
                 let name = format!("engine-{region}-{zone}-{number}");
                 let settings = json!({
@@ -54,7 +54,7 @@
         for (client, key) in CLIENTS {
             cluster.client(client, key).await?;
         }
-        cluster.residency(BOUND, &[HOME]).await?;
+        cluster.residency(PINNED_CLIENT, &[HOME_REGION]).await?;
         cluster.model(MODEL).await?;
         let names = |nodes: Vec<&str>| nodes.into_iter().map(str::to_owned).collect();
         let mut system = Self {
@@ -67,7 +67,7 @@
         for entry in system.entries.clone() {
             system
                 .cluster
-                .located(&entry, CLIENTS[0].1, MODEL, 6)
+                .wait_located(&entry, CLIENTS[0].1, MODEL, 6)
                 .await?;
         }
         Ok(system)
@@ -77,11 +77,11 @@
     pub(super) fn load(&mut self, length: Duration, seed: u64) -> eyre::Result<Load> {
         let folder = tempfile::tempdir()?;
         let mut sources = Vec::new();
-        for (region, zone) in PLACES {
+        for (region, zone) in ZONES {
             for (index, (client, key)) in CLIENTS.iter().enumerate() {
                 sources.push(json!({
                     "client": client, "key": key, "class": "interactive", "region": region,
-                    "zone": zone, "model": MODEL, "rate": RATE, "stream": index == 0,
+                    "zone": zone, "model": MODEL, "rate": REQUESTS_PER_SECOND, "stream": index == 0,
                     "idempotent": index == 0, "tokens": 12, "prefixes": 4, "prefix_bytes": 512,
                 }));
             }
@@ -90,7 +90,7 @@
         let ledgers = addresses(&self.cluster, "http")?;
         let experiment = json!({
             "seed": seed, "warmup_ms": 0, "duration_ms": length.as_secs() * 1000,
-            "deadline_ms": 10_000, "patience_ms": PATIENCE_MS,
+            "deadline_ms": 10_000, "patience_ms": CALLER_TIMEOUT_MS,
             "report": folder.path().join("report.json"),
             "variants": [{"name": "soak", "entries": entries, "ledgers": ledgers}],
             "sources": sources,
@@ -103,9 +103,12 @@
     pub(super) async fn strayed(&mut self) -> eyre::Result<usize> {
         let mut strayed = 0;
         for target in self.targets.clone() {
-            if self.cluster.target(&target)?.region() != HOME {
+            if self.cluster.target(&target)?.region() != HOME_REGION {
                 let ledger = self.cluster.ledger(&target).await?;
-                strayed += ledger.iter().filter(|run| run["client"] == BOUND).count();
+                strayed += ledger
+                    .iter()
+                    .filter(|run| run["client"] == PINNED_CLIENT)
+                    .count();
             }
         }
         Ok(strayed)
@@ -115,7 +118,7 @@
     pub(super) fn died(&mut self) -> usize {
         let nodes = self.cluster.nodes_mut();
         let died = |node: &mut Node| {
-            let status = node.process().ended()?;
+            let status = node.process().exit_status()?;
             println!("soak: {} ended by itself: {status}", node.name());
             Some(())
         };
@@ -129,9 +132,9 @@
 
 impl Load {
     /// Waits for the end of the load and returns its report.
-    pub(super) async fn end(mut self, length: Duration) -> eyre::Result<Value> {
-        let bound = length + Duration::from_millis(PATIENCE_MS * 3);
-        self.tool.ends_within(bound).await?;
+    pub(super) async fn wait(mut self, length: Duration) -> eyre::Result<Value> {
+        let timeout = length + Duration::from_millis(CALLER_TIMEOUT_MS * 3);
+        self.tool.wait_exit_within(timeout).await?;
         let text = std::fs::read_to_string(self.folder.path().join("report.json"))?;
         Ok(serde_json::from_str(&text)?)
     }
