--- a/tests/tests/control_disk.rs
+++ b/tests/tests/control_disk.rs
@@ -48,14 +48,14 @@
     let mut accepted = 0;
     for torn in [1, 7, 40] {
         accepted += change(&cluster, &format!("m{torn}")).await?;
-        cluster.next_loss_safe(true).await?;
+        cluster.wait_next_loss_safe(true).await?;
         let leader = cluster.leader().await?;
         cluster.control(&leader)?.process().kill()?;
         let log = newest_log_file(cluster.control(&leader)?.settings())?;
         let file = std::fs::OpenOptions::new().write(true).open(&log)?;
         file.set_len(log.metadata()?.len() - torn)?;
         cluster.control(&leader)?.restart().await?;
-        cluster.next_loss_safe(true).await?;
+        cluster.wait_next_loss_safe(true).await?;
         assert_eq!(models(&cluster).await?, Some(accepted));
     }
     Ok(())
@@ -85,7 +85,7 @@
         .lines()
         .join("\n");
     assert!(lines.contains(&log.display().to_string()), "{lines}");
-    cluster.leader_besides(&[&damaged]).await?;
+    cluster.leader_except(&[&damaged]).await?;
     let more = change(&cluster, "n").await?;
     cluster.wipe(&damaged).await?;
     cluster.replace(&damaged, &lost_id).await?;
--- a/tests/tests/control_group.rs
+++ b/tests/tests/control_group.rs
@@ -5,10 +5,10 @@
 use serde_json::{Value, json};
 use zinniastall_tests::{
     Result,
-    cluster::{Cluster, ELECTION, group, model},
+    cluster::{Cluster, ELECTION_MS, group, model},
     ctl::{self, Run},
     node::Node,
-    proxy::rule::{Rule, Way},
+    proxy::rule::{Direction, Rule},
     wait,
 };
 
@@ -109,7 +109,7 @@
     // The request follows the connection; if it arrived only after the thaw, the test would
     // prove less.
     actix_rt::time::sleep(Duration::from_millis(200)).await;
-    cluster.control(&leader)?.process().thaw()?;
+    cluster.control(&leader)?.process().resume()?;
     let run = pending.await.map_err(std::io::Error::other)??;
     assert!(!run.output.contains("old"), "{run:?}");
     Ok(())
@@ -125,13 +125,13 @@
     let leader = cluster.leader().await?;
     let old = cluster.control(&leader)?.address("operators")?;
     cut(&cluster, &leader);
-    let successor = cluster.leader_besides(&[&leader]).await?;
+    let successor = cluster.leader_except(&[&leader]).await?;
     change(&cluster, "m", "new").await?;
     let run = ctl::run(&[old], &["--timeout", "1000", "get", "model", "m"]).await?;
     assert!(!run.output.contains("old"), "{run:?}");
     assert!(receives || run.code == FAILED, "{run:?}");
     // Long enough for an isolated replica without pre-vote to raise its term several times.
-    actix_rt::time::sleep(Duration::from_millis(ELECTION * 6)).await;
+    actix_rt::time::sleep(Duration::from_millis(ELECTION_MS * 6)).await;
     let before = term(&cluster.status_of(&successor).await?);
     cluster.heal();
     let latest = cluster.status_of(&successor).await?["revision"].clone();
@@ -162,11 +162,11 @@
 fn one_way(cluster: &Cluster, name: &str, away: bool) {
     let lane = |way| Rule::default().with(way, |lane| lane.stalled = true);
     let (own, theirs) = if away {
-        (Way::Up, Way::Down)
+        (Direction::Up, Direction::Down)
     } else {
-        (Way::Down, Way::Up)
+        (Direction::Down, Direction::Up)
     };
-    cluster.links(|from, to| match (from.name() == name, to.name() == name) {
+    cluster.set_link_rules(|from, to| match (from.name() == name, to.name() == name) {
         (true, false) => Some(lane(own)),
         (false, true) => Some(lane(theirs)),
         _ => None,
@@ -200,20 +200,20 @@
     for number in 0..40 {
         change(&cluster, &format!("m{number}"), "1").await?;
     }
-    cluster.next_loss_safe(true).await?;
+    cluster.wait_next_loss_safe(true).await?;
     let lost = cluster.leader().await?;
     let lost_id = cluster.replica_id(&lost).await?;
     cluster.wipe(&lost).await?;
     let address = cluster.control(&lost)?.address("operators")?;
-    cluster.leader_besides(&[&lost]).await?;
+    cluster.leader_except(&[&lost]).await?;
     let refused = ctl::run(&[address], &["bootstrap"]).await?;
     assert_eq!(refused.code, FAILED, "{refused:?}");
-    cluster.next_loss_safe(false).await?;
+    cluster.wait_next_loss_safe(false).await?;
     let new_id = cluster.replace(&lost, &lost_id).await?;
     assert_ne!(new_id, lost_id);
     let next = cluster.leader().await?;
     cluster.control(&next)?.process().kill()?;
-    cluster.leader_besides(&[&next]).await?;
+    cluster.leader_except(&[&next]).await?;
     let models = cluster.ctl(&["list", "model"]).await?.json()?;
     assert_eq!(models["records"].as_array().map(Vec::len), Some(40));
     change(&cluster, "m40", "1").await?;
@@ -229,13 +229,13 @@
     let leader = cluster.leader().await?;
     let names: Vec<String> = cluster.controls().map(|node| node.name().into()).collect();
     for name in names.iter().filter(|name| **name != leader) {
-        cluster.next_loss_safe(true).await?;
+        cluster.wait_next_loss_safe(true).await?;
         cluster.control(name)?.process().freeze()?;
         let status = cluster.ctl(&["status"]).await?.json()?;
-        cluster.control(name)?.process().thaw()?;
+        cluster.control(name)?.process().resume()?;
         assert_eq!(status["next_loss_safe"], false, "{status}");
     }
-    cluster.next_loss_safe(true).await
+    cluster.wait_next_loss_safe(true).await
 }
 
 /// Two of five control instances are cut off, the other three accept a change, and the leader
@@ -263,16 +263,16 @@
     cluster.partition(|node| updated.iter().any(|name| *name == node.name()));
     cluster.wipe(&lost).await?;
     let is_updated = |node: &Node| updated.iter().any(|name| *name == node.name());
-    cluster.links(|from, to| (!is_updated(from) && !is_updated(to)).then(Rule::default));
+    cluster.set_link_rules(|from, to| (!is_updated(from) && !is_updated(to)).then(Rule::default));
     // Long enough for three replicas that count each other as voters to elect a leader several
     // times.
-    actix_rt::time::sleep(Duration::from_millis(ELECTION * 6)).await;
+    actix_rt::time::sleep(Duration::from_millis(ELECTION_MS * 6)).await;
     let cut = outdated[1];
     cluster.heal();
     cluster.partition(|node| node.name() == cut);
-    cluster.leader_besides(&[&lost]).await?;
+    cluster.leader_except(&[&lost]).await?;
     assert_eq!(version(&cluster, "m").await.as_deref(), Some("2"));
-    cluster.enlist(&lost).await?;
+    cluster.add_replica(&lost).await?;
     cluster
         .ctl(&["replica", "remove", &lost_id])
         .await?
@@ -287,7 +287,7 @@
         (status["commit"] == latest && replicas == 5).then_some(())
     })
     .await?;
-    cluster.next_loss_safe(true).await?;
+    cluster.wait_next_loss_safe(true).await?;
     assert_eq!(version(&cluster, "m").await.as_deref(), Some("3"));
     Ok(())
 }
--- a/tests/tests/control_orders.rs
+++ b/tests/tests/control_orders.rs
@@ -112,11 +112,11 @@
     apply_version(&cluster, "2").await?;
     cluster.control(&leader)?.process().event("paused").await?;
     cluster.control(&leader)?.process().freeze()?;
-    cluster.leader_besides(&[&leader]).await?;
+    cluster.leader_except(&[&leader]).await?;
     apply_version(&cluster, "3").await?;
     wait_obeyed(&mut cluster, "target", "3").await?;
     std::fs::remove_file(&pause)?;
-    cluster.control(&leader)?.process().thaw()?;
+    cluster.control(&leader)?.process().resume()?;
     wait::until("the stale order received", async || {
         let orders = orders(&mut cluster, "target").await.ok()?;
         let newest = orders.iter().rposition(|order| version(order) == "2")?;
--- a/tests/tests/path/border.rs
+++ b/tests/tests/path/border.rs
@@ -7,7 +7,7 @@
     Result,
     http::{Answer, Request},
     log::field,
-    proxy::rule::{Rule, Way},
+    proxy::rule::{Direction, Rule},
     wait,
 };
 
@@ -23,7 +23,7 @@
     cluster: &mut System,
     request: Request,
 ) -> Result<(Answer, Vec<String>)> {
-    let stalled = Rule::default().with(Way::Both, |lane| lane.stalled = true);
+    let stalled = Rule::default().with(Direction::Both, |lane| lane.stalled = true);
     let proxy = cluster.entry("athens-a-1")?.proxy("links")?;
     let before = proxy.opened();
     proxy.rule_for("patras-a-1", stalled);
@@ -49,7 +49,7 @@
 /// Restarts the instance of Patras, so that it has no stream link yet.
 async fn restart_without_links(cluster: &mut System) -> Result<SocketAddr> {
     cluster.entry("patras-a-1")?.restart().await?;
-    cluster.located("patras-a-1", KEY, MODEL, 2).await?;
+    cluster.wait_located("patras-a-1", KEY, MODEL, 2).await?;
     cluster.entry("patras-a-1")?.address("callers")
 }
 
--- a/tests/tests/path/drain.rs
+++ b/tests/tests/path/drain.rs
@@ -76,7 +76,7 @@
         cluster
             .target("engine-1")?
             .process()
-            .ends()
+            .wait_exit()
             .await?
             .success()
     );
--- a/tests/tests/path/support.rs
+++ b/tests/tests/path/support.rs
@@ -80,7 +80,7 @@
     }
     configure(&mut cluster).await?;
     for entry in ["patras-a-1", "patras-a-2"] {
-        cluster.located(entry, KEY, MODEL, 2).await?;
+        cluster.wait_located(entry, KEY, MODEL, 2).await?;
         wait_uses_targets(&mut cluster, entry, engines.len()).await?;
     }
     Ok(cluster)
@@ -149,7 +149,7 @@
 
 /// Waits until an instance has exited successfully without cutting a request.
 pub(crate) async fn exits_cleanly(cluster: &mut System, entry: &str) -> Result<()> {
-    let status = cluster.entry(entry)?.process().ends().await?;
+    let status = cluster.entry(entry)?.process().wait_exit().await?;
     assert!(status.success(), "{entry}: {status}");
     let cut = cluster.entry(entry)?.process().log().events("drain-cut");
     assert!(cut.is_empty(), "{cut:?}");
--- a/tests/tests/spread/instances.rs
+++ b/tests/tests/spread/instances.rs
@@ -26,14 +26,14 @@
         .await?;
     let serving = ("target-serving", "target", "engine-spare");
     for entry in ["athens-a-1", "athens-a-2", "athens-a-3"] {
-        wait_logged(&cluster, entry, serving, 1, wait::BOUND).await?;
+        wait_logged(&cluster, entry, serving, 1, wait::TIMEOUT).await?;
     }
     cluster.entry("athens-a-2")?.process().freeze()?;
     wait_listed(&cluster, "athens-a-1", &["athens-a-1", "athens-a-3"]).await?;
     cluster.target("engine-spare")?.process().kill()?;
     let gone = ("target-gone", "target", "engine-spare");
     wait_logged(&cluster, "athens-a-1", gone, 1, Duration::from_secs(10)).await?;
-    cluster.entry("athens-a-2")?.process().thaw()?;
+    cluster.entry("athens-a-2")?.process().resume()?;
     wait_logged(&cluster, "athens-a-2", gone, 1, Duration::from_secs(2)).await?;
     assert_eq!(
         count_logged(&cluster, "athens-a-2", serving),
