--- a/tests/src/binary.rs
+++ b/tests/src/binary.rs
@@ -1,8 +1,8 @@
-//! Finds the workspace's binaries.
+//! Locates the workspace's binaries.
 //!
-//! `cargo test --workspace` builds the binaries of every package that has an integration test,
-//! before any test runs, and all of ours have one. They lie in the folder above `deps`, where test
-//! executables lie; chores lie beside them.
+//! `cargo test --workspace` builds the binaries of every package that has integration tests before
+//! it runs any test, and each package with a binary has such tests. Cargo places binaries, xtask
+//! among them, in the parent of the `deps` directory, which contains the test executables.
 
 use std::{
     path::{Path, PathBuf},
@@ -13,7 +13,9 @@
 
 static FOLDER: OnceLock<PathBuf> = OnceLock::new();
 
-/// Takes binaries from this folder, such as that of release builds; the first call counts.
+/// Uses the binaries in this directory, such as that of release builds.
+///
+/// Only the first call has an effect.
 pub fn use_folder(folder: PathBuf) {
     FOLDER.get_or_init(|| folder);
 }
@@ -22,8 +24,8 @@
 ///
 /// # Errors
 ///
-/// [`Error::NotBuilt`] when it is not built, [`Error::Stale`] when a source is newer than it: a test
-/// would pass or fail by code that nobody has any more.
+/// Returns [`Error::NotBuilt`] if the binary does not exist and [`Error::Stale`] if a source file
+/// is newer, since a test would then exercise outdated code.
 pub fn path(name: &str) -> Result<PathBuf> {
     let path = match FOLDER.get() {
         Some(folder) => folder.join(name),
@@ -38,7 +40,9 @@
     }
 }
 
-/// Returns a source that is newer than its binary, by the list that the build leaves beside it.
+/// Returns a source file that is newer than the binary, if any.
+///
+/// Sources are read from the dependency file that Cargo writes next to the binary.
 fn newer_source(path: &Path) -> Result<Option<PathBuf>> {
     let built = path.metadata()?.modified()?;
     let Ok(list) = std::fs::read_to_string(path.with_extension("d")) else {
@@ -52,6 +56,7 @@
     Ok(sources.into_iter().find(changed))
 }
 
+/// Returns the directory in which Cargo placed the binaries of the running build.
 fn target_directory() -> Result<PathBuf> {
     let mut folder = std::env::current_exe()?;
     folder.pop();
--- a/tests/src/cluster/builder.rs
+++ b/tests/src/cluster/builder.rs
@@ -1,4 +1,4 @@
-//! Describes and starts a cluster.
+//! Configures and starts a cluster.
 
 use std::net::SocketAddr;
 
@@ -13,7 +13,7 @@
     settings,
 };
 
-/// Describes a cluster.
+/// Builder for a [`Cluster`].
 #[derive(Debug, Clone)]
 pub struct Builder {
     replicas: usize,
@@ -36,14 +36,14 @@
 }
 
 impl Builder {
-    /// Sets the number of control replicas; they are spread over the zones in turn.
+    /// Sets the number of control replicas, which are assigned to the zones in turn.
     #[must_use]
     pub const fn replicas(mut self, replicas: usize) -> Self {
         self.replicas = replicas;
         self
     }
 
-    /// Adds an availability zone with some entry instances.
+    /// Adds an availability zone with a number of entry instances.
     #[must_use]
     pub fn zone(mut self, region: &str, zone: &str, entries: usize) -> Self {
         self.zones
@@ -51,33 +51,33 @@
         self
     }
 
-    /// Puts settings over those of each control replica.
+    /// Merges `change` into the settings of each control replica.
     #[must_use]
     pub fn control(mut self, change: Value) -> Self {
         settings::merge(&mut self.control, change);
         self
     }
 
-    /// Puts settings over those of each entry instance.
+    /// Merges `change` into the settings of each entry instance.
     #[must_use]
     pub fn entry(mut self, change: Value) -> Self {
         settings::merge(&mut self.entry, change);
         self
     }
 
-    /// Leaves out the proxies between callers, entry instances and targets, so that they are not
-    /// measured along; links stay behind theirs.
+    /// Connects callers, entry instances and targets without proxies, to keep the proxies out of
+    /// measurements. Links still pass through proxies.
     #[must_use]
     pub const fn direct(mut self) -> Self {
         self.direct = true;
         self
     }
 
-    /// Starts control, founds the cluster, and starts the entry instances.
+    /// Starts the control replicas, bootstraps the cluster and starts the entry instances.
     ///
     /// # Errors
     ///
-    /// Fails when a process does not start or the cluster cannot be founded.
+    /// Fails if a process does not start or the cluster cannot be bootstrapped.
     pub async fn start(self) -> Result<Cluster> {
         let folder = tempfile::tempdir()?;
         let callers = Callers::default();
--- a/tests/src/cluster/group.rs
+++ b/tests/src/cluster/group.rs
@@ -1,14 +1,14 @@
-//! Founds a cluster's control group, and repairs it.
+//! Bootstraps and repairs a cluster's control group.
 
 use serde_json::{Value, json};
 
 use super::{Builder, Cluster};
 use crate::{ctl, error::Result, wait};
 
-/// Election timeout of [`group`], in milliseconds: soon enough for a test, on a busy machine too.
+/// Election timeout of [`group`]: short enough for a test, long enough for an overloaded machine.
 pub const ELECTION_MS: u64 = 500;
 
-/// Describes control replicas without entry instances, spread over three regions.
+/// Returns a builder for control replicas in three regions, without entry instances.
 pub fn group(replicas: usize) -> Builder {
     Cluster::builder()
         .replicas(replicas)
@@ -18,11 +18,11 @@
         .zone("thessaloniki", "a", 0)
 }
 
-/// Founds the group on the first replica and takes the others in.
+/// Bootstraps the group on the first replica and adds the others.
 ///
 /// # Errors
 ///
-/// Fails when a call is refused.
+/// Fails if a command is rejected.
 pub(super) async fn bootstrap(cluster: &Cluster) -> Result<()> {
     let operators = cluster.operators();
     ctl::run(&operators[..1], &["bootstrap"]).await?.json()?;
@@ -34,12 +34,13 @@
 }
 
 impl Cluster {
-    /// Takes a fresh control replica in: admits it, and promotes it once it has caught up. Returns
-    /// its id.
+    /// Adds an empty control replica to the group and returns its replica id.
+    ///
+    /// The replica is admitted as a learner and promoted to a voter once it has caught up.
     ///
     /// # Errors
     ///
-    /// Fails when it is refused, or does not catch up in time.
+    /// Fails if it is rejected or does not catch up in time.
     pub async fn add_replica(&self, name: &str) -> Result<String> {
         let id = self.replica_id(name).await?;
         let links = self.controls[name].address("links")?.to_string();
@@ -53,11 +54,11 @@
         Ok(id)
     }
 
-    /// Returns the replica id of a control replica, as it says itself.
+    /// Returns the replica id that a control replica reports for itself.
     ///
     /// # Errors
     ///
-    /// Fails when it does not answer.
+    /// Fails if the replica does not respond.
     pub async fn replica_id(&self, name: &str) -> Result<String> {
         let links = self.controls[name].address("links")?.to_string();
         let status = self.status_of(name).await?;
@@ -67,23 +68,23 @@
         Ok(own["id"].as_str().unwrap_or_default().to_owned())
     }
 
-    /// Returns the status as one control replica sees it.
+    /// Returns the status from the local state of one control replica.
     ///
     /// # Errors
     ///
-    /// Fails when it does not answer.
+    /// Fails if the replica does not respond.
     pub async fn status_of(&self, name: &str) -> Result<Value> {
         let address = self.controls[name].address("operators")?;
         let arguments = ["--local", "--timeout", "3000", "status"];
         ctl::run(&[address], &arguments).await?.json()
     }
 
-    /// Takes a wiped control replica in as a new one, removes its former self, and waits until the
-    /// next loss is safe. Returns the new id.
+    /// Replaces a wiped control replica: adds it under a new id, removes its former id and waits
+    /// until the group tolerates the next loss. Returns the new id.
     ///
     /// # Errors
     ///
-    /// Fails when a step is refused, or takes too long.
+    /// Fails if a step is rejected or takes too long.
     pub async fn replace(&self, name: &str, former_id: &str) -> Result<String> {
         let added = self.add_replica(name).await?;
         let removed = self.ctl(&["replica", "remove", former_id]).await?;
@@ -92,11 +93,11 @@
         Ok(added)
     }
 
-    /// Kills a control replica, empties its data folder and starts it again at the same addresses.
+    /// Kills a control replica, deletes its data directory and restarts it at the same addresses.
     ///
     /// # Errors
     ///
-    /// Fails when the folder cannot be emptied or the process does not start.
+    /// Fails if the directory cannot be deleted or the process does not start.
     pub async fn wipe(&mut self, name: &str) -> Result<()> {
         let control = self.control(name)?;
         control.process().kill()?;
@@ -105,11 +106,12 @@
         control.restart().await
     }
 
-    /// Waits until the status says that the next loss of a control replica is safe, or isn't.
+    /// Waits until the status reports `wanted` for whether the group tolerates the next loss of a
+    /// replica.
     ///
     /// # Errors
     ///
-    /// Fails when it does not in time.
+    /// Fails if it does not happen in time.
     pub async fn wait_next_loss_safe(&self, wanted: bool) -> Result<()> {
         let what = format!("next_loss_safe = {wanted}");
         wait::until(&what, async || {
@@ -119,20 +121,20 @@
         .await
     }
 
-    /// Waits until one control replica leads, and returns its name.
+    /// Waits until the group has a leader and returns its name.
     ///
     /// # Errors
     ///
-    /// Fails when none does in time.
+    /// Fails if none is elected in time.
     pub async fn leader(&self) -> Result<String> {
         wait::until("a leader", async || self.current_leader().await).await
     }
 
-    /// Waits until a control replica other than these leads, and returns its name.
+    /// Waits until the group has a leader other than `others` and returns its name.
     ///
     /// # Errors
     ///
-    /// Fails when none does in time.
+    /// Fails if none is elected in time.
     pub async fn leader_except(&self, others: &[&str]) -> Result<String> {
         wait::until("another leader", async || {
             let leader = self.current_leader().await?;
--- a/tests/src/cluster/mod.rs
+++ b/tests/src/cluster/mod.rs
@@ -1,7 +1,8 @@
-//! A whole system in one place: control replicas, entry instances, stand-in targets.
+//! A whole system on one machine: control replicas, entry instances and stand-in targets.
 //!
-//! Every address is that of a proxy. Processes are told apart by the proxies, so a rule can hold
-//! for the connections between any two of them: see [`Cluster::links`].
+//! Every address is that of a proxy, unless [`Builder::direct`] is set. Proxies identify the
+//! calling process, so rules can apply to the connections between any two processes; see
+//! [`Cluster::set_link_rules`].
 
 mod builder;
 mod group;
@@ -34,41 +35,41 @@
     controls: IndexMap<String, Node>,
     entries: IndexMap<String, Node>,
     targets: IndexMap<String, Node>,
-    /// Whether callers, entry instances and targets reach each other without proxies.
+    /// Whether callers, entry instances and targets connect to each other without proxies.
     direct: bool,
-    /// Data folders; they go when the processes have gone.
+    /// Data directories. Declared last, so that it is removed after the processes are gone.
     _folder: tempfile::TempDir,
 }
 
 impl Cluster {
-    /// Starts describing a cluster.
+    /// Returns a builder for a cluster.
     pub fn builder() -> Builder {
         Builder::default()
     }
 
-    /// Returns an entry instance; they are named `<region>-<zone>-<number>`, from 1.
+    /// Returns the entry instance named `<region>-<zone>-<number>`, numbered from 1.
     ///
     /// # Errors
     ///
-    /// Fails when there is none of this name.
+    /// Fails if no node has this name.
     pub fn entry(&mut self, name: &str) -> Result<&mut Node> {
         find(&mut self.entries, name)
     }
 
-    /// Returns a control replica; they are named `control-<number>`, from 1.
+    /// Returns the control replica named `control-<number>`, numbered from 1.
     ///
     /// # Errors
     ///
-    /// Fails when there is none of this name.
+    /// Fails if no node has this name.
     pub fn control(&mut self, name: &str) -> Result<&mut Node> {
         find(&mut self.controls, name)
     }
 
-    /// Returns a target.
+    /// Returns the target with this name.
     ///
     /// # Errors
     ///
-    /// Fails when there is none of this name.
+    /// Fails if no node has this name.
     pub fn target(&mut self, name: &str) -> Result<&mut Node> {
         find(&mut self.targets, name)
     }
@@ -79,17 +80,17 @@
         nodes.chain(self.targets.values())
     }
 
-    /// Returns all nodes, to change them.
+    /// Returns all nodes for mutation, in the same order as [`Cluster::nodes`].
     pub fn nodes_mut(&mut self) -> impl Iterator<Item = &mut Node> {
         let nodes = self.controls.values_mut().chain(self.entries.values_mut());
         nodes.chain(self.targets.values_mut())
     }
 
-    /// Returns a node of any kind.
+    /// Returns the node with this name, of any kind.
     ///
     /// # Errors
     ///
-    /// Fails when there is none of this name.
+    /// Fails if no node has this name.
     pub fn node(&mut self, name: &str) -> Result<&mut Node> {
         let found = self.nodes_mut().find(|node| node.name() == name);
         found.ok_or_else(|| Error::Unknown(name.to_owned()))
@@ -110,18 +111,19 @@
         self.targets.values()
     }
 
-    /// Returns the addresses that operators use.
+    /// Returns the operator addresses of all control replicas.
     pub fn operators(&self) -> Vec<SocketAddr> {
         let address = |node: &Node| node.address("operators").ok();
         self.controls.values().filter_map(address).collect()
     }
 
-    /// Starts a stand-in model engine that serves `model`, in a place with entry instances; `change`
-    /// is put over its settings.
+    /// Starts a stand-in model engine that serves `model` in a zone with entry instances.
+    ///
+    /// `change` is merged into its settings.
     ///
     /// # Errors
     ///
-    /// Fails when it does not start.
+    /// Fails if it does not start.
     pub async fn engine(
         &mut self,
         name: &str,
@@ -137,11 +139,11 @@
         self.standin(name, place, settings).await
     }
 
-    /// Starts a stand-in plain service; `change` is put over its settings.
+    /// Starts a stand-in plain service; `change` is merged into its settings.
     ///
     /// # Errors
     ///
-    /// Fails when it does not start.
+    /// Fails if it does not start.
     pub async fn service(
         &mut self,
         name: &str,
@@ -154,11 +156,11 @@
         self.standin(name, place, settings).await
     }
 
-    /// Starts a stand-in target with these settings; addresses and name are added.
+    /// Starts a stand-in target; `change` is merged into settings with its name and addresses.
     ///
     /// # Errors
     ///
-    /// Fails when it does not start.
+    /// Fails if it does not start.
     pub async fn standin(&mut self, name: &str, place: (&str, &str), change: Value) -> Result<()> {
         let plan = Plan::bind(&self.callers, "zinniastall-standin", name, place, &["http"])?;
         let instances: Vec<String> = self
@@ -178,22 +180,22 @@
         Ok(())
     }
 
-    /// Returns a target's ledger, read past its proxy.
+    /// Returns a target's ledger, read from its process directly instead of through the proxy.
     ///
     /// # Errors
     ///
-    /// Fails when the target does not answer.
+    /// Fails if the target does not respond.
     pub async fn ledger(&mut self, target: &str) -> Result<Vec<Value>> {
         let address = self.target(target)?.process().address("http").await?;
         let ledger = http::get(address, "/ledger").send().await?.json()?;
         Ok(ledger.as_array().cloned().unwrap_or_default())
     }
 
-    /// Sets where a running target fails; see the stand-in's `failure` settings.
+    /// Injects a failure into a running target; see the stand-in's `failure` settings.
     ///
     /// # Errors
     ///
-    /// Fails when the target does not answer.
+    /// Fails if the target does not respond.
     pub async fn fail(&mut self, target: &str, failure: &Value) -> Result<()> {
         let address = self.target(target)?.process().address("http").await?;
         http::post(address, "/failure").json(failure).send().await?;
@@ -204,26 +206,27 @@
     ///
     /// # Errors
     ///
-    /// Fails when the command line is not built.
+    /// Fails if the command line cannot be run.
     pub async fn ctl(&self, arguments: &[&str]) -> Result<ctl::Run> {
         ctl::run(&self.operators(), arguments).await
     }
 
-    /// Starts a request to an entry instance, through its proxy.
+    /// Creates a POST request to an entry instance, through its proxy.
     ///
     /// # Errors
     ///
-    /// Fails when there is none of this name.
+    /// Fails if no node has this name.
     pub fn post(&mut self, entry: &str, path: &str) -> Result<Request> {
         let address = self.entry(entry)?.address("callers")?;
         Ok(http::post(address, path))
     }
 
-    /// Waits until an entry instance lists this many instances for a model or service.
+    /// Waits until an entry instance lists at least this many instances for a model or service, and
+    /// returns its response.
     ///
     /// # Errors
     ///
-    /// Fails when it does not in time.
+    /// Fails if it does not happen in time.
     pub async fn wait_located(
         &mut self,
         entry: &str,
@@ -242,12 +245,13 @@
         .await
     }
 
-    /// Waits until an entry instance answers a chat request whole; the body is sent as it is, so
-    /// each try is a run in a ledger.
+    /// Waits until a chat request with this body succeeds at an address.
+    ///
+    /// Every try is a real request, which can appear as a run in a ledger.
     ///
     /// # Errors
     ///
-    /// Fails when it does not in time.
+    /// Fails if it does not happen in time.
     pub async fn wait_serving(&self, address: SocketAddr, key: &str, body: &Value) -> Result<()> {
         let what = format!("{address} answering");
         wait::until(&what, async || {
@@ -260,8 +264,9 @@
         .await
     }
 
-    /// Sets rules for the connections between nodes, by their calling and their called end; `None`
-    /// leaves a connection as it is.
+    /// Sets the rules for connections between nodes.
+    ///
+    /// `rule` is called with the calling and the called node; `None` keeps the current rule.
     pub fn set_link_rules(&self, rule: impl Fn(&Node, &Node) -> Option<Rule>) {
         for to in self.nodes() {
             for from in self.nodes() {
@@ -273,23 +278,24 @@
         }
     }
 
-    /// Cuts the nodes that `inside` picks off from all others, silently.
+    /// Stalls all connections between the nodes that `inside` selects and all others, without
+    /// closing them.
     pub fn partition(&self, inside: impl Fn(&Node) -> bool) {
         let stalled = Rule::default().with(Direction::Both, |effect| effect.stalled = true);
         self.set_link_rules(|from, to| (inside(from) != inside(to)).then_some(stalled));
     }
 
-    /// Lets everything pass again.
+    /// Removes all network faults.
     pub fn heal(&self) {
         let proxies = self.nodes().flat_map(|node| node.proxies().values());
         proxies.for_each(crate::proxy::Proxy::heal);
     }
 
-    /// Stops targets, entry instances and control replicas in order.
+    /// Stops all targets, then all entry instances, then all control replicas.
     ///
     /// # Errors
     ///
-    /// Fails when one does not end with exit code 0.
+    /// Fails if a process does not exit with code 0.
     pub async fn stop(&mut self) -> Result<()> {
         let nodes = self.targets.values_mut().chain(self.entries.values_mut());
         for node in nodes.chain(self.controls.values_mut()) {
--- a/tests/src/ctl.rs
+++ b/tests/src/ctl.rs
@@ -1,4 +1,4 @@
-//! Runs the operators' command line.
+//! Runs the operators' command line, `zinniastall-ctl`.
 
 use std::{net::SocketAddr, process::Command};
 
@@ -9,10 +9,10 @@
     error::{Error, Result},
 };
 
-/// What one run of the command line gave.
+/// Exit code and output of one run of the command line.
 #[derive(Debug, Clone)]
 pub struct Run {
-    /// Exit code; `None` when a signal ended it.
+    /// Exit code; `None` if a signal ended the process.
     pub code: Option<i32>,
     /// Standard output.
     pub output: String,
@@ -21,16 +21,16 @@
 }
 
 impl Run {
-    /// Returns the JSON on standard output, whatever the exit code; null when there is none.
+    /// Returns the JSON on standard output regardless of the exit code, or null if there is none.
     pub fn answer(&self) -> Value {
         serde_json::from_str(&self.output).unwrap_or_default()
     }
 
-    /// Returns the JSON on standard output.
+    /// Returns the JSON on standard output of a successful run.
     ///
     /// # Errors
     ///
-    /// Fails when the run was not accepted or printed no JSON.
+    /// Fails if the exit code is not zero or the output is not JSON.
     pub fn json(&self) -> Result<Value> {
         if self.code != Some(0) {
             return Err(Error::Ctl {
@@ -42,11 +42,12 @@
     }
 }
 
-/// Runs `zinniastall-ctl` with these arguments against some control replicas.
+/// Runs `zinniastall-ctl` with these arguments against the given control replicas.
 ///
 /// # Errors
 ///
-/// Fails when the binary is not built; a refusal is a [`Run`] with its exit code.
+/// Fails if the binary cannot be run. A rejected command is not an error but a [`Run`] with a
+/// non-zero exit code.
 pub async fn run(addresses: &[SocketAddr], arguments: &[&str]) -> Result<Run> {
     let list: Vec<String> = addresses.iter().map(SocketAddr::to_string).collect();
     let mut command = Command::new(binary::path("zinniastall-ctl")?);
--- a/tests/src/error.rs
+++ b/tests/src/error.rs
@@ -1,61 +1,61 @@
-//! Failures of the scaffolding.
+//! Errors of the test harness.
 
 use std::{path::PathBuf, time::Duration};
 
-/// Result of a step of a test.
+/// Result of a test step.
 pub type Result<T> = std::result::Result<T, Error>;
 
-/// Why a step of a test failed.
+/// Reason why a test step failed.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// A binary is not where the build puts it.
+    /// A binary is missing from the build's output directory.
     #[error("{0} is not built; run `cargo build --workspace --bins` or `cargo test --workspace`")]
     NotBuilt(PathBuf),
     /// A binary is older than one of its sources.
     #[error("{path} is older than {changed}; run `cargo build --workspace --bins`")]
     Stale {
-        /// Binary.
+        /// Path of the binary.
         path: PathBuf,
-        /// Source.
+        /// Source file that is newer.
         changed: PathBuf,
     },
-    /// A file, socket or process cannot be had.
+    /// An operation on a file, socket or process failed.
     #[error(transparent)]
     Io(#[from] std::io::Error),
-    /// A signal cannot be sent.
+    /// A signal could not be sent.
     #[error(transparent)]
     Signal(#[from] nix::Error),
-    /// A condition did not come about in time.
-    #[error("not seen within {timeout:?}: {what}")]
+    /// A condition was not met in time.
+    #[error("timed out after {timeout:?} waiting for {what}")]
     Timeout {
-        /// Condition.
+        /// Description of the condition.
         what: String,
-        /// Time waited.
+        /// Limit of the wait.
         timeout: Duration,
     },
-    /// A process ended although it should run.
-    #[error("{name} ended early: {status}")]
+    /// A process exited unexpectedly or with a failure.
+    #[error("{name} exited unexpectedly: {status}")]
     Ended {
-        /// Process.
+        /// Name of the process.
         name: String,
-        /// How it ended.
+        /// Exit status.
         status: std::process::ExitStatus,
     },
-    /// An HTTP request got no whole answer.
-    #[error("no whole answer: {0}")]
+    /// An HTTP request failed before its response was complete.
+    #[error("incomplete response: {0}")]
     Http(String),
-    /// An answer or settings are not the JSON that was expected.
+    /// A response or a settings file is not valid JSON.
     #[error(transparent)]
     Json(#[from] serde_json::Error),
-    /// The operators' command line refused.
+    /// The operators' command line exited with a failure.
     #[error("zinniastall-ctl exited with {code:?}: {output}")]
     Ctl {
         /// Exit code.
         code: Option<i32>,
-        /// Both outputs.
+        /// Standard output followed by standard error.
         output: String,
     },
-    /// A test names something that its cluster does not have.
-    #[error("the cluster has no {0}")]
+    /// Something that a test looked up does not exist or does not match.
+    #[error("unknown or unexpected: {0}")]
     Unknown(String),
 }
--- a/tests/src/history.rs
+++ b/tests/src/history.rs
@@ -1,13 +1,13 @@
-//! Histories of concurrent calls, and whether one object could have answered them one by one.
+//! Linearizability checking for histories of concurrent calls.
 //!
-//! A [`Recorder`] notes when each call began and what was answered, if anything was. [`check`] then
-//! looks for an order of the calls that fits a [`Model`] and in which no call comes before one that
-//! had ended when it began: the history is linearizable if there is one. A call without an answer
-//! may have taken effect at any moment after it began, or never.
+//! A [`Recorder`] records when each call began and ended and what was answered. [`check`] then
+//! searches for a sequential order of the calls that satisfies a [`Model`] and in which no call
+//! precedes one that had ended before it began. The history is linearizable if such an order
+//! exists. A call without an answer may have taken effect at any time after it began, or never.
 //!
-//! The search is that of Wing and Gong, "Testing and Verifying Concurrent Objects" (1993), with
-//! Lowe's memory of configurations, "Testing for Linearizability" (2017). Linearizability is local:
-//! calls on different objects are checked apart.
+//! The algorithm is that of Wing and Gong, "Testing and Verifying Concurrent Objects" (1993), with
+//! the caching of visited configurations from Lowe, "Testing for Linearizability" (2017).
+//! Linearizability is a local property: calls on different objects are checked separately.
 
 mod check;
 mod recorder;
--- a/tests/src/history/check.rs
+++ b/tests/src/history/check.rs
@@ -1,4 +1,4 @@
-//! The search for an order that explains a history.
+//! Search for a linearization of a history.
 
 use std::collections::HashSet;
 use std::hash::Hash;
@@ -7,21 +7,21 @@
 
 use super::recorder::Call;
 
-/// What one object would do if calls came one by one.
+/// Sequential specification of an object.
 pub trait Model {
-    /// What the object remembers.
+    /// State of the object.
     type State: Clone + Eq + Hash;
-    /// What it is asked.
+    /// Request of a call.
     type Request;
-    /// What it answers.
+    /// Answer to a call.
     type Answer;
 
     /// Returns the state before the first call.
     fn initial(&self) -> Self::State;
 
-    /// Returns the state after a call, if the answer fits the state before.
+    /// Returns the state after a call, or `None` if the answer contradicts the state before it.
     ///
-    /// Without an answer, any answer fits.
+    /// A call without an answer is allowed in any state.
     fn step(
         &self,
         state: &Self::State,
@@ -30,13 +30,13 @@
     ) -> Option<Self::State>;
 }
 
-/// A history that no order of the calls explains.
+/// A history that is not linearizable.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 #[error("no order explains the {calls} calls; the longest prefix found explains {explained}")]
 pub struct Violation {
-    /// Calls in the history.
+    /// Number of calls in the history.
     pub calls: usize,
-    /// Most calls that any order tried could explain.
+    /// Length of the longest valid sequential prefix found.
     pub explained: usize,
 }
 
@@ -44,7 +44,7 @@
 ///
 /// # Errors
 ///
-/// [`Violation`] when it isn't.
+/// Returns [`Violation`] if it is not.
 pub fn check<M: Model>(model: &M, calls: &[Call<M::Request, M::Answer>]) -> Result<(), Violation> {
     let mut sorted: Vec<_> = calls.iter().collect();
     sorted.sort_by_key(|call| call.began);
@@ -72,10 +72,10 @@
     })
 }
 
-/// The calls ordered so far and the state that they lead to.
+/// The set of calls ordered so far and the state that they result in.
 ///
-/// Two orders of the same calls that lead to the same state have the same continuations, so each
-/// such pair is looked at once.
+/// Two orders of the same calls that result in the same state have the same continuations, so each
+/// pair of set and state is explored only once.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 struct Configuration<State> {
     ordered: CallSet,
@@ -83,9 +83,9 @@
 }
 
 impl<State: Clone + Eq + Hash> Configuration<State> {
-    /// Returns the configurations after one more call.
+    /// Returns the configurations that are reachable by one more call.
     ///
-    /// A call may come next if it began before every other open call ended.
+    /// A call can be next if it began before any other unordered call ended.
     fn successors<M: Model<State = State>>(
         &self,
         model: &M,
@@ -102,7 +102,7 @@
             let Some(state) = model.step(&self.state, &calls[call].request, answer) else {
                 continue;
             };
-            // An unanswered call that changes nothing might as well never take effect.
+            // An unanswered call that changes nothing is equivalent to one that never took effect.
             if answer.is_none() && state == self.state {
                 continue;
             }
@@ -115,7 +115,7 @@
     }
 }
 
-/// A set of calls, by place.
+/// A bit set of calls, by index in the sorted history.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 struct CallSet {
     bits: Vec<u64>,
--- a/tests/src/history/recorder.rs
+++ b/tests/src/history/recorder.rs
@@ -1,23 +1,23 @@
-//! Recording of calls as they happen.
+//! Recording of concurrent calls.
 
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
-/// One call: what was asked, what was answered, and when.
+/// A call: its request, its answer, and when it began and ended.
 ///
-/// Times are counted in events of the recorder, which are in the order of real time.
+/// Times are sequence numbers of the recorder's events, which follow the order of real time.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Call<Request, Answer> {
-    /// What was asked.
+    /// Request.
     pub request: Request,
-    /// What was answered; nothing if the caller can't know whether it took effect.
+    /// Answer, or `None` if the caller does not know whether the call took effect.
     pub answer: Option<Answer>,
-    /// When it began.
+    /// Time at which it began.
     pub began: u64,
-    /// When it was answered; `u64::MAX` without an answer.
+    /// Time at which it was answered; `u64::MAX` without an answer.
     pub ended: u64,
 }
 
-/// Records the calls of many threads on one object.
+/// Records calls of many threads on one object.
 #[derive(Debug)]
 pub struct Recorder<Request, Answer> {
     record: Mutex<Record<Request, Answer>>,
@@ -41,7 +41,9 @@
 }
 
 impl<Request, Answer> Recorder<Request, Answer> {
-    /// Notes that a call begins, and returns its number. To be called before anything is sent.
+    /// Records the start of a call and returns its index.
+    ///
+    /// Must be called before the request is sent.
     pub fn begin(&self, request: Request) -> usize {
         let mut record = self.lock();
         let began = record.next_event();
@@ -54,9 +56,10 @@
         record.calls.len() - 1
     }
 
-    /// Notes the answer to a call. To be called after the answer has arrived.
+    /// Records the answer to a call.
     ///
-    /// Calls that failed without telling whether they took effect are left without an answer.
+    /// Must be called after the answer has arrived, and not for a call whose effect is unknown:
+    /// such a call stays without an answer.
     pub fn end(&self, call: usize, answer: Answer) {
         let mut record = self.lock();
         let ended = record.next_event();
--- a/tests/src/history/register.rs
+++ b/tests/src/history/register.rs
@@ -1,55 +1,57 @@
-//! An object with a value and a revision, as operators see it.
+//! Model of a configuration object with a value and a revision.
 
 use super::check::Model;
 
-/// What an operator asks of one object.
+/// Request of an operator on one object.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Request {
-    /// The present value and revision.
+    /// Reads the current value and revision.
     Read,
-    /// A new value, if the revision is the expected one. No value deletes the object.
+    /// Writes a value if the current revision is the expected one; `None` deletes the object.
     Write {
-        /// Revision that the object must have, zero for an object that never was.
+        /// Expected current revision; zero for an object that has never existed.
         expected: u64,
         /// New value.
         value: Option<String>,
     },
 }
 
-/// What the operator was told.
+/// Answer to a request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Answer {
-    /// The object as it is.
+    /// Result of a read.
     Found {
-        /// Its revision.
+        /// Current revision.
         revision: u64,
-        /// Its value.
+        /// Current value.
         value: Option<String>,
     },
     /// The write was accepted.
     Accepted {
-        /// Revision that it made, later than the expected one.
+        /// Revision of the write, greater than the expected one.
         revision: u64,
     },
-    /// The expected revision was not the present one.
+    /// The write was rejected because the current revision is not the expected one.
     Conflict {
-        /// The present revision.
+        /// Current revision.
         revision: u64,
     },
 }
 
-/// Writes by expected revision; revisions only grow, by any step.
+/// A register with compare-and-set writes, whose revisions increase by arbitrary steps.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Register;
 
-/// The object after some calls.
+/// Value and revision of a register.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct State {
     revision: Revision,
     value: Option<String>,
 }
 
-/// A revision that nobody was told of is only known to be later than the one before.
+/// Knowledge about the current revision.
+///
+/// The revision of an unanswered write is only known to be greater than its expected one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 enum Revision {
     Known(u64),
@@ -79,16 +81,16 @@
 
     fn step(&self, state: &State, request: &Request, answer: Option<&Answer>) -> Option<State> {
         let held = state.revision;
-        let with_revision = |revision| State {
+        let at = |revision| State {
             revision: Revision::Known(revision),
             ..state.clone()
         };
         match (request, answer) {
-            (Request::Read, Some(Answer::Found { revision, value })) => (held.could_be(*revision)
-                && *value == state.value)
-                .then(|| with_revision(*revision)),
+            (Request::Read, Some(Answer::Found { revision, value })) => {
+                (held.could_be(*revision) && *value == state.value).then(|| at(*revision))
+            }
             (Request::Write { expected, .. }, Some(Answer::Conflict { revision })) => {
-                (held.could_be(*revision) && revision != expected).then(|| with_revision(*revision))
+                (held.could_be(*revision) && revision != expected).then(|| at(*revision))
             }
             (Request::Write { expected, value }, Some(Answer::Accepted { revision })) => {
                 let fits = held.could_be(*expected) && revision > expected;
--- a/tests/src/history/ticket.rs
+++ b/tests/src/history/ticket.rs
@@ -1,42 +1,45 @@
-//! Work that runs at most once, as those who ask for it with one ticket see it.
+//! Model of a ticket: callers retry a request with one ticket, and its work runs at most once.
 
 use super::check::Model;
 
-/// What is asked about one ticket.
+/// Request that concerns one ticket.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Request {
-    /// That its work is done; the same is asked again until somebody knows how it ended.
+    /// Sends the work; repeated until some caller learns its outcome.
     Ask,
-    /// How often the targets have run it, once nobody asks any more.
+    /// Counts the runs in the targets' ledgers, after the last attempt.
     Count,
 }
 
-/// What was answered. "Unknown" is no answer: the work may have run, or may still.
+/// Answer to a request.
+///
+/// The outcome "unknown" counts as no answer: the work may have run, or may still run.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Answer {
-    /// The whole answer of the work.
+    /// The complete result of the work.
     Whole(String),
-    /// It has not run and will not.
+    /// The work has not run and will not run.
     NotRun,
-    /// The targets have run it so often.
+    /// Number of runs at the targets.
     Ran(usize),
 }
 
-/// Work that runs at most once, and its only right answer.
+/// Work that runs at most once and has a single correct result.
 #[derive(Debug, Clone)]
 pub struct Ticket {
-    /// Text of the whole answer.
+    /// Text of the complete result.
     pub expected: String,
 }
 
-/// What has become of the work.
+/// State of the work.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum State {
-    /// It may still run.
+    /// It has not run, but may still run.
     Open,
     /// It has run.
     Ran,
-    /// Somebody was told that it has not run; if it ran now, a new ticket would run it twice.
+    /// A caller was told that it has not run. If it ran now and the caller retried with a new
+    /// ticket, it would run twice.
     Refused,
 }
 
--- a/tests/src/http.rs
+++ b/tests/src/http.rs
@@ -1,7 +1,7 @@
-//! HTTP as a caller, target or test speaks it.
+//! HTTP requests of callers, targets and tests.
 //!
-//! Every request uses a connection of its own, so that no client library can repeat a request on a
-//! stale pooled one and spoil the count of runs.
+//! Each request uses its own connection. An HTTP library may silently repeat a request on a stale
+//! pooled connection, which would falsify the number of runs that a test counts.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -16,12 +16,12 @@
     sse::{DONE, Events},
 };
 
-/// Longest wait for an answer.
+/// Longest wait for a response.
 const RESPONSE_TIMEOUT: Duration = Duration::from_mins(1);
-/// Longest body of a whole answer, in bytes.
+/// Largest accepted response body.
 const MAX_BODY_BYTES: usize = 64 << 20;
 
-/// A request in the making.
+/// Builder for a request.
 pub struct Request {
     inner: ClientRequest,
     body: Bytes,
@@ -33,17 +33,17 @@
     }
 }
 
-/// Starts a GET request.
+/// Creates a GET request.
 pub fn get(address: SocketAddr, path: &str) -> Request {
     request(Method::GET, address, path)
 }
 
-/// Starts a POST request.
+/// Creates a POST request.
 pub fn post(address: SocketAddr, path: &str) -> Request {
     request(Method::POST, address, path)
 }
 
-/// Starts a request.
+/// Creates a request.
 pub fn request(method: Method, address: SocketAddr, path: &str) -> Request {
     let client = Client::builder()
         .timeout(RESPONSE_TIMEOUT)
@@ -65,7 +65,7 @@
         self
     }
 
-    /// Identifies the client by its key.
+    /// Authenticates the request with a client's key.
     #[must_use]
     pub fn key(self, key: &str) -> Self {
         self.header("authorization", &format!("Bearer {key}"))
@@ -78,18 +78,18 @@
         self.header("content-type", "application/json")
     }
 
-    /// Sets a body as it is.
+    /// Sets the raw body.
     #[must_use]
     pub fn body(mut self, body: impl Into<Bytes>) -> Self {
         self.body = body.into();
         self
     }
 
-    /// Sends the request and reads the whole answer.
+    /// Sends the request and reads the complete response.
     ///
     /// # Errors
     ///
-    /// [`Error::Http`] when the answer does not arrive whole.
+    /// Returns [`Error::Http`] if the response is incomplete.
     pub async fn send(self) -> Result<Answer> {
         let mut response = self.inner.send_body(self.body).await.map_err(http_error)?;
         let head = Head::of(&response);
@@ -101,11 +101,11 @@
         Ok(Answer { head, body })
     }
 
-    /// Sends the request and returns the answer's server-sent events as they arrive.
+    /// Sends the request and returns the response's server-sent events as they arrive.
     ///
     /// # Errors
     ///
-    /// [`Error::Http`] when no answer starts.
+    /// Returns [`Error::Http`] if no response head arrives.
     pub async fn stream(self) -> Result<(Head, Events<impl Stream<Item = Result<Bytes>> + Unpin>)> {
         let response = self.inner.send_body(self.body).await.map_err(http_error)?;
         let head = Head::of(&response);
@@ -114,18 +114,20 @@
     }
 }
 
-/// Reads a streamed chat answer: its text, and whether its end mark arrived.
+/// Reads a streamed chat completion; returns its text and whether the final `[DONE]` event arrived.
 ///
 /// # Errors
 ///
-/// Fails when an event is no chat event; a broken connection only leaves out the end mark.
+/// Fails if an event is not a chat completion chunk. A broken connection is not an error: the text
+/// so far is returned with `false`.
 pub async fn content(
     events: Events<impl Stream<Item = Result<Bytes>> + Unpin>,
 ) -> Result<(String, bool)> {
     content_with(events, |_| {}).await
 }
 
-/// The same; `seen` is told how many chat events have arrived, at each of them.
+/// Reads a streamed chat completion like [`content`] and calls `on_event` with the number of events
+/// received so far after each of them.
 ///
 /// # Errors
 ///
@@ -149,12 +151,12 @@
     Ok((text, false))
 }
 
-/// Status and headers of an answer.
+/// Status and headers of a response.
 #[derive(Debug, Clone)]
 pub struct Head {
-    /// Status.
+    /// Status code.
     pub status: u16,
-    /// Headers; names in lower case.
+    /// Headers, with names in lower case.
     pub headers: IndexMap<String, String>,
 }
 
@@ -172,13 +174,13 @@
         }
     }
 
-    /// Returns a header, or an empty text.
+    /// Returns the value of a header, or an empty string if it is missing.
     pub fn header(&self, name: &str) -> &str {
         self.headers.get(name).map_or("", String::as_str)
     }
 }
 
-/// A whole answer.
+/// A complete response.
 #[derive(Debug, Clone)]
 pub struct Answer {
     /// Status and headers.
@@ -188,12 +190,12 @@
 }
 
 impl Answer {
-    /// Returns the status.
+    /// Returns the status code.
     pub const fn status(&self) -> u16 {
         self.head.status
     }
 
-    /// Returns a header, or an empty text.
+    /// Returns the value of a header, or an empty string if it is missing.
     pub fn header(&self, name: &str) -> &str {
         self.head.header(name)
     }
@@ -207,7 +209,7 @@
     ///
     /// # Errors
     ///
-    /// Fails when it is none.
+    /// Fails if the body is not JSON.
     pub fn json(&self) -> Result<Value> {
         Ok(serde_json::from_slice(&self.body)?)
     }
--- a/tests/src/lib.rs
+++ b/tests/src/lib.rs
@@ -1,10 +1,11 @@
-//! Scaffolding of the whole-system tests: real processes behind a fault-injecting proxy.
+//! Test harness for the whole system: real processes behind fault-injecting proxies.
 //!
-//! [`process::Process`] starts one of the workspace's binaries, captures its log and ends it on
-//! drop. [`proxy::Proxy`] stands before an address and breaks what passes it. [`cluster::Cluster`]
-//! puts both together: control replicas, entry instances in availability zones, stand-in targets,
-//! every address behind a proxy. Waiting is always for a condition, see [`wait`]. [`history`] records
-//! concurrent calls and checks that one object could have answered them one by one.
+//! [`process::Process`] starts one of the workspace's binaries, captures its log and kills it on
+//! drop. [`proxy::Proxy`] forwards connections to an address and injects network faults.
+//! [`cluster::Cluster`] combines both: control replicas, entry instances in availability zones and
+//! stand-in targets, with a proxy in front of every address. Waiting is always for a condition;
+//! see [`wait`]. [`history`] records concurrent calls and checks that they are
+//! linearizable.
 
 pub mod binary;
 pub mod cluster;
--- a/tests/src/log.rs
+++ b/tests/src/log.rs
@@ -1,17 +1,19 @@
-//! Captured logs of a process.
+//! Captured log output of a process.
 
 use std::{
     io::{BufRead, BufReader, Read},
     sync::{Arc, Mutex, PoisonError},
 };
 
-/// Lines that a process wrote, in the order in which they arrived.
+/// Log lines of a process, in the order in which they were read.
+///
+/// Clones share the same lines.
 #[derive(Debug, Clone, Default)]
 pub struct Log {
     lines: Arc<Mutex<Vec<String>>>,
 }
 
-/// One field of a line of key=value pairs.
+/// Returns the value of one field in a line of `key=value` pairs, without its quotes.
 ///
 /// ```
 /// use zinniastall_tests::log::field;
@@ -32,7 +34,7 @@
 }
 
 impl Log {
-    /// Reads lines from a process's output on a thread of its own until the output ends.
+    /// Reads lines from a process's output on a separate thread until the output ends.
     pub fn follow(&self, output: impl Read + Send + 'static) {
         let log = self.clone();
         std::thread::spawn(move || {
@@ -45,12 +47,12 @@
         });
     }
 
-    /// Returns all lines so far.
+    /// Returns all lines read so far.
     pub fn lines(&self) -> Vec<String> {
         self.lock().clone()
     }
 
-    /// Returns the lines of one event.
+    /// Returns all lines read so far with this `event` field.
     pub fn events(&self, event: &str) -> Vec<String> {
         let of = |line: &&String| field(line, "event") == Some(event);
         self.lock().iter().filter(of).cloned().collect()
--- a/tests/src/node.rs
+++ b/tests/src/node.rs
@@ -1,4 +1,4 @@
-//! A process of a cluster with a proxy before each of its addresses.
+//! A process of a cluster, with a proxy in front of each of its addresses.
 
 use std::net::SocketAddr;
 
@@ -12,10 +12,10 @@
     settings,
 };
 
-/// Address that takes any free port.
+/// Loopback address with an ephemeral port.
 pub const ANY_PORT: &str = "127.0.0.1:0";
 
-/// A process of a cluster; it can be lost and started again at the same addresses.
+/// A process of a cluster that can be killed and restarted at the same addresses.
 #[derive(Debug)]
 pub struct Node {
     name: String,
@@ -28,10 +28,10 @@
     process: Process,
 }
 
-/// Proxies before a node's addresses, by role.
+/// Proxies in front of a node's addresses, by role.
 pub type Proxies = IndexMap<&'static str, Proxy>;
 
-/// What a node is before it runs.
+/// A node that has not been started, with its proxies already bound.
 #[derive(Debug)]
 pub struct Plan {
     name: String,
@@ -43,11 +43,11 @@
 }
 
 impl Plan {
-    /// Binds the proxies of a node to come.
+    /// Binds the proxies of a node.
     ///
     /// # Errors
     ///
-    /// Fails when no port can be had.
+    /// Fails if no port is available.
     pub fn bind(
         callers: &Callers,
         binary: &'static str,
@@ -66,7 +66,7 @@
         })
     }
 
-    /// Returns the name.
+    /// Returns the instance name.
     pub fn name(&self) -> &str {
         &self.name
     }
@@ -81,16 +81,16 @@
         &self.zone
     }
 
-    /// Returns the address of the proxy before a role.
+    /// Returns the address of the proxy in front of a role.
     ///
     /// # Errors
     ///
-    /// Fails when the node has no such role.
+    /// Fails if the node has no such role.
     pub fn address(&self, role: &str) -> Result<SocketAddr> {
         Ok(proxy(&self.proxies, role)?.address())
     }
 
-    /// Returns the proxies' addresses by role, as settings list them.
+    /// Returns the proxies' addresses by role, as the `advertise` setting lists them.
     pub fn advertise(&self) -> Value {
         let address = |(role, proxy): (&&str, &Proxy)| {
             ((*role).to_owned(), proxy.address().to_string().into())
@@ -98,17 +98,17 @@
         Value::Object(self.proxies.iter().map(address).collect())
     }
 
-    /// Returns addresses to bind by role, as settings list them.
+    /// Returns the addresses to bind by role, as the `listen` setting lists them.
     pub fn listen(&self) -> Value {
         let any = |role: &&str| ((*role).to_owned(), ANY_PORT.into());
         Value::Object(self.proxies.keys().map(any).collect())
     }
 
-    /// Starts the node.
+    /// Starts the process and connects the proxies to it.
     ///
     /// # Errors
     ///
-    /// Fails when its process does not start.
+    /// Fails if the process does not start.
     pub async fn start(self, settings: Value) -> Result<Node> {
         let process = start(&self.callers, &self.name, self.binary, &settings)?;
         let mut node = Node {
@@ -127,7 +127,7 @@
 }
 
 impl Node {
-    /// Returns the name.
+    /// Returns the instance name.
     pub fn name(&self) -> &str {
         &self.name
     }
@@ -142,35 +142,35 @@
         &self.zone
     }
 
-    /// Returns the process.
+    /// Returns the process for mutation.
     pub const fn process(&mut self) -> &mut Process {
         &mut self.process
     }
 
-    /// Returns the process, to look at.
+    /// Returns the process for inspection.
     pub const fn running(&self) -> &Process {
         &self.process
     }
 
-    /// Returns the settings, for a change before a restart.
+    /// Returns the settings, which take effect on the next restart.
     pub const fn settings(&mut self) -> &mut Value {
         &mut self.settings
     }
 
-    /// Returns the proxy before a role.
+    /// Returns the proxy in front of a role.
     ///
     /// # Errors
     ///
-    /// Fails when the node has no such role.
+    /// Fails if the node has no such role.
     pub fn proxy(&self, role: &str) -> Result<&Proxy> {
         proxy(&self.proxies, role)
     }
 
-    /// Returns the address of the proxy before a role.
+    /// Returns the address of the proxy in front of a role.
     ///
     /// # Errors
     ///
-    /// Fails when the node has no such role.
+    /// Fails if the node has no such role.
     pub fn address(&self, role: &str) -> Result<SocketAddr> {
         Ok(self.proxy(role)?.address())
     }
@@ -180,11 +180,11 @@
         &self.proxies
     }
 
-    /// Kills the process, if it still runs, and starts it again with the same settings.
+    /// Kills the process if it is still running and starts it again with the current settings.
     ///
     /// # Errors
     ///
-    /// Fails when it does not start.
+    /// Fails if the process cannot be killed or does not start.
     pub async fn restart(&mut self) -> Result<()> {
         self.process.kill()?;
         self.process = start(&self.callers, &self.name, self.binary, &self.settings)?;
--- a/tests/src/page.rs
+++ b/tests/src/page.rs
@@ -1,4 +1,4 @@
-//! Examples on pages, so that a test can try what a page claims.
+//! Examples in the documentation, for tests that verify them.
 
 use std::path::Path;
 
@@ -6,11 +6,11 @@
 
 use crate::error::{Error, Result};
 
-/// Returns the code blocks of a page under `docs`.
+/// Returns the fenced code blocks of a page under `docs`.
 ///
 /// # Errors
 ///
-/// Fails when the page cannot be read.
+/// Fails if the page cannot be read.
 pub fn blocks(page: &str) -> Result<Vec<String>> {
     Ok(text(page)?
         .split("```")
@@ -25,19 +25,19 @@
 ///
 /// # Errors
 ///
-/// Fails when the page cannot be read.
+/// Fails if the page cannot be read.
 pub fn text(page: &str) -> Result<String> {
     let docs = Path::new(env!("CARGO_MANIFEST_DIR")).join("../docs");
     Ok(std::fs::read_to_string(docs.join(page))?)
 }
 
-/// Checks that an answer has exactly the fields that a page shows, with values of the same kinds.
+/// Checks that a response has exactly the fields that a page shows, with values of the same types.
 ///
-/// Lists are compared by their first elements.
+/// Arrays are compared by their first elements only.
 ///
 /// # Errors
 ///
-/// [`Error::Unknown`] names the place at which they differ.
+/// Returns [`Error::Unknown`] with the path at which they differ.
 pub fn check_shape(shown: &Value, got: &Value, place: &str) -> Result<()> {
     let differs = || Error::Unknown(format!("{place}: the page shows {shown}, got {got}"));
     match (shown, got) {
@@ -64,7 +64,9 @@
     }
 }
 
-/// Splits a shell command as far as the pages need it: at blanks, but not within single quotes.
+/// Splits a shell command at spaces outside single quotes.
+///
+/// The pages use no other shell syntax.
 pub fn split_command(command: &str) -> Vec<String> {
     let mut words = vec![String::new()];
     let mut quoted = false;
--- a/tests/src/process.rs
+++ b/tests/src/process.rs
@@ -1,4 +1,4 @@
-//! Real processes of the system.
+//! Child processes under test.
 
 use std::{
     net::SocketAddr,
@@ -21,16 +21,18 @@
     wait,
 };
 
-/// Lines of a log that are printed.
+/// Number of the last log lines that are printed if a process did not exit successfully.
 const MAX_PRINTED_LINES: usize = 200;
 
-/// A running process; it is killed on drop, and its log is printed unless it had ended cleanly.
+/// A child process, killed on drop.
+///
+/// Its log is printed on drop unless it has exited successfully.
 #[derive(Debug)]
 pub struct Process {
     name: String,
     child: Child,
     log: Log,
-    /// The settings file, which must exist until the process has read it.
+    /// Settings file, which must exist until the process has read it.
     settings: Option<NamedTempFile>,
 }
 
@@ -39,7 +41,7 @@
     ///
     /// # Errors
     ///
-    /// Fails when the binary is not built or cannot be started.
+    /// Fails if the binary is not built or cannot be started.
     pub fn start(name: &str, binary: &str, settings: &Path) -> Result<Self> {
         let mut child = Command::new(binary::path(binary)?)
             .arg("--settings")
@@ -68,7 +70,7 @@
         self.settings = Some(file);
     }
 
-    /// Returns the name that the test gave.
+    /// Returns the name given by the test.
     pub fn name(&self) -> &str {
         &self.name
     }
@@ -83,11 +85,11 @@
         &self.log
     }
 
-    /// Waits until the process reports the address that it bound for a role.
+    /// Waits until the process logs the address that it bound for a role.
     ///
     /// # Errors
     ///
-    /// Fails when the process ends or reports nothing in time.
+    /// Fails if the process exits or does not log the address in time.
     pub async fn address(&mut self, role: &str) -> Result<SocketAddr> {
         let what = format!("{} listening for {role}", self.name);
         let found = wait::until(&what, async || {
@@ -101,21 +103,21 @@
         found.await?
     }
 
-    /// Waits until the log has a line of this event.
+    /// Waits until the log has a line with this event and returns the last such line.
     ///
     /// # Errors
     ///
-    /// Fails when it does not come in time.
+    /// Fails if the event is not logged in time.
     pub async fn event(&self, event: &str) -> Result<String> {
         let what = format!("event={event} of {}", self.name);
         wait::until(&what, async || self.log.events(event).pop()).await
     }
 
-    /// Ends the process at once, as a power cut would.
+    /// Kills the process with SIGKILL, as in a power failure, and waits until it is gone.
     ///
     /// # Errors
     ///
-    /// Fails when the process cannot be signalled.
+    /// Fails if the process cannot be signalled.
     pub fn kill(&mut self) -> Result<()> {
         self.child.kill()?;
         self.child.wait()?;
@@ -126,58 +128,58 @@
     ///
     /// # Errors
     ///
-    /// Fails when the process cannot be signalled.
+    /// Fails if the process cannot be signalled.
     pub fn freeze(&self) -> Result<()> {
         self.signal(Signal::SIGSTOP)
     }
 
-    /// Lets a frozen process go on.
+    /// Resumes a frozen process with SIGCONT.
     ///
     /// # Errors
     ///
-    /// Fails when the process cannot be signalled.
+    /// Fails if the process cannot be signalled.
     pub fn resume(&self) -> Result<()> {
         self.signal(Signal::SIGCONT)
     }
 
-    /// Asks the process to end with SIGTERM, without waiting for it.
+    /// Sends SIGTERM without waiting for the process to exit.
     ///
     /// # Errors
     ///
-    /// Fails when the process cannot be signalled.
+    /// Fails if the process cannot be signalled.
     pub fn terminate(&self) -> Result<()> {
         self.signal(Signal::SIGTERM)
     }
 
-    /// Waits until the process has ended.
+    /// Waits until the process exits.
     ///
     /// # Errors
     ///
-    /// Fails when it does not end in time.
+    /// Fails if the process does not exit in time.
     pub async fn wait_exit(&mut self) -> Result<ExitStatus> {
         self.wait_exit_within(wait::TIMEOUT).await
     }
 
-    /// Waits until the process has ended, for a time that its work needs.
+    /// Waits until the process exits, for at most `limit`.
     ///
     /// # Errors
     ///
-    /// Fails when it does not end in time.
+    /// Fails if the process does not exit in time.
     pub async fn wait_exit_within(&mut self, limit: Duration) -> Result<ExitStatus> {
-        let what = format!("end of {}", self.name);
+        let what = format!("exit of {}", self.name);
         wait::within(limit, &what, async || self.child.try_wait().ok().flatten()).await
     }
 
-    /// Returns how the process ended, if it has.
+    /// Returns the exit status if the process has exited.
     pub fn exit_status(&mut self) -> Option<ExitStatus> {
         self.child.try_wait().ok().flatten()
     }
 
-    /// Asks the process to end and waits until it has.
+    /// Sends SIGTERM and waits until the process exits.
     ///
     /// # Errors
     ///
-    /// Fails when it cannot be signalled or does not end in time.
+    /// Fails if the process cannot be signalled or does not exit in time.
     pub async fn stop(&mut self) -> Result<ExitStatus> {
         self.terminate()?;
         self.wait_exit().await
@@ -210,10 +212,10 @@
 impl Drop for Process {
     fn drop(&mut self) {
         let ended = self.child.try_wait().ok().flatten();
-        // An ended child cannot be killed; either way nothing of it must stay behind.
+        // Killing fails if the child has already exited; reap it in either case.
         let _ = self.child.kill();
         let _ = self.child.wait();
-        // The test harness shows this only when the test fails, by a panic or by an error.
+        // The test runner captures this output and shows it only if the test fails.
         if !ended.is_some_and(|status| status.success()) {
             self.print();
         }
--- a/tests/src/proxy/callers.rs
+++ b/tests/src/proxy/callers.rs
@@ -1,8 +1,8 @@
-//! Tells which process dialled a connection.
+//! Identifies the process that dialled a connection.
 //!
-//! All processes of a test share one loopback address, so a proxy cannot see from the address
-//! which instance calls. The kernel knows the socket of every connection and the sockets that
-//! every process holds; together they name the caller.
+//! All processes of a test share one loopback address, so the peer address does not identify the
+//! calling instance. The kernel reports the socket inode of a connection and the socket inodes that
+//! each process holds, which together identify the caller.
 
 use std::{
     collections::HashMap,
@@ -13,21 +13,21 @@
 
 use super::sockets;
 
-/// Processes whose connections are told apart.
+/// Processes that proxies identify as callers, by name.
 #[derive(Debug, Clone, Default)]
 pub struct Callers {
     names: Arc<Mutex<HashMap<u32, String>>>,
 }
 
 impl Callers {
-    /// Starts a process and adds it.
+    /// Starts a process and registers it.
     ///
-    /// Whoever asks for the caller of a connection meanwhile waits: a process that dials before it is added would be
-    /// taken for a stranger for as long as that connection lasts, and pass every partition.
+    /// [`Callers::find`] blocks meanwhile: a process that dialled before it was registered would
+    /// stay unidentified for as long as that connection lasts, and no partition would affect it.
     ///
     /// # Errors
     ///
-    /// Whatever the start fails of.
+    /// Returns the error of `start`.
     pub fn start<P, E>(
         &self,
         name: &str,
@@ -40,17 +40,19 @@
         Ok(process)
     }
 
-    /// Returns the name of the process that holds the far end of an open connection, given the
-    /// addresses of that end and of this one; it blocks while the kernel is asked.
+    /// Returns the name of the process that holds the peer's side of an open connection.
+    ///
+    /// Blocks on queries to the kernel.
     ///
     /// # Panics
     ///
-    /// When the kernel cannot be asked: a caller taken for a stranger would pass every partition.
+    /// Panics if the kernel cannot be queried, since no partition would affect an unidentified
+    /// caller.
     pub fn find(&self, peer: SocketAddr, own: SocketAddr) -> Option<String> {
         let (SocketAddr::V4(peer), SocketAddr::V4(own)) = (peer, own) else {
             return None;
         };
-        let inode = sockets::inode(peer, own).expect("the kernel's socket diagnosis answers")?;
+        let inode = sockets::inode(peer, own).expect("the kernel answers socket queries")?;
         let link = format!("socket:[{inode}]");
         let names = self.names.lock().unwrap_or_else(PoisonError::into_inner);
         let names = names.clone();
@@ -59,6 +61,7 @@
     }
 }
 
+/// Returns whether a process has a file descriptor that links to this socket.
 fn holds_socket(id: u32, link: &str) -> bool {
     let Ok(files) = std::fs::read_dir(format!("/proc/{id}/fd")) else {
         return false;
--- a/tests/src/proxy/connection.rs
+++ b/tests/src/proxy/connection.rs
@@ -1,4 +1,4 @@
-//! One connection through a proxy.
+//! Forwarding of one connection through a proxy.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -20,21 +20,23 @@
     rule::{Direction, Impairment, Rule},
 };
 
-/// Chunks in flight in one direction; with chunks of 16 KB a delayed link keeps its throughput.
+/// Limit of queued chunks in one direction: with chunks of 16 KiB, enough for a delayed link to
+/// keep its throughput.
 const MAX_CHUNKS_IN_FLIGHT: usize = 256;
-/// Longest chunk.
+/// Largest read at once.
 const MAX_CHUNK_BYTES: usize = 16 * 1024;
-/// Pause between two looks at a caller that waits for the end of a cut.
+/// Time between two checks whether a caller that waits for the end of a stall has closed.
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Serves one connection until it ends or its rule breaks it.
+/// Serves a connection until it ends or a rule resets it.
 pub(super) async fn serve(
     caller: TcpStream,
     mut resolver: Resolver,
     upstream: Option<SocketAddr>,
     abandoned: Counter,
 ) {
-    // An end that is dropped without an orderly end of both ways is reset, as a cut looks.
+    // With zero linger, a socket dropped before both directions were shut down sends a reset, which
+    // is what peers see when a connection is cut.
     let _ = (caller.set_zero_linger(), caller.set_nodelay(true));
     let dialled_during_stall = resolver.dialled_during_stall().await;
     let (sender, rule) = watch::channel(resolver.rule().await);
@@ -69,16 +71,17 @@
     }
 }
 
-/// How the wait of a connection that was dialled during a cut ended.
+/// How the wait of a connection that was dialled during a stall ended.
 #[derive(Debug, PartialEq, Eq)]
 enum Hold {
     Released,
     Abandoned,
 }
 
-/// Holds a connection until its way is open; until then its upstream must not even see it opened.
+/// Holds a connection until the direction to the upstream is no longer stalled.
 ///
-/// A caller that gives up meanwhile never had a connection; what it wrote must not arrive later.
+/// Until then the upstream must not see a connection at all. If the caller closes it meanwhile, the
+/// connection was never established and nothing that the caller wrote may arrive later.
 async fn hold(caller: &TcpStream, rule: &mut Watch) -> Hold {
     tokio::select! {
         () = wait_until(rule, |rule| rule.refused || !rule.up.stalled) => {}
@@ -90,23 +93,25 @@
     Hold::Released
 }
 
+/// Waits until the caller has closed its side.
 async fn abandoned(caller: &TcpStream) {
     while !has_closed(caller) {
         tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
 
-/// Asks the kernel whether the caller has closed its end.
+/// Queries the kernel whether the caller has closed its side.
 ///
-/// The runtime's own readiness says so only after its next turn, and not at all while unread bytes
-/// wait before the end: a connection that was healed sooner passed for one whose caller is there.
+/// The runtime reports this only after its next poll, and not at all while unread bytes precede the
+/// end of the stream. Relying on it, a connection released in between would be forwarded although
+/// its caller is gone.
 fn has_closed(caller: &TcpStream) -> bool {
     let closed = EpollEvent::new(EpollFlags::EPOLLRDHUP, 0);
     let asked = Epoll::new(EpollCreateFlags::EPOLL_CLOEXEC).and_then(|epoll| {
         epoll.add(caller, closed)?;
         epoll.wait(&mut [EpollEvent::empty()], EpollTimeout::ZERO)
     });
-    asked.expect("the kernel tells the state of a connection") > 0
+    asked.expect("epoll reports the state of a connection") > 0
 }
 
 /// How a connection ended.
@@ -129,15 +134,16 @@
     }
 }
 
-/// Waits until the rule of the connection is as wanted.
+/// Waits until the rule of the connection satisfies `wanted`.
 async fn wait_until(rule: &mut Watch, wanted: impl Fn(&Rule) -> bool) {
     if rule.wait_for(wanted).await.is_err() {
-        // The proxy is gone, which ends the connection from outside.
+        // The resolver has stopped, which happens only when the proxy is dropped; `serve` ends
+        // then.
         std::future::pending::<()>().await;
     }
 }
 
-/// Why a direction ended before the other.
+/// One direction broke off, which ends the connection.
 #[derive(Debug)]
 struct Cut;
 
--- a/tests/src/proxy/counter.rs
+++ b/tests/src/proxy/counter.rs
@@ -1,11 +1,11 @@
-//! A count that tasks of a proxy raise and tests read.
+//! A counter that tasks of a proxy increment and tests read.
 
 use std::sync::{
     Arc,
     atomic::{AtomicU64, Ordering},
 };
 
-/// A count shared by its clones.
+/// A counter shared by its clones.
 #[derive(Debug, Clone, Default)]
 pub(super) struct Counter {
     count: Arc<AtomicU64>,
--- a/tests/src/proxy/frames.rs
+++ b/tests/src/proxy/frames.rs
@@ -1,7 +1,7 @@
-//! A relay that knows the frames of stream links and can double, hold, swap or drop them.
+//! A relay that decodes the frames of stream links and can duplicate, delay, reorder or drop them.
 //!
-//! It stands behind a [`super::Proxy`], between a dialling instance and the one that is dialled.
-//! Handshakes and the frames of other links pass unchanged.
+//! It runs behind a [`super::Proxy`], between the dialling and the dialled instance. Handshakes and
+//! frames of other links pass unchanged.
 
 use std::{
     net::SocketAddr,
@@ -19,10 +19,10 @@
 use super::{RUNTIME, rule::Direction};
 use crate::error::Result;
 
-/// Says what passes in place of a message.
+/// Returns the messages to forward in place of a message.
 type Rewrite = Arc<Mutex<dyn FnMut(Direction, Message) -> Vec<Message> + Send>>;
 
-/// A relay before one address; all its links end with it.
+/// A relay in front of one address; dropping it closes all its links.
 #[derive(Debug)]
 pub struct Frames {
     address: SocketAddr,
@@ -30,11 +30,11 @@
 }
 
 impl Frames {
-    /// Starts a relay; `change` sees the messages of all its stream links.
+    /// Starts a relay that passes the messages of all its stream links to `rewrite`.
     ///
     /// # Errors
     ///
-    /// Fails when no port can be had.
+    /// Fails if no port is available.
     pub fn start(
         upstream: SocketAddr,
         rewrite: impl FnMut(Direction, Message) -> Vec<Message> + Send + 'static,
@@ -50,7 +50,7 @@
         Ok(Self { address, task })
     }
 
-    /// Returns the address to call instead of the upstream's.
+    /// Returns the address to use instead of the upstream's.
     pub const fn address(&self) -> SocketAddr {
         self.address
     }
--- a/tests/src/proxy/mod.rs
+++ b/tests/src/proxy/mod.rs
@@ -1,10 +1,10 @@
 //! A fault-injecting TCP proxy.
 //!
-//! It is bound first, so that its address can go into the settings of other processes; its
-//! upstream is set once the process behind it has reported its port. Rules may differ by calling
-//! process (see [`callers`]), which is how an availability zone is cut off while the zone's own
-//! instances still reach each other. All proxies run on threads of their own, so a test that waits
-//! does not hold them up.
+//! A proxy is bound before the process behind it starts, so that its address can be written to the
+//! settings of other processes. Its upstream is set once that process has logged its port. Rules
+//! can differ by calling process (see [`callers`]), which makes it possible to partition an
+//! availability zone while the zone's own instances still reach each other. All proxies run on a
+//! separate runtime, so a blocking test does not delay them.
 
 pub mod callers;
 mod connection;
@@ -29,7 +29,7 @@
 use resolver::Resolver;
 use rule::{Direction, Rule};
 
-/// Pause after a connection could not be taken.
+/// Delay before the next attempt after `accept` failed.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(10);
 
 static RUNTIME: LazyLock<Runtime> = LazyLock::new(|| {
@@ -38,16 +38,16 @@
         .thread_name("proxy")
         .enable_all()
         .build()
-        .expect("threads for proxies")
+        .expect("the runtime of the proxies starts")
 });
 
 /// Rules of a proxy, by calling process.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct Rules {
-    /// For callers without a rule of their own.
+    /// Rule for callers without their own rule.
     default: Rule,
     by_caller: HashMap<String, Rule>,
-    /// Connections opened under an earlier epoch are reset.
+    /// Incremented to reset all connections accepted under an earlier epoch.
     epoch: u64,
     upstream: Option<SocketAddr>,
 }
@@ -61,7 +61,7 @@
     }
 }
 
-/// A proxy before one address.
+/// A proxy in front of one address.
 #[derive(Debug)]
 pub struct Proxy {
     address: SocketAddr,
@@ -72,20 +72,20 @@
 }
 
 impl Proxy {
-    /// Binds a proxy that does not tell its callers apart.
+    /// Binds a proxy that does not identify its callers.
     ///
     /// # Errors
     ///
-    /// Fails when no port can be had.
+    /// Fails if no port is available.
     pub fn bind() -> Result<Self> {
         Self::bind_for(&Callers::default())
     }
 
-    /// Binds a proxy that tells these callers apart.
+    /// Binds a proxy that identifies these callers.
     ///
     /// # Errors
     ///
-    /// Fails when no port can be had.
+    /// Fails if no port is available.
     pub fn bind_for(callers: &Callers) -> Result<Self> {
         let listener = std::net::TcpListener::bind(("127.0.0.1", 0))?;
         listener.set_nonblocking(true)?;
@@ -107,48 +107,49 @@
         })
     }
 
-    /// Returns the address to call instead of the upstream's.
+    /// Returns the address to use instead of the upstream's.
     pub const fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Sets where connections go; until then they are reset.
+    /// Sets the upstream address; until then connections are reset.
     pub fn upstream(&self, address: SocketAddr) {
         self.rules
             .send_modify(|rules| rules.upstream = Some(address));
     }
 
-    /// Returns how many connections were opened so far.
+    /// Returns the number of connections accepted so far.
     pub fn opened(&self) -> u64 {
         self.opened.count()
     }
 
-    /// Returns how many callers that dialled during a cut gave up before it ended.
+    /// Returns the number of connections that were dialled during a stall and closed by their
+    /// callers before it ended.
     pub fn abandoned(&self) -> u64 {
         self.abandoned.count()
     }
 
-    /// Lets nothing pass in a way, silently, as a network partition does.
+    /// Stalls a direction without closing connections, as a network partition does.
     pub fn stall(&self, direction: Direction) {
         self.change(|rule| rule.with(direction, |effect| effect.stalled = true));
     }
 
-    /// Delays every byte.
+    /// Delays all bytes in a direction.
     pub fn delay(&self, direction: Direction, delay: Duration) {
         self.change(|rule| rule.with(direction, |effect| effect.delay = delay));
     }
 
-    /// Limits the bytes a second.
+    /// Limits the bytes per second in a direction.
     pub fn rate(&self, direction: Direction, rate: u64) {
         self.change(|rule| rule.with(direction, |effect| effect.rate = Some(rate)));
     }
 
-    /// Resets each connection after this many bytes in a way.
+    /// Resets each connection after this many bytes in a direction.
     pub fn cut_after(&self, direction: Direction, bytes: u64) {
         self.change(|rule| rule.with(direction, |effect| effect.cut_after = Some(bytes)));
     }
 
-    /// Resets all connections and each new one.
+    /// Resets all open connections and all new ones.
     pub fn cut(&self) {
         self.change(|rule| Rule {
             refused: true,
@@ -156,12 +157,12 @@
         });
     }
 
-    /// Resets all open connections; new ones pass.
+    /// Resets all open connections; new ones are accepted.
     pub fn reset(&self) {
         self.rules.send_modify(|rules| rules.epoch += 1);
     }
 
-    /// Closes the upstream end of all connections; callers are not told and hear nothing more.
+    /// Closes the upstream side of all connections, while the callers' side stays open and silent.
     pub fn half_open(&self) {
         self.change(|rule| Rule {
             half_open: true,
@@ -169,7 +170,7 @@
         });
     }
 
-    /// Lets everything pass again, for all callers.
+    /// Removes all faults, for all callers.
     pub fn heal(&self) {
         self.rules.send_modify(|rules| {
             rules.default = Rule::default();
@@ -177,7 +178,7 @@
         });
     }
 
-    /// Sets the rule of one caller.
+    /// Sets the rule for one caller.
     pub fn rule_for(&self, caller: &str, rule: Rule) {
         self.rules.send_modify(|rules| {
             rules.by_caller.insert(caller.to_owned(), rule);
@@ -209,7 +210,8 @@
 ) {
     loop {
         let Ok((stream, peer)) = listener.accept().await else {
-            // Out of files for a moment; an end here would look like a fault of the system.
+            // Probably out of file descriptors for a moment. Returning here would look like a fault
+            // of the system under test.
             tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             continue;
         };
@@ -218,8 +220,8 @@
             continue;
         };
         let resolver = Resolver::new(rules.clone(), callers.clone(), (peer, own));
-        // Counted once the rules it was dialled under are noted: a test that has seen the count may
-        // change them.
+        // Count the connection only after the resolver has copied the rules, since a test that has
+        // seen the count may change them.
         opened.increment();
         tokio::spawn(connection::serve(
             stream,
--- a/tests/src/proxy/resolver.rs
+++ b/tests/src/proxy/resolver.rs
@@ -1,4 +1,4 @@
-//! Works out the rule of one connection as rules change.
+//! Resolves the rule that applies to a connection.
 
 use std::net::SocketAddr;
 
@@ -6,19 +6,19 @@
 
 use super::{Rules, callers::Callers, rule::Rule};
 
-/// The rule of one connection.
+/// Receives the current rule of one connection.
 pub(super) type Watch = watch::Receiver<Rule>;
 
-/// Works out the rule of one connection.
+/// Resolves the rule of one connection from the proxy's rules and the connection's caller.
 #[derive(Debug)]
 pub(super) struct Resolver {
     rules: watch::Receiver<Rules>,
-    /// Rules at the time at which the connection was taken.
+    /// Rules at the time at which the connection was accepted.
     accepted_under: Rules,
     callers: Callers,
-    /// Addresses of the calling end and of the proxy's.
+    /// Peer address and local address of the accepted socket.
     ends: (SocketAddr, SocketAddr),
-    /// Whether it has been asked who calls, and the answer.
+    /// Whether the caller was looked up; `caller` is the result.
     identified: bool,
     caller: Option<String>,
 }
@@ -40,17 +40,18 @@
         }
     }
 
-    /// Tells whether the connection was dialled while its way up was stalled.
+    /// Returns whether the connection was dialled while the direction to the upstream was stalled.
     ///
-    /// Rules may have changed since: a task that starts late on a busy machine would take a connection
-    /// of the cut for one that came after it, and pass on what its caller has written off.
+    /// This uses the rules at the time of acceptance. With the current ones, a task that starts
+    /// late on an overloaded machine could take a connection dialled during a stall for a later
+    /// one, and forward bytes that its caller has given up on.
     pub(super) async fn dialled_during_stall(&mut self) -> bool {
         let rules = self.accepted_under.clone();
         self.identify_caller(&rules).await;
         rules.rule(self.caller.as_deref()).up.stalled
     }
 
-    /// Returns the rule as it is now.
+    /// Returns the current rule.
     pub(super) async fn rule(&mut self) -> Rule {
         let rules = self.rules.borrow_and_update().clone();
         self.identify_caller(&rules).await;
@@ -59,7 +60,7 @@
         rule
     }
 
-    /// Finds out who calls, once and only if these rules tell callers apart.
+    /// Looks up the caller, once and only if the rules distinguish callers.
     async fn identify_caller(&mut self, rules: &Rules) {
         if rules.by_caller.is_empty() || self.identified {
             return;
@@ -70,7 +71,7 @@
         self.identified = true;
     }
 
-    /// Keeps the rule up to date; ends with the proxy.
+    /// Sends the rule after every change, until the proxy is dropped.
     pub(super) async fn run(mut self, sender: watch::Sender<Rule>) {
         while self.rules.changed().await.is_ok() {
             let rule = self.rule().await;
--- a/tests/src/proxy/rule.rs
+++ b/tests/src/proxy/rule.rs
@@ -1,47 +1,47 @@
-//! What a proxy does to the bytes that pass it.
+//! Faults that a proxy injects into connections.
 
 use std::time::Duration;
 
-/// Directions of a connection, as its caller sees them.
+/// Direction of a connection, from its caller's point of view.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Direction {
-    /// From the caller.
+    /// From the caller to the upstream.
     Up,
-    /// Towards the caller.
+    /// From the upstream to the caller.
     Down,
-    /// Both.
+    /// Both directions.
     Both,
 }
 
-/// What happens to one direction.
+/// Faults of one direction.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Impairment {
-    /// Nothing passes, not even the end of the connection, and neither end is told; what was sent
-    /// passes once this is lifted, as TCP would send it again.
+    /// Nothing passes, not even the end of the connection, and neither side is notified. Bytes sent
+    /// meanwhile arrive once this is lifted, as TCP would retransmit them.
     pub stalled: bool,
-    /// Time that every byte takes.
+    /// Latency added to every byte.
     pub delay: Duration,
-    /// Most bytes a second.
+    /// Limit of bytes per second.
     pub rate: Option<u64>,
-    /// Bytes after which both ends are reset.
+    /// Number of bytes after which the connection is reset on both sides.
     pub cut_after: Option<u64>,
 }
 
-/// What happens to a connection.
+/// Faults of a connection.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Rule {
-    /// From the caller.
+    /// Faults from the caller to the upstream.
     pub up: Impairment,
-    /// Towards the caller.
+    /// Faults from the upstream to the caller.
     pub down: Impairment,
-    /// Connections are reset, new ones at once.
+    /// The connection is reset; new connections are reset immediately.
     pub refused: bool,
-    /// The upstream end is closed; the caller is not told and hears nothing more.
+    /// The upstream side is closed, while the caller's side stays open and silent.
     pub half_open: bool,
 }
 
 impl Rule {
-    /// Returns what happens to one direction; that from the caller when both are meant.
+    /// Returns the faults of one direction; for [`Direction::Both`], those towards the upstream.
     pub const fn impairment(&self, direction: Direction) -> Impairment {
         match direction {
             Direction::Down => self.down,
@@ -49,7 +49,7 @@
         }
     }
 
-    /// Changes the lanes of a way.
+    /// Changes the faults of a direction.
     #[must_use]
     pub fn with(mut self, direction: Direction, change: impl Fn(&mut Impairment)) -> Self {
         if direction != Direction::Down {
--- a/tests/src/proxy/sockets.rs
+++ b/tests/src/proxy/sockets.rs
@@ -1,8 +1,8 @@
-//! Asks the kernel which socket an open connection has.
+//! Looks up the socket of an open connection through the kernel's `sock_diag` interface.
 //!
-//! The kernel's text list of connections has a line for each that only waits to be forgotten, tens
-//! of thousands under load; reading it takes longer than the system's own time limits. Its socket
-//! diagnosis interface looks one connection up by both ends.
+//! The alternative, `/proc/net/tcp`, also lists connections in the state `TIME_WAIT`, tens of
+//! thousands under load; reading it takes longer than the timeouts of the system under test.
+//! `sock_diag` looks up a single connection by the addresses of both sides.
 
 use std::{
     io::{Error, Result},
@@ -14,25 +14,26 @@
     AddressFamily, MsgFlags, NetlinkAddr, SockFlag, SockProtocol, SockType, recv, sendto, socket,
 };
 
-/// Length of a message's header.
+/// Size of a netlink message header (`nlmsghdr`).
 const HEADER_BYTES: usize = 16;
-/// Length of a request for one connection.
+/// Size of a request: header and `inet_diag_req_v2`.
 const REQUEST_BYTES: usize = HEADER_BYTES + 56;
-/// Place of the socket's number in an answer.
+/// Offset of `idiag_inode` in a response.
 const INODE_OFFSET: usize = HEADER_BYTES + 68;
-/// Message type: look up by address family.
+/// Message type of a lookup by address family.
 const SOCK_DIAG_BY_FAMILY: u16 = 20;
-/// Message flag: this is a request.
+/// Message flag of a request.
 const NLM_F_REQUEST: u16 = 1;
 const AF_INET: u8 = 2;
 const IPPROTO_TCP: u8 = 6;
 
-/// Returns the number of the socket whose own end is `near` and whose other end is `far`; 0 and
-/// `None` both mean that no process holds it.
+/// Returns the inode of the socket with local address `near` and remote address `far`.
+///
+/// Both 0 and `None` mean that no process holds such a socket.
 ///
 /// # Errors
 ///
-/// Fails when the kernel cannot be asked.
+/// Fails if the kernel cannot be queried.
 pub(super) fn inode(near: SocketAddrV4, far: SocketAddrV4) -> Result<Option<u32>> {
     let netlink = socket(
         AddressFamily::Netlink,
@@ -56,7 +57,7 @@
     bytes.extend(length.to_ne_bytes());
     bytes.extend(SOCK_DIAG_BY_FAMILY.to_ne_bytes());
     bytes.extend(NLM_F_REQUEST.to_ne_bytes());
-    // Sequence number and sender's port, which the kernel fills in.
+    // Sequence number and sender's port id, which the kernel fills in.
     bytes.extend([0; 8]);
     bytes.extend([AF_INET, IPPROTO_TCP, 0, 0]);
     // All states.
@@ -71,7 +72,7 @@
     Ok(bytes)
 }
 
-/// Writes an IPv4 address into the room of an IPv6 one.
+/// Pads an IPv4 address to the 16 bytes of an address field.
 fn padded(address: SocketAddrV4) -> [u8; 16] {
     let mut bytes = [0; 16];
     bytes[..4].copy_from_slice(&address.ip().octets());
--- a/tests/src/settings.rs
+++ b/tests/src/settings.rs
@@ -1,14 +1,14 @@
-//! Settings files of the processes under test.
+//! Settings files for the processes under test.
 
 use serde_json::Value;
 
 use crate::{error::Result, process::Process};
 
-/// Starts a binary with settings that are written to a temporary file.
+/// Writes the settings to a temporary file and starts a binary with it.
 ///
 /// # Errors
 ///
-/// Fails when the file cannot be written or the process cannot be started.
+/// Fails if the file cannot be written or the process cannot be started.
 pub fn start(name: &str, binary: &str, settings: &Value) -> Result<Process> {
     let file = tempfile::Builder::new().suffix(".json").tempfile()?;
     std::fs::write(file.path(), settings.to_string())?;
@@ -17,7 +17,7 @@
     Ok(process)
 }
 
-/// Puts the fields of `change` over those of `settings`, object by object.
+/// Merges `change` into `settings` recursively; values other than objects are replaced.
 pub fn merge(settings: &mut Value, change: Value) {
     match (settings, change) {
         (Value::Object(settings), Value::Object(change)) => {
--- a/tests/src/wait.rs
+++ b/tests/src/wait.rs
@@ -1,28 +1,28 @@
-//! Waits for conditions.
+//! Polling until a condition holds.
 
 use std::time::{Duration, Instant};
 
 use crate::error::{Error, Result};
 
-/// Longest wait for a condition; generous, since machines under test are busy.
+/// Default limit of a wait; generous because test machines are often overloaded.
 pub const TIMEOUT: Duration = Duration::from_secs(30);
-/// Time between two looks at a condition.
+/// Time between two evaluations of a condition.
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
 /// Waits until `probe` returns a value, for at most [`TIMEOUT`].
 ///
 /// # Errors
 ///
-/// [`Error::Timeout`] names the condition.
+/// Returns [`Error::Timeout`] with `what` if the condition is not met in time.
 pub async fn until<T>(what: &str, probe: impl AsyncFnMut() -> Option<T>) -> Result<T> {
     within(TIMEOUT, what, probe).await
 }
 
-/// Waits until `probe` returns a value, for at most `bound`.
+/// Waits until `probe` returns a value, for at most `timeout`.
 ///
 /// # Errors
 ///
-/// [`Error::Timeout`] names the condition.
+/// Returns [`Error::Timeout`] with `what` if the condition is not met in time.
 pub async fn within<T>(
     timeout: Duration,
     what: &str,
--- a/xtask/examples/control_capacity/main.rs
+++ b/xtask/examples/control_capacity/main.rs
@@ -1,7 +1,7 @@
-//! Measures what relays cost a control group of five real processes, and what a call costs.
+//! Measures the cost of relays for a control group of five real processes, and the cost of a call.
 //!
-//! `cargo xtask control`. Relays are follow links of this process; each speaks for its share of the
-//! 1,700 instances of the target size. Needs `ss` of iproute2.
+//! Run with `cargo xtask control`. Relays are follow links of this process; each represents its
+//! share of the 1,700 instances of the target size. Requires `ss` from iproute2.
 
 mod relay;
 mod traffic;
@@ -21,18 +21,18 @@
     usage, wait,
 };
 
-/// Relays of each case; the first is the target size, at which calls are measured as well.
+/// Number of relays in each case; the first is the target size, at which calls are measured too.
 const RELAY_COUNTS: [usize; 3] = [134, 67, 0];
-/// Instances that a relay speaks for: 1,700 over 134.
+/// Number of instances that a relay represents: 1,700 divided by 134.
 const INSTANCES_PER_RELAY: usize = 13;
-/// Clients and models of the target size.
+/// Numbers of clients and models at the target size.
 const CLIENTS: usize = 460;
 const MODELS: usize = 28;
-/// Time at rest, and changes that are spread over the same time.
+/// Idle time, and number of changes that are spread over an equally long time.
 const RUN_TIME: Duration = Duration::from_secs(10);
 const CHANGES: u32 = 50;
-/// Calls of each kind.
-const CALLS_PER_KIND: u32 = 20;
+/// Number of calls of each kind.
+const CALL_COUNT: u32 = 20;
 
 #[actix_rt::main]
 async fn main() -> Result<()> {
@@ -101,7 +101,7 @@
     Ok(())
 }
 
-/// Lets relays follow all replicas in turn, past the proxies.
+/// Starts relays that follow the replicas in turn, without the proxies.
 async fn follow(
     cluster: &mut Cluster,
     relays: usize,
@@ -126,7 +126,7 @@
     Ok((0..relays).map(one).collect())
 }
 
-/// Waits until all instances are members and have the newest revision in force.
+/// Waits until all instances are members and have the latest revision in force.
 async fn wait_joined(cluster: &Cluster, wanted: usize) -> Result<()> {
     let begun = Instant::now();
     wait::within(
@@ -148,7 +148,7 @@
     Ok(())
 }
 
-/// What one replica has used at a moment.
+/// Cumulative resource usage of a replica.
 #[derive(Debug, Clone, Copy)]
 struct Sample {
     cpu_time: Duration,
@@ -197,7 +197,7 @@
     );
 }
 
-/// Measures calls from the command line: each is a process of its own.
+/// Measures calls from the command line, each of which runs as a separate process.
 async fn measure_calls(cluster: &Cluster) -> Result<()> {
     let changing = model("called", "1");
     let kinds: [(&str, &[&str]); 3] = [
@@ -207,7 +207,7 @@
     ];
     for (kind, arguments) in kinds {
         let (mut times, before, opened) = (Vec::new(), children_cpu_time()?, opened(cluster)?);
-        for _ in 0..CALLS_PER_KIND {
+        for _ in 0..CALL_COUNT {
             let begun = Instant::now();
             cluster.ctl(arguments).await?.json()?;
             times.push(begun.elapsed());
@@ -217,19 +217,19 @@
         let connections = opened_since(cluster, opened)?;
         let peak = peak_memory(&cluster.operators(), arguments)?;
         println!(
-            "call {kind} calls={CALLS_PER_KIND} p50={:.1?} max={:.1?} processor_ms={:.2} memory_kb={} \
+            "call {kind} calls={CALL_COUNT} p50={:.1?} max={:.1?} processor_ms={:.2} memory_kb={} \
              connections={:.1}",
             times[times.len() / 2],
             times[times.len() - 1],
-            (after.saturating_sub(before) / CALLS_PER_KIND).as_secs_f64() * 1e3,
+            (after.saturating_sub(before) / CALL_COUNT).as_secs_f64() * 1e3,
             peak,
-            f64::from(u32::try_from(connections).unwrap_or(u32::MAX)) / f64::from(CALLS_PER_KIND),
+            f64::from(u32::try_from(connections).unwrap_or(u32::MAX)) / f64::from(CALL_COUNT),
         );
     }
     Ok(())
 }
 
-/// Returns the processor time of children that have ended.
+/// Returns the CPU time of all exited child processes.
 fn children_cpu_time() -> Result<Duration> {
     let usage = getrusage(UsageWho::RUSAGE_CHILDREN).map_err(std::io::Error::from)?;
     let micros = |time: nix::sys::time::TimeVal| {
@@ -239,10 +239,10 @@
     Ok(micros(usage.user_time()) + micros(usage.system_time()))
 }
 
-/// Makes one call and returns the most memory that its process held, in KB.
+/// Runs a call and returns the peak resident memory of its process in KB.
 ///
-/// The kernel's figure for ended children holds what this process had when it started them, so the
-/// call is looked at while it runs; the last look counts.
+/// The kernel's maximum for exited children includes the memory of this process at the time of the
+/// fork, so the peak is read repeatedly while the call runs, and the last value is returned.
 fn peak_memory(addresses: &[SocketAddr], arguments: &[&str]) -> Result<u64> {
     let list: Vec<String> = addresses.iter().map(SocketAddr::to_string).collect();
     let mut child = Command::new(zinniastall_tests::binary::path("zinniastall-ctl")?)
--- a/xtask/examples/control_capacity/relay.rs
+++ b/xtask/examples/control_capacity/relay.rs
@@ -1,4 +1,4 @@
-//! A relay as control sees it: a follow link that speaks for its own instance and its followers.
+//! An emulated relay: a follow link that represents its own instance and its followers.
 
 use std::{rc::Rc, time::Duration};
 
@@ -12,25 +12,25 @@
     link::{Error, Link, Sender},
 };
 
-/// Time between two looks at what is new, as in a real relay.
+/// Time between two ticks, in each of which a relay handles updates; the same as in a real relay.
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
-/// Looks between two signs of life, and between two repetitions of everything.
+/// Ticks between two heartbeats, and between two confirmations of all members.
 const TICKS_PER_HEARTBEAT: u32 = 20;
 const TICKS_PER_FULL_CONFIRMATION: u32 = 200;
-/// Looks between two presentations of instances that aren't members yet.
+/// Ticks between two presentations of instances that are not members yet.
 const TICKS_PER_PRESENTATION: u32 = 10;
 
-/// A relay with the instances that it speaks for.
+/// A relay and the instances that it represents.
 #[derive(Debug)]
 pub(crate) struct Relay {
-    /// Its own instance first.
+    /// Represented instances, the relay's own first.
     members: Vec<Member>,
     known: IndexSet<String>,
     revision: u64,
 }
 
 impl Relay {
-    /// Creates a relay of a zone of its own.
+    /// Creates a relay in its own zone.
     pub(crate) fn new(number: usize, instances: usize) -> Self {
         let place = Place {
             region: format!("region-{}", number / 6),
@@ -49,11 +49,11 @@
         }
     }
 
-    /// Follows a control instance until the link breaks.
+    /// Follows a control replica until the link breaks.
     ///
     /// # Errors
     ///
-    /// Says why it broke.
+    /// Returns the error that broke the link.
     pub(crate) async fn follow(mut self, address: Rc<str>) -> Result<(), Error> {
         let own = self.members[0].clone();
         let hello = Hello {
--- a/xtask/examples/control_capacity/traffic.rs
+++ b/xtask/examples/control_capacity/traffic.rs
@@ -1,13 +1,13 @@
-//! What a process has sent and received, by the word of the kernel.
+//! Network traffic of processes, as reported by `ss`.
 
 use std::{collections::HashMap, process::Command};
 
 use zinniastall_tests::Result;
 
-/// Bytes of headers that a segment takes on the wire, as docs/CAPACITY.md counts them.
+/// Header bytes per TCP segment, as docs/CAPACITY.md counts them.
 const HEADER_BYTES: u64 = 70;
 
-/// Segments and bytes over the open sockets of a process.
+/// Total segments and bytes of a process's open sockets.
 #[derive(Debug, Default, Clone, Copy)]
 pub(crate) struct Traffic {
     pub(crate) sent_bytes: u64,
@@ -16,12 +16,14 @@
 }
 
 impl Traffic {
-    /// Returns the bytes sent with the headers of their segments.
+    /// Returns the bytes sent, including the headers of their segments.
     pub(crate) const fn on_the_wire(&self) -> u64 {
         self.sent_bytes + HEADER_BYTES * self.sent_segments
     }
 
-    /// Returns what came after an earlier look; sockets that closed in between would be missing.
+    /// Returns the traffic since an earlier sample.
+    ///
+    /// Sockets that were closed in between are not counted.
     pub(crate) const fn since(&self, earlier: &Self) -> Self {
         Self {
             sent_bytes: self.sent_bytes.saturating_sub(earlier.sent_bytes),
@@ -31,11 +33,11 @@
     }
 }
 
-/// Looks at the sockets of all processes, by process id.
+/// Samples the traffic of all processes, by process id.
 ///
 /// # Errors
 ///
-/// Fails when `ss` cannot be run.
+/// Fails if `ss` cannot be run.
 pub(crate) fn sample() -> Result<HashMap<u32, Traffic>> {
     let output = Command::new("ss").args(["-tinpHO"]).output()?;
     let mut traffic: HashMap<u32, Traffic> = HashMap::new();
--- a/xtask/examples/control_cost.rs
+++ b/xtask/examples/control_cost.rs
@@ -1,5 +1,5 @@
-//! Measures the control group with real processes: commits, time to force, time without a leader,
-//! and what a change costs a follower.
+//! Measures the control group with real processes: commit rate, time until a change is in force,
+//! time without a leader, and the cost of a change for each node.
 //!
 //! `cargo build --release --bins && cargo run --release -p xtask --example control_cost`
 
@@ -21,15 +21,15 @@
     usage, wait,
 };
 
-/// Time that each way between two regions takes on the emulated slow link.
+/// One-way latency between regions on the emulated slow link.
 const REGION_DELAY: Duration = Duration::from_millis(40);
-/// Time for which each load runs.
+/// Duration of each load.
 const RUN_TIME: Duration = Duration::from_secs(5);
-/// Changes whose way into force is timed.
+/// Number of changes that are timed until they are in force.
 const TIMED_CHANGES: usize = 100;
-/// Losses of a leader that are timed.
+/// Number of leader losses that are timed.
 const LEADER_LOSSES: usize = 5;
-/// Changes over which a follower's processor time is taken.
+/// Number of changes over which CPU time is measured.
 const CPU_CHANGES: usize = 2_000;
 
 type Client = OperatorClient<Channel>;
@@ -65,7 +65,7 @@
     Ok(cluster)
 }
 
-/// Connects to the leader past its proxy.
+/// Connects to the leader directly, without its proxy.
 async fn client(cluster: &mut Cluster) -> Result<Client> {
     let leader = cluster.leader().await?;
     let address = cluster
@@ -139,7 +139,7 @@
     Ok(())
 }
 
-/// Times changes until every instance has confirmed them, from sending to the answer.
+/// Measures the time from sending a change until every instance has confirmed it.
 async fn time_to_force(slow: bool) -> Result<()> {
     let mut cluster = cluster(slow, 3).await?;
     wait_current(&cluster, 9).await?;
@@ -217,7 +217,7 @@
     false
 }
 
-/// Takes processor time of followers over many changes, less that of the same time without.
+/// Measures the CPU time of all nodes over many changes, less that of an equally long idle time.
 async fn follower_cost() -> Result<()> {
     let mut cluster = cluster(false, 3).await?;
     wait_current(&cluster, 9).await?;
--- a/xtask/examples/revisions.rs
+++ b/xtask/examples/revisions.rs
@@ -1,5 +1,7 @@
-//! Measures requests that overtake the change that permits them, between two regions over a slow
-//! link, judged at once and judged after waiting for the sender's revision.
+//! Measures requests that overtake the configuration change that permits them.
+//!
+//! Requests are forwarded between two regions over a slow link. The receiver decides either at once
+//! or after waiting for the sender's revision.
 //!
 //! `cargo build --release --bins && cargo run --release -p xtask --example revisions`
 
@@ -14,11 +16,11 @@
     proxy::rule::{Direction, Rule},
 };
 
-/// Changes, each followed by a request that needs it.
+/// Number of changes, each followed by a request that depends on it.
 const ROUNDS: usize = 150;
-/// Time that each way between the regions takes.
+/// One-way latency between the regions.
 const REGION_DELAY: Duration = Duration::from_millis(40);
-/// How much longer configuration takes than requests, in turn.
+/// Additional latencies of configuration over that of requests.
 const CONFIGURATION_LAGS: [Duration; 2] = [Duration::ZERO, Duration::from_millis(100)];
 const MODEL: &str = "map-labels";
 
@@ -75,7 +77,7 @@
     cluster.stop().await
 }
 
-/// Starts two regions, the far one with the engine, over a link that delays.
+/// Starts two regions with a delayed link between them; the engine runs in the remote one.
 async fn start_cluster(lag: Duration, behind_ms: u64) -> Result<Cluster> {
     let mut cluster = Cluster::builder()
         .zone("home", "a", 1)
@@ -108,8 +110,8 @@
     Ok(cluster)
 }
 
-/// Asks until the home instance has the change, and returns how the first request that it sent away
-/// ended.
+/// Sends requests until the home instance has the change; returns status and duration of the first
+/// request that it forwards.
 async fn first_request(home: std::net::SocketAddr, key: &str) -> Result<(u16, Duration)> {
     loop {
         let started = Instant::now();
--- a/xtask/src/bench/load.rs
+++ b/xtask/src/bench/load.rs
@@ -1,20 +1,20 @@
-//! Runs the load tool as a process of its own.
+//! Runs the load generator as a separate process.
 
 use std::{path::Path, time::Duration};
 
 use serde_json::Value;
 use zinniastall_tests::settings;
 
-/// Time beyond the measured one within which the load tool must end.
+/// Time after the planned end of an experiment within which the load generator must exit.
 const EXIT_GRACE: Duration = Duration::from_mins(2);
 
 /// Runs an experiment and returns its report, which stays at `report`.
 ///
 /// # Errors
 ///
-/// Fails when the tool does not end or writes no report.
+/// Fails if the load generator does not exit in time or writes no report.
 pub(super) async fn run(mut experiment: Value, report: &Path) -> eyre::Result<Value> {
-    // The report of an earlier run must not be taken for this one's.
+    // Remove the report of an earlier run, so that it cannot be mistaken for this one's.
     let _ = std::fs::remove_file(report);
     experiment["report"] = report.display().to_string().into();
     let time = |field: &str| experiment[field].as_u64().unwrap_or_default();
--- a/xtask/src/bench/mod.rs
+++ b/xtask/src/bench/mod.rs
@@ -1,4 +1,4 @@
-//! Benchmarks: real processes of release builds on loopback, reports under `docs/measurements`.
+//! Benchmarks with real processes of release builds on loopback.
 
 mod load;
 mod path;
@@ -10,20 +10,20 @@
 use crate::build::{self, Profile};
 use path::Scenario;
 
-/// Folder of the reports.
+/// Directory of the reports, relative to the workspace root.
 const REPORT_DIRECTORY: &str = "docs/measurements";
 
-/// What is measured.
+/// A benchmark.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Bench {
-    /// What an entry instance costs.
+    /// Cost of an entry instance.
     Speed,
-    /// How policies choose.
+    /// Comparison of target selection policies.
     Path(Scenario),
 }
 
 impl Bench {
-    /// Reads the words of the command line.
+    /// Parses the arguments of the command line.
     pub(crate) fn parse(word: &str, scenario: Option<&str>) -> Option<Self> {
         match (word, scenario) {
             ("speed", None) => Some(Self::Speed),
@@ -38,7 +38,7 @@
 ///
 /// # Errors
 ///
-/// Fails when a process fails.
+/// Fails if a process fails.
 pub(crate) fn run(root: &Path, bench: Bench) -> eyre::Result<()> {
     build::run(root, Profile::Release)?;
     let reports = root.join(REPORT_DIRECTORY);
@@ -52,7 +52,7 @@
     })
 }
 
-/// Describes the machine and how busy it was: other work spoils latencies.
+/// Describes the machine and its load average, since other work distorts latencies.
 fn machine() -> eyre::Result<String> {
     let processors = std::fs::read_to_string("/proc/cpuinfo")?;
     let model = processors
--- a/xtask/src/bench/path/mod.rs
+++ b/xtask/src/bench/path/mod.rs
@@ -1,4 +1,4 @@
-//! How policies choose: the same arrivals under each, at several loads.
+//! Compares target selection policies under the same arrivals, at several loads.
 
 mod scenario;
 mod system;
@@ -24,7 +24,7 @@
     "prefix-hash",
     "cost",
 ];
-/// Time within which an answer counts.
+/// Time within which a response counts towards goodput.
 const DEADLINE_MS: u64 = 1_000;
 
 pub(super) async fn run(reports: &Path, scenario: Scenario) -> eyre::Result<()> {
--- a/xtask/src/bench/path/scenario.rs
+++ b/xtask/src/bench/path/scenario.rs
@@ -1,30 +1,30 @@
-//! Scenarios: what happens to demand and to capacity while policies are compared.
+//! Scenarios of demand and capacity for the comparison of policies.
 
 use serde_json::{Value, json};
 
 use super::system::{DURATION_MS, PREFIX_BLOCKS, PREFIXES, SUFFIX_BLOCKS, TOKENS, WARMUP_MS};
 use super::{CLIENT, KEY, MODEL};
 
-/// What happens during a run.
+/// Course of demand and capacity during a run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Scenario {
-    /// Even demand in two availability zones of one region.
+    /// Constant demand in two availability zones of one region.
     Steady,
-    /// Two regions whose peaks take turns: one and a half times the mean, then half of it.
+    /// Two regions with alternating peaks: one and a half times the mean, then half of it.
     Peaks,
-    /// Two regions, one of them with one slot left of twelve.
+    /// Two regions, one of them reduced from twelve slots to one.
     Tenth,
-    /// Half of the targets are killed, and return with cold caches.
+    /// Half of the targets are killed and restarted with cold caches.
     Loss,
 }
 
-/// A zone: region, name, engines, slots an engine.
+/// A zone: region, name, number of engines, slots per engine.
 pub(super) type Zone = (&'static str, &'static str, u32, u32);
 
 impl Scenario {
     pub(crate) const ALL: [Self; 4] = [Self::Steady, Self::Peaks, Self::Tenth, Self::Loss];
 
-    /// Reads the word of the command line.
+    /// Parses the scenario's name on the command line.
     pub(crate) fn parse(word: &str) -> Option<Self> {
         Self::ALL
             .into_iter()
@@ -40,7 +40,7 @@
         }
     }
 
-    /// Returns the loads to compare at, as shares of the capacity before anything happens.
+    /// Returns the loads to compare, as shares of the capacity of two full zones.
     pub(super) const fn loads(self) -> &'static [f64] {
         match self {
             Self::Steady => &[0.5, 0.8, 1.0, 1.5],
@@ -58,7 +58,7 @@
         }
     }
 
-    /// Returns the sources of a demand that is `rate` requests a second on average.
+    /// Returns load sources that send `rate` requests per second on average in total.
     pub(super) fn sources(self, rate: f64) -> Vec<Value> {
         let zones = self.zones();
         let sources = zones.iter().enumerate().flat_map(|(index, zone)| {
--- a/xtask/src/bench/path/system.rs
+++ b/xtask/src/bench/path/system.rs
@@ -1,4 +1,4 @@
-//! The system that a policy is measured in.
+//! The system in which a policy is measured.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -13,27 +13,28 @@
     scenario::{Scenario, Zone},
 };
 
-/// Engines of a zone at full capacity, and slots of each.
+/// Engines in a zone at full capacity, and slots of each engine.
 const ENGINES_PER_ZONE: u32 = 3;
 const SLOTS_PER_ENGINE: u32 = 4;
-/// Times of an engine: to the first token, a block of uncached prompt, from token to token.
+/// Service times of an engine: to the first token, per uncached prompt block, per token.
 const FIRST_MS: u32 = 10;
 const BLOCK_MS: u32 = 1;
 const TOKEN_MS: u32 = 2;
 pub(super) const TOKENS: u32 = 16;
-/// Shared beginnings, their length in blocks of 256 bytes, and blocks that an engine caches: half of
-/// what all beginnings take, so that a choice that forgets where one is cached pays in prefill.
+/// Number of shared prompt prefixes, lengths of prefix and suffix in blocks of 256 bytes, and
+/// blocks that an engine caches: half of what all prefixes take, so that a policy that ignores
+/// where a prefix is cached pays in prefill time.
 pub(super) const PREFIXES: u32 = 96;
 pub(super) const PREFIX_BLOCKS: u32 = 16;
 pub(super) const SUFFIX_BLOCKS: u32 = 2;
 const CACHE_BLOCKS: u32 = PREFIXES * PREFIX_BLOCKS / 2;
-/// Time one way between regions.
+/// One-way latency between regions.
 const REGION_DELAY: Duration = Duration::from_millis(20);
 pub(super) const WARMUP_MS: u64 = 4_000;
 pub(super) const DURATION_MS: u64 = 10_000;
 
-/// Returns the requests a second at which all slots of two full zones are busy, every shared
-/// beginning cached.
+/// Returns the request rate per second at which all slots of two full zones are busy, if every
+/// prefix is cached.
 pub(super) fn capacity() -> f64 {
     let service = FIRST_MS + SUFFIX_BLOCKS * BLOCK_MS + TOKENS * TOKEN_MS;
     f64::from(2 * ENGINES_PER_ZONE * SLOTS_PER_ENGINE) * 1000.0 / f64::from(service)
@@ -78,7 +79,7 @@
         Ok(system)
     }
 
-    /// Puts regions at a distance.
+    /// Delays connections between regions.
     fn delay_regions(&self) {
         let far = Rule::default().with(Direction::Both, |effect| effect.delay = REGION_DELAY);
         self.cluster
@@ -100,7 +101,7 @@
             self.cluster
                 .engine(&name, (region, zone), MODEL, settings)
                 .await?;
-            // The proxy's address stays when the engine is lost and comes back.
+            // The proxy's address is stable when the engine is killed and restarted.
             self.ledgers
                 .push(self.cluster.target(&name)?.address("http")?);
             self.targets.push(name);
@@ -131,7 +132,8 @@
         Ok(())
     }
 
-    /// Kills every second engine after a while, and brings them back cold after another.
+    /// Waits for `after`, kills every second engine and restarts them with cold caches `away`
+    /// later.
     pub(super) async fn lose_engines(
         &mut self,
         after: Duration,
--- a/xtask/src/bench/speed.rs
+++ b/xtask/src/bench/speed.rs
@@ -1,7 +1,8 @@
-//! What an entry instance costs: added latency, requests a second per core, memory.
+//! Measures the cost of an entry instance: added latency, throughput per core and memory.
 //!
-//! One entry instance with one thread, one stand-in engine that answers at once, the load tool; the
-//! same engine called directly is the comparison, in the same run with the same arrivals.
+//! The setup is an entry instance with one thread, a stand-in engine that responds immediately, and
+//! the load generator. The baseline is the same engine called directly, in the same run and with
+//! the same arrivals.
 
 use std::{path::Path, time::Duration};
 
@@ -18,18 +19,18 @@
 const KEY: &str = "bench-key";
 const ENTRY: &str = "patras-a-1";
 const ENGINE: &str = "engine-1";
-/// First rate tried, in requests a second, and the factor from one to the next.
+/// Initial rate in requests per second, and the factor between successive rates.
 const RATE_SWEEP: (f64, f64) = (1_000.0, 1.4);
-/// Kinds of answers, and whether they are streamed.
+/// Names of the response kinds, and whether each is streamed.
 const ANSWER_KINDS: [(&str, bool); 2] = [("whole", false), ("streamed", true)];
-/// Share of the requests that must be answered in time for a rate to count as carried.
+/// Minimum share of requests answered in time for a rate to count as sustained.
 const MIN_IN_TIME_SHARE: f64 = 0.99;
-/// Open streams at which memory is read.
+/// Numbers of open streams at which memory is measured.
 const OPEN_STREAMS: [u64; 3] = [0, 1_000, 3_000];
 
 pub(super) async fn run(reports: &Path) -> eyre::Result<()> {
     let mut bench = Bench::start().await?;
-    // First of all: later the process also holds what its busiest time has left behind.
+    // Measured first: later the process also holds memory that was allocated under peak load.
     bench.measure_memory(reports).await?;
     for (name, stream) in ANSWER_KINDS {
         println!("\n{name} answers\n");
@@ -84,7 +85,8 @@
         })
     }
 
-    /// Raises the rate until it is no longer carried; returns it and the processor time a request.
+    /// Raises the rate until it is no longer sustained; returns the highest sustained rate and its
+    /// CPU time per request.
     async fn find_max_rate(
         &mut self,
         reports: &Path,
@@ -126,8 +128,8 @@
         Ok(best)
     }
 
-    /// Compares the entry instance with the engine called directly: time to the end of whole answers,
-    /// to the first token of streamed ones.
+    /// Compares latencies through the entry instance with those of direct calls to the engine: time
+    /// to the complete response, or to the first token if it is streamed.
     async fn measure_added_latency(
         &self,
         reports: &Path,
@@ -159,7 +161,7 @@
         Ok(())
     }
 
-    /// Reads the memory of the entry instance at rest and with many open streams.
+    /// Measures the memory of the entry instance when idle and with many open streams.
     async fn measure_memory(&mut self, reports: &Path) -> eyre::Result<()> {
         let mut table = Table::new(&["open streams", "memory MB", "KB a stream"]);
         let id = self.cluster.entry(ENTRY)?.process().id();
@@ -182,7 +184,7 @@
         Ok(())
     }
 
-    /// Holds some streams open at a slow engine and returns the memory then.
+    /// Opens streams to a slow engine and returns the memory of process `id` while they are open.
     async fn memory_with_streams(
         &mut self,
         reports: &Path,
@@ -215,7 +217,7 @@
         experiment["warmup_ms"] = 0.into();
         experiment["sources"][0]["model"] = model.into();
         experiment["sources"][0]["arrivals"] = "fixed".into();
-        // Long enough that the first stream is still open when the last one starts.
+        // Enough tokens that the first stream is still open when the last one starts.
         experiment["sources"][0]["tokens"] = (streams / 250 + 20).into();
         experiment["deadline_ms"] = 600_000.into();
         let report = reports.join("speed-open.json");
--- a/xtask/src/bench/table.rs
+++ b/xtask/src/bench/table.rs
@@ -1,13 +1,13 @@
-//! Tables in the form of the documentation.
+//! Markdown tables, as used in the documentation.
 
-/// A table.
+/// A Markdown table.
 #[derive(Debug)]
 pub(super) struct Table {
     rows: Vec<Vec<String>>,
 }
 
 impl Table {
-    /// Starts a table with its head.
+    /// Creates a table with a header row.
     pub(super) fn new(head: &[&str]) -> Self {
         let head = head.iter().map(|cell| (*cell).to_owned()).collect();
         Self { rows: vec![head] }
@@ -18,7 +18,7 @@
         self.rows.push(cells);
     }
 
-    /// Prints the table.
+    /// Prints the table to standard output.
     pub(super) fn print(&self) {
         for (index, row) in self.rows.iter().enumerate() {
             println!("| {} |", row.join(" | "));
@@ -29,7 +29,7 @@
     }
 }
 
-/// Prints microseconds of a report as milliseconds.
+/// Formats microseconds of a report as milliseconds.
 pub(super) fn millis(value: &serde_json::Value) -> String {
     format!("{:.2}", value.as_f64().unwrap_or_default() / 1000.0)
 }
--- a/xtask/src/build.rs
+++ b/xtask/src/build.rs
@@ -1,19 +1,19 @@
-//! Builds the binaries that chores start.
+//! Builds the binaries that tasks run.
 
 use std::{path::Path, process::Command};
 
 use zinniastall_tests::binary;
 
-/// Profile of a build.
+/// Cargo profile of a build.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Profile {
-    /// For a look.
+    /// For functional runs.
     Debug,
     /// For measurements.
     Release,
 }
 
-/// Returns the cargo that runs this chore, to be called in the workspace.
+/// Returns a command for the cargo that runs this task, in the workspace root.
 pub(crate) fn cargo(root: &Path) -> Command {
     let cargo = std::env::var_os("CARGO").unwrap_or_else(|| "cargo".into());
     let mut command = Command::new(cargo);
@@ -21,11 +21,11 @@
     command
 }
 
-/// Builds all binaries and has the scaffolding use them.
+/// Builds all binaries and makes the test harness use them.
 ///
 /// # Errors
 ///
-/// Fails when the build fails.
+/// Fails if the build fails.
 pub(crate) fn run(root: &Path, profile: Profile) -> eyre::Result<()> {
     let mut command = cargo(root);
     command.args(["build", "--quiet", "--locked", "--workspace", "--bins"]);
--- a/xtask/src/codegen.rs
+++ b/xtask/src/codegen.rs
@@ -1,12 +1,12 @@
-//! Generates the operators' calls from their schema file.
+//! Generates the operators' RPC code from its schema.
 //!
-//! The result is committed, so that a build needs neither this chore nor `protoc`.
+//! The generated code is committed, so that a build requires neither this task nor `protoc`.
 
 use std::path::Path;
 
-/// Fields of which JSON shows the chosen variant without a level of its own.
+/// Oneof fields that JSON flattens into the enclosing object.
 const ONEOFS: [&str; 3] = ["Object.object", "Route.serves", "Event.change"];
-/// Fields that hold a number of an enumeration, and the module that names them in JSON.
+/// Enum fields, and the module of `crate::names` that converts each to its name in JSON.
 const ENUMS: [(&str, &str); 7] = [
     ("DeleteRequest.kind", "kind"),
     ("GetRequest.kind", "kind"),
@@ -17,11 +17,11 @@
     ("ReplicaRequest.step", "step"),
 ];
 
-/// Writes the generated code of `proto/operator.proto` into the api crate.
+/// Generates code from `proto/operator.proto` into the `zinniastall-api` crate.
 ///
 /// # Errors
 ///
-/// Fails when the schema does not compile or a file cannot be written.
+/// Fails if the schema does not compile or a file cannot be written.
 pub(crate) fn run(root: &Path) -> eyre::Result<()> {
     let api = root.join("crates/zinniastall-api");
     let proto = api.join("proto");
--- a/xtask/src/demo.rs
+++ b/xtask/src/demo.rs
@@ -1,8 +1,8 @@
-//! The demo: the whole path with real processes on loopback.
+//! A demonstration of the whole request path with real processes on loopback.
 //!
-//! A control replica with a temporary data folder, two entry instances in each of two availability
-//! zones, an engine a zone that announces itself. An operator's changes go through the command
-//! line; a caller asks which instance to use and reads a streamed answer from it.
+//! It starts a control replica with a temporary data directory, two entry instances in each of two
+//! availability zones, and one engine per zone, which announces itself. An operator applies changes
+//! through the command line. A caller locates an instance and reads a streamed response from it.
 
 use std::{net::SocketAddr, path::Path};
 
@@ -19,7 +19,7 @@
 ///
 /// # Errors
 ///
-/// Fails when any step fails or a process does not end cleanly.
+/// Fails if any step fails or a process does not exit cleanly.
 pub(crate) fn run(root: &Path) -> eyre::Result<()> {
     println!("building the binaries");
     build::run(root, Profile::Debug)?;
@@ -59,7 +59,7 @@
     Ok(cluster)
 }
 
-/// Asks an entry instance which to use.
+/// Asks an entry instance which instances serve the model and returns the first one's address.
 async fn locate(cluster: &mut Cluster) -> eyre::Result<SocketAddr> {
     let answer = cluster.wait_located("patras-b-1", KEY, MODEL, 4).await?;
     println!("instances to use, by the word of patras-b-1:");
@@ -75,7 +75,7 @@
         .parse()?)
 }
 
-/// Sends a model request and reads its streamed answer.
+/// Sends a chat request and reads its streamed response.
 async fn ask(cluster: &mut Cluster, address: SocketAddr) -> eyre::Result<String> {
     let body = json!({
         "model": MODEL, "stream": true, "max_tokens": 8,
--- a/xtask/src/main.rs
+++ b/xtask/src/main.rs
@@ -1,4 +1,4 @@
-//! Chores of the workspace; `cargo xtask` lists them.
+//! Development tasks of the workspace; `cargo xtask` without arguments lists them.
 
 use std::{ffi::OsString, path::Path, process::ExitCode};
 
@@ -58,7 +58,7 @@
     Ok(ExitCode::SUCCESS)
 }
 
-/// Reads how much is to be done, under the option's name or by default, and the seed.
+/// Parses `--NAME AMOUNT` and `--seed SEED`; returns the amount, or its default, and the seed.
 fn options(
     arguments: &mut lexopt::Parser,
     (name, default): (&str, u64),
--- a/xtask/src/measure.rs
+++ b/xtask/src/measure.rs
@@ -1,14 +1,14 @@
-//! Long runs that other crates provide.
+//! Long-running tests and measurements defined in other crates.
 
 use std::{path::Path, process::Command};
 
 use crate::build::cargo;
 
-/// Drives the consensus core through random schedules of faults.
+/// Runs the consensus core through random fault schedules.
 ///
 /// # Errors
 ///
-/// Fails when a schedule broke a promise; the output names its seed.
+/// Fails if a schedule violates a guarantee; the output names its seed.
 pub(crate) fn explore(root: &Path, runs: u64, seed: u64) -> eyre::Result<()> {
     let test = ["--test", "group", "no_schedule", "--", "--nocapture"];
     let mut command = cargo(root);
@@ -26,11 +26,11 @@
     run(command)
 }
 
-/// Measures slopes and rewrites the tables of the page on capacity.
+/// Measures how costs grow with size and rewrites the tables of docs/CAPACITY.md.
 ///
 /// # Errors
 ///
-/// Fails when a case does.
+/// Fails if a measurement fails.
 pub(crate) fn capacity(root: &Path) -> eyre::Result<()> {
     let mut command = cargo(root);
     command
@@ -45,11 +45,11 @@
     run(command)
 }
 
-/// Measures what relays cost the control group, and what an operator's call costs.
+/// Measures the cost of relays and of operators' calls for the control group.
 ///
 /// # Errors
 ///
-/// Fails when a build or a case does.
+/// Fails if the build or a measurement fails.
 pub(crate) fn control(root: &Path) -> eyre::Result<()> {
     let mut binaries = cargo(root);
     binaries.args(["build", "--release", "--locked", "--bins"]);
--- a/xtask/src/soak/faults.rs
+++ b/xtask/src/soak/faults.rs
@@ -1,4 +1,4 @@
-//! Random faults.
+//! Random fault injection.
 
 use std::time::Duration;
 
@@ -10,26 +10,26 @@
 
 use super::{operator::Operator, system::System};
 
-/// A fault and how long it lasts.
+/// A fault, with its subject and duration.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(super) enum Fault {
-    /// An entry instance, control replica or target is killed and started again.
+    /// Kills a process and restarts it.
     Kill(String, Duration),
-    /// A process is frozen and thawed.
+    /// Suspends a process and resumes it.
     Freeze(String, Duration),
-    /// A process is told to end in order and started again.
+    /// Terminates a process gracefully and restarts it.
     Stop(String),
-    /// An availability zone is cut off silently.
+    /// Partitions an availability zone (region, zone) from all others, without closing connections.
     Partition(String, String, Duration),
-    /// Nothing that one process sends arrives; it hears everything.
+    /// Stalls what a process sends on connections that it dialled; it still receives everything.
     OneWay(String, Duration),
-    /// All connections to a process break once.
+    /// Resets all open connections to a process.
     Reset(String),
-    /// All connections to a process are slow.
+    /// Delays all connections to a process.
     Slow(String, Duration),
 }
 
-/// Draws the next fault.
+/// Draws a random fault.
 pub(super) fn draw(random: &mut StdRng, system: &System) -> Fault {
     let duration = Duration::from_millis(random.random_range(300..4_000));
     let groups = [&system.entries, &system.controls, &system.targets];
@@ -57,7 +57,7 @@
     }
 }
 
-/// Brings a fault about, lets the operator work meanwhile, and takes it away.
+/// Injects a fault, lets the operator act during it, and removes it.
 pub(super) async fn inject(
     system: &mut System,
     fault: &Fault,
--- a/xtask/src/soak/mod.rs
+++ b/xtask/src/soak/mod.rs
@@ -1,9 +1,9 @@
-//! The soak: real processes, mixed callers and operators, random faults from a seed.
+//! Soak test: real processes under load, configuration changes and random faults.
 //!
-//! Three control replicas, three availability zones in two regions. Callers run in the load tool,
-//! which compares what it was told with the targets' ledgers at the end; an operator's script keeps
-//! changing objects and checks that none reverts. The same seed brings the same faults in the same
-//! order; their effect still depends on the machine's timing.
+//! The system has three control replicas and three availability zones in two regions. Callers run
+//! in the load generator, which compares the outcomes they saw with the targets' ledgers at the
+//! end. A scripted operator keeps changing objects and checks that no accepted change is lost. The
+//! same seed injects the same faults in the same order; their effects still depend on timing.
 
 mod faults;
 mod operator;
@@ -19,16 +19,16 @@
 use operator::Operator;
 use system::System;
 
-/// Least length of a soak; a shorter one has no time for a fault and its end.
+/// Shortest soak; a shorter one has no time for a fault and the recovery from it.
 const MIN_SECONDS: u64 = 15;
-/// Time before the end in which no fault begins.
+/// Time before the end in which no new fault is injected.
 const QUIET_PERIOD: Duration = Duration::from_secs(8);
 
-/// Runs a soak and prints its summary line.
+/// Runs a soak test and prints its summary line.
 ///
 /// # Errors
 ///
-/// Fails when a promise was broken or the soak itself could not run.
+/// Fails if a guarantee was violated or the soak itself could not run.
 pub(crate) fn run(root: &Path, seconds: u64, seed: u64) -> eyre::Result<()> {
     build::run(root, Profile::Debug)?;
     let length = Duration::from_secs(seconds.max(MIN_SECONDS));
@@ -66,16 +66,16 @@
     Ok(summary(seed, &report, &operator, &findings))
 }
 
-/// What neither the load tool nor the operator sees.
+/// Results that neither the load generator nor the operator observes.
 struct Findings {
     faults: usize,
-    /// Requests that ran outside the region of their client.
+    /// Number of requests that ran outside their client's region.
     strayed: usize,
-    /// Processes that ended by themselves.
+    /// Number of processes that exited on their own.
     died: usize,
 }
 
-/// Prints the summary line and returns how many promises were broken.
+/// Prints the summary line and returns the number of violated guarantees.
 fn summary(seed: u64, report: &Value, operator: &Operator, findings: &Findings) -> usize {
     let variant = &report["variants"][0];
     let (all, audit) = (&variant["all"], &variant["audit"]);
--- a/xtask/src/soak/operator.rs
+++ b/xtask/src/soak/operator.rs
@@ -1,4 +1,4 @@
-//! An operator's script under soak: changes one object after the other and notes what it was told.
+//! A scripted operator: changes objects in turn and records which changes were accepted.
 
 use std::time::Duration;
 
@@ -7,27 +7,27 @@
 
 use super::system::System;
 
-/// Objects that are changed in turn.
+/// Number of objects, changed in turn.
 const OBJECTS: usize = 4;
-/// Longest wait for the group once all faults are over.
+/// Longest wait for the control group to respond after the last fault.
 const SETTLE_TIMEOUT: Duration = Duration::from_mins(1);
 
-/// An operator's script and what it was told.
+/// State of the scripted operator.
 #[derive(Debug, Default)]
 pub(super) struct Operator {
     steps: usize,
-    /// Newest version of each object that was accepted.
+    /// Latest accepted version of each object; zero if there is none.
     known: [usize; OBJECTS],
-    /// Changes that were accepted.
+    /// Number of accepted changes.
     pub(super) accepted: usize,
-    /// Times that an accepted change was gone.
+    /// Number of objects that lost an accepted change.
     pub(super) reverted: usize,
-    /// Times that a process told to end did not end cleanly.
+    /// Number of processes that did not exit cleanly on SIGTERM.
     pub(super) unclean: usize,
 }
 
 impl Operator {
-    /// Changes the next object, to a version that only grows.
+    /// Applies the next object, with an ever-increasing version.
     pub(super) async fn step(&mut self, system: &System) {
         self.steps += 1;
         let object = self.steps % OBJECTS;
@@ -36,26 +36,32 @@
         let Ok(run) = system.cluster.ctl(&arguments).await else {
             return;
         };
-        // A pending change has been committed too; without an answer nothing is known.
+        // Exit code 4 means pending: the change is committed as well. Any other result leaves the
+        // outcome unknown.
         if matches!(run.code, Some(0 | 4)) {
             self.accepted += 1;
             self.known[object] = self.steps;
         }
     }
 
-    /// Waits for the group to answer and compares what it holds with what it had accepted.
+    /// Waits for the group to respond and compares its objects with the accepted changes.
     pub(super) async fn settle(&mut self, system: &System) -> eyre::Result<()> {
         for object in 0..OBJECTS {
             let known = self.known[object];
             if known == 0 {
                 continue;
             }
-            let held = wait::within(SETTLE_TIMEOUT, "the group answering", async || {
-                let arguments = ["--timeout", "2000", "get", "model", &name(object)];
-                let record = system.cluster.ctl(&arguments).await.ok()?.json().ok()?;
-                version(&record)
-            });
-            // Later versions may be in force although their answer was lost.
+            let held = wait::within(
+                SETTLE_TIMEOUT,
+                "a response of the control group",
+                async || {
+                    let arguments = ["--timeout", "2000", "get", "model", &name(object)];
+                    let record = system.cluster.ctl(&arguments).await.ok()?.json().ok()?;
+                    version(&record)
+                },
+            );
+            // A later version is correct: its change may have been committed although the response
+            // was lost.
             let held = held.await?;
             if held < known {
                 println!("soak: {} reverted from {known} to {held}", name(object));
--- a/xtask/src/soak/system.rs
+++ b/xtask/src/soak/system.rs
@@ -1,4 +1,4 @@
-//! The system under soak.
+//! The system under test.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -8,15 +8,15 @@
 pub(super) const MODEL: &str = "map-labels";
 const ZONES: [(&str, &str); 3] = [("patras", "a"), ("patras", "b"), ("athens", "a")];
 const CLIENTS: [(&str, &str); 2] = [("maps", "key-1"), ("studio", "key-2")];
-/// The client that is bound to a region, and that region.
+/// Client whose residency is limited to [`HOME_REGION`], and that region.
 const PINNED_CLIENT: &str = CLIENTS[0].0;
 const HOME_REGION: &str = "patras";
-/// Requests a second of one client in one zone.
-const REQUESTS_PER_SECOND: f64 = 15.0;
-/// Longest wait of a caller, in milliseconds.
+/// Request rate of one client in one zone.
+const REQUEST_RATE: f64 = 15.0;
+/// Time after which a caller gives up on a request.
 const CALLER_TIMEOUT_MS: u64 = 20_000;
 
-/// A cluster and the names of what can be lost in it.
+/// A cluster and the names of the nodes that faults can hit.
 pub(super) struct System {
     pub(super) cluster: Cluster,
     pub(super) entries: Vec<String>,
@@ -25,7 +25,7 @@
     _ledgers: tempfile::TempDir,
 }
 
-/// The load tool at work.
+/// A running load generator.
 pub(super) struct Load {
     tool: Process,
     folder: tempfile::TempDir,
@@ -73,7 +73,8 @@
         Ok(system)
     }
 
-    /// Starts callers of both clients in all zones, with and without repeatable requests.
+    /// Starts callers of both clients in all zones; only those of the first send idempotent
+    /// requests.
     pub(super) fn load(&mut self, length: Duration, seed: u64) -> eyre::Result<Load> {
         let folder = tempfile::tempdir()?;
         let mut sources = Vec::new();
@@ -81,7 +82,7 @@
             for (index, (client, key)) in CLIENTS.iter().enumerate() {
                 sources.push(json!({
                     "client": client, "key": key, "class": "interactive", "region": region,
-                    "zone": zone, "model": MODEL, "rate": REQUESTS_PER_SECOND, "stream": index == 0,
+                    "zone": zone, "model": MODEL, "rate": REQUEST_RATE, "stream": index == 0,
                     "idempotent": index == 0, "tokens": 12, "prefixes": 4, "prefix_bytes": 512,
                 }));
             }
@@ -99,7 +100,7 @@
         Ok(Load { tool, folder })
     }
 
-    /// Returns how many requests of the bound client ran outside its region.
+    /// Returns the number of requests of the pinned client that ran outside its region.
     pub(super) async fn strayed(&mut self) -> eyre::Result<usize> {
         let mut strayed = 0;
         for target in self.targets.clone() {
@@ -114,7 +115,7 @@
         Ok(strayed)
     }
 
-    /// Returns how many processes have ended by themselves.
+    /// Returns the number of processes that exited on their own.
     pub(super) fn died(&mut self) -> usize {
         let nodes = self.cluster.nodes_mut();
         let died = |node: &mut Node| {
@@ -131,7 +132,7 @@
 }
 
 impl Load {
-    /// Waits for the end of the load and returns its report.
+    /// Waits until the load generator exits and returns its report.
     pub(super) async fn wait(mut self, length: Duration) -> eyre::Result<Value> {
         let timeout = length + Duration::from_millis(CALLER_TIMEOUT_MS * 3);
         self.tool.wait_exit_within(timeout).await?;
