--- a/tests/src/history.rs
+++ b/tests/src/history.rs
@@ -1,6 +1,6 @@
 //! Linearizability checking for histories of concurrent calls.
 //!
-//! A [`Recorder`] records when each call began and ended and what was answered. [`check`] then
+//! A [`Recorder`] records when each call began and ended and what was answered. [`check()`] then
 //! searches for a sequential order of the calls that satisfies a [`Model`] and in which no call
 //! precedes one that had ended before it began. The history is linearizable if such an order
 //! exists. A call without an answer may have taken effect at any time after it began, or never.
