--- a/crates/zinniastall-control/src/control.rs
+++ b/crates/zinniastall-control/src/control.rs
@@ -1,7 +1,7 @@
 //! The actor that owns the control state.
 //!
 //! Every event arrives as a message, and each file of this module handles the messages of one
-//! topic. Each handler ends by [driving](Control::drive) the replica: entries to store go to the
+//! topic. Each handler ends by driving (`Control::drive`) the replica: entries to store go to the
 //! disk, messages go to the peers, and committed entries are applied and published.
 
 mod apply;
--- a/crates/zinniastall-entry/src/callers/forward/mod.rs
+++ b/crates/zinniastall-entry/src/callers/forward/mod.rs
@@ -1,6 +1,6 @@
 //! Forwards requests between entry instances over stream links.
 //!
-//! [`mux`] is the sending end, which multiplexes streams over one link per instance. [`serve`] is
+//! `mux` is the sending end, which multiplexes streams over one link per instance. `serve` is
 //! the receiving end. Each traffic thread has its own links, so that no request waits for another
 //! thread.
 
--- a/crates/zinniastall-route/src/policy.rs
+++ b/crates/zinniastall-route/src/policy.rs
@@ -4,7 +4,7 @@
 
 use zinniastall_model::id;
 
-/// How a target is selected. All but [`Choice::Cost`] are baselines for benchmarks.
+/// How a target is selected. All but [`Choice::Cost`] are baselines to compare it with.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Choice {
     /// A random target.
